--- a/crates/lab/tests/cli.rs
+++ b/crates/testing/load-simulator/tests/cli.rs
@@ -87,7 +87,7 @@
 
 #[test]
 fn the_gallery_is_in_order() {
-    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../experiments");
+    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../../experiments");
     let list = lab(&["list", folder.to_str().unwrap()]);
     let said = text(&list.stdout);
     assert!(list.status.success() && said.contains("quito-calm.toml") && !said.contains("FAULTY"), "{said}");
