--- a/crates/lease/consensus/tests/client.rs
+++ b/crates/lease/consensus/tests/client.rs
@@ -1,8 +1,8 @@
 //! A client's session with the fleet.
 
-use passrelay_fleet::client::Client;
-use passrelay_fleet::lease_table::Reply;
-use passrelay_fleet::wire::{Answer, Say};
+use passrelay_lease_consensus::client::Client;
+use passrelay_lease_consensus::lease_table::Reply;
+use passrelay_lease_consensus::wire::{Answer, Say};
 use std::time::Duration;
 
 // Guards against a session that nobody is behind: it would keep its name and its place for its time to live.
--- a/crates/lease/consensus/tests/lease_table.rs
+++ b/crates/lease/consensus/tests/lease_table.rs
@@ -1,7 +1,7 @@
 //! Sessions and leases as all voters hold them.
 
-use passrelay_fleet::lease_table::{Entry, Grant, Holder, LeaseTable, Op, Reply};
-use passrelay_fleet::SessionId;
+use passrelay_lease_consensus::lease_table::{Entry, Grant, Holder, LeaseTable, Op, Reply};
+use passrelay_lease_consensus::SessionId;
 
 fn open(table: &mut LeaseTable, name: &str) -> SessionId {
     let entry = Entry::Open { name: name.to_owned(), nonce: 1, ttl_ms: 1000 };
--- a/crates/lease/consensus/tests/membership.rs
+++ b/crates/lease/consensus/tests/membership.rs
@@ -1,7 +1,7 @@
 //! The voters of a fleet, and how they change.
 
-use passrelay_fleet::membership::{Change, Membership, NoChange, Place};
-use passrelay_fleet::VoterId;
+use passrelay_lease_consensus::membership::{Change, Membership, NoChange, Place};
+use passrelay_lease_consensus::VoterId;
 
 fn add(voter: VoterId, disk: u64) -> Change {
     Change::Add { voter, place: Place { address: "127.0.0.1:1".to_owned(), disk } }
--- a/crates/lease/consensus/tests/model.rs
+++ b/crates/lease/consensus/tests/model.rs
@@ -5,11 +5,11 @@
 //! want one lease. Messages wait for as long as they like, in order; clocks run as fast and as slow as the bound
 //! allows. One voter may crash and begin to count anew, one process may be stopped between its check and its act.
 
-use passrelay_fleet::client::{Client, DRIFT_PERCENT};
-use passrelay_fleet::expiry::ExpiryWatch;
-use passrelay_fleet::lease_table::{Entry, LeaseTable, Op};
-use passrelay_fleet::wire::{Answer, Say};
-use passrelay_fleet::{SessionId, Token};
+use passrelay_lease_consensus::client::{Client, DRIFT_PERCENT};
+use passrelay_lease_consensus::expiry::ExpiryWatch;
+use passrelay_lease_consensus::lease_table::{Entry, LeaseTable, Op};
+use passrelay_lease_consensus::wire::{Answer, Say};
+use passrelay_lease_consensus::{SessionId, Token};
 use stateright::{Checker, Expectation, HasDiscoveries, Model, Property};
 use std::collections::VecDeque;
 use std::time::Duration;
--- a/crates/lease/runtime/src/durable_voter.rs
+++ b/crates/lease/runtime/src/durable_voter.rs
@@ -1,11 +1,11 @@
 //! A voter with its disk: what it writes is lasting before what it says leaves, and a disk that fails takes
 //! the voter out at once, until the disk takes writes again.
 
-use passrelay_fleet::mutant::{is, Mutant};
-use passrelay_fleet::voter::{LinkId, To, Voter, VoterIdentity};
-use passrelay_fleet::wire::{Frame, Status};
-use passrelay_fleet::VoterId;
-use passrelay_store::{Disk, Journal, JournalError};
+use passrelay_lease_consensus::mutant::{is, Mutant};
+use passrelay_lease_consensus::voter::{LinkId, To, Voter, VoterIdentity};
+use passrelay_lease_consensus::wire::{Frame, Status};
+use passrelay_lease_consensus::VoterId;
+use passrelay_lease_journal::{Disk, Journal, JournalError};
 use std::io;
 use std::time::Duration;
 
--- a/crates/lease/runtime/src/member.rs
+++ b/crates/lease/runtime/src/member.rs
@@ -3,9 +3,9 @@
 use crate::net::{Happened, LinkNumber, Net};
 use crate::plan::Plan;
 use crate::{drawn, now};
-use passrelay_fleet::client::{Client, News};
-use passrelay_fleet::wire::{Answer, Frame, Say};
-use passrelay_fleet::VoterId;
+use passrelay_lease_consensus::client::{Client, News};
+use passrelay_lease_consensus::wire::{Answer, Frame, Say};
+use passrelay_lease_consensus::VoterId;
 use std::collections::BTreeMap;
 use std::io;
 use std::net::SocketAddr;
--- a/crates/lease/runtime/src/net.rs
+++ b/crates/lease/runtime/src/net.rs
@@ -3,7 +3,7 @@
 
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token};
-use passrelay_fleet::wire::{decode, encode, fleet_number, Bad, Frame, MOST_FRAME};
+use passrelay_lease_consensus::wire::{decode, encode, fleet_number, Bad, Frame, MOST_FRAME};
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::SocketAddr;
--- a/crates/lease/runtime/src/plan.rs
+++ b/crates/lease/runtime/src/plan.rs
@@ -1,7 +1,7 @@
 //! The fleet's file: who votes, and where. One file serves all processes of a fleet.
 
-use passrelay_fleet::lease_table::MOST_NAME;
-use passrelay_fleet::VoterId;
+use passrelay_lease_consensus::lease_table::MOST_NAME;
+use passrelay_lease_consensus::VoterId;
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::fmt;
--- a/crates/lease/runtime/src/resident.rs
+++ b/crates/lease/runtime/src/resident.rs
@@ -3,7 +3,7 @@
 
 use crate::member::Member;
 use crate::plan::Plan;
-use passrelay_fleet::client::News;
+use passrelay_lease_consensus::client::News;
 use std::io;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
--- a/crates/lease/runtime/tests/net.rs
+++ b/crates/lease/runtime/tests/net.rs
@@ -1,7 +1,7 @@
 //! Links over loopback sockets: their ends, and who hears of them.
 
-use passrelay_fleet::wire::{Frame, Say};
-use passrelay_links::net::{Happened, LinkNumber, Net};
+use passrelay_lease_consensus::wire::{Frame, Say};
+use passrelay_lease_runtime::net::{Happened, LinkNumber, Net};
 use socket2::SockRef;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
--- a/crates/passrelay/src/cli.rs
+++ b/crates/passrelay/src/cli.rs
@@ -2,10 +2,10 @@
 
 use crate::{config, fleet, lease};
 use clap::{Parser, Subcommand};
-use passrelay_links::plan::Plan;
-use passrelay_links::resident::Resident;
-use passrelay_settings::Config;
-use passrelay_sidecar::Sidecar;
+use passrelay_lease_runtime::plan::Plan;
+use passrelay_lease_runtime::resident::Resident;
+use passrelay_sidecar_proxy::Sidecar;
+use passrelay_sidecar_settings::Config;
 use serde_json::json;
 use std::error::Error;
 use std::path::PathBuf;
@@ -88,7 +88,7 @@
     done.unwrap_or_else(|e| {
         eprintln!("passrelay: {e}");
         // A file or an address that is wrong is the caller's to mend.
-        ExitCode::from(if e.is::<passrelay_links::plan::PlanError>() { 2 } else { 1 })
+        ExitCode::from(if e.is::<passrelay_lease_runtime::plan::PlanError>() { 2 } else { 1 })
     })
 }
 
--- a/crates/passrelay/src/question.rs
+++ b/crates/passrelay/src/question.rs
@@ -1,10 +1,10 @@
 //! One question to the voters of leases, and its answer.
 
-use passrelay_fleet::client::News;
-use passrelay_fleet::wire::{Answer, Say};
-use passrelay_links::member::Member;
-use passrelay_links::now;
-use passrelay_links::plan::Plan;
+use passrelay_lease_consensus::client::News;
+use passrelay_lease_consensus::wire::{Answer, Say};
+use passrelay_lease_runtime::member::Member;
+use passrelay_lease_runtime::now;
+use passrelay_lease_runtime::plan::Plan;
 use std::error::Error;
 use std::time::Duration;
 
--- a/crates/passrelay/tests/endings.rs
+++ b/crates/passrelay/tests/endings.rs
@@ -1,7 +1,7 @@
 //! What is still owed when something ends: two events that cross, forced on both sides of the crossing. The table
 //! stands in `docs/design/endings.md`.
 
-use passrelay_standin::*;
+use passrelay_test_support::*;
 use serde_json::{json, Value};
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener};
--- a/crates/passrelay/tests/exchanges.rs
+++ b/crates/passrelay/tests/exchanges.rs
@@ -3,8 +3,8 @@
 //!
 //! `EXCHANGES=N` plays so many instead of those of CI, `EXCHANGE_SEED=S` others.
 
-use passrelay_standin::fleet::{Fleet, Sidecar};
-use passrelay_standin::{serve_by, Message};
+use passrelay_test_support::fleet::{Fleet, Sidecar};
+use passrelay_test_support::{serve_by, Message};
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::hash::{DefaultHasher, Hash, Hasher};
--- a/crates/passrelay/tests/fleet/answers.rs
+++ b/crates/passrelay/tests/fleet/answers.rs
@@ -2,8 +2,8 @@
 //! ones are in `exchanges.rs`.
 
 use super::{in_service, lone, ok, request, status, with_timeout, PROGRAM};
-use passrelay_standin::fleet::{read_all, Fleet, Sidecar};
-use passrelay_standin::{answer, full_listener, serve_by, until, Message, Reply, Server};
+use passrelay_test_support::fleet::{read_all, Fleet, Sidecar};
+use passrelay_test_support::{answer, full_listener, serve_by, until, Message, Reply, Server};
 use serde_json::json;
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener};
--- a/crates/passrelay/tests/fleet/main.rs
+++ b/crates/passrelay/tests/fleet/main.rs
@@ -2,8 +2,8 @@
 
 mod answers;
 
-use passrelay_standin::fleet::{read_all, Fleet, Sidecar};
-use passrelay_standin::{answer, until, Message, Reply, Server};
+use passrelay_test_support::fleet::{read_all, Fleet, Sidecar};
+use passrelay_test_support::{answer, until, Message, Reply, Server};
 use serde_json::{json, Value};
 use std::io::Write;
 use std::net::SocketAddr;
@@ -310,7 +310,7 @@
 fn listening_for_the_end() -> (SocketAddr, std::sync::mpsc::Receiver<Duration>) {
     let (tell, told) = std::sync::mpsc::channel();
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let address = passrelay_standin::serve_by(listener, move |_, sock| {
+    let address = passrelay_test_support::serve_by(listener, move |_, sock| {
         let mut reader = std::io::BufReader::new(sock);
         if Message::read(&mut reader).is_some() {
             let began = std::time::Instant::now();
--- a/crates/passrelay/tests/lease.rs
+++ b/crates/passrelay/tests/lease.rs
@@ -1,8 +1,10 @@
 //! Voters and holders of leases as processes of the program, with faults between them.
 
-use passrelay_lab::fault_injection::crowd;
-use passrelay_lab::fault_injection::processes::{act, play, Plan};
-use passrelay_standin::{answer, config, free_address, node_line, until, Discovery, Message, Relay, Server};
+use passrelay_load_simulator::fault_injection::crowd;
+use passrelay_load_simulator::fault_injection::processes::{act, play, Plan};
+use passrelay_test_support::{
+    answer, config, free_address, node_line, until, Discovery, Message, Relay, Server,
+};
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Write};
 use std::path::{Path, PathBuf};
--- a/crates/passrelay/tests/list.rs
+++ b/crates/passrelay/tests/list.rs
@@ -1,6 +1,6 @@
 //! The sidecar as a process: what it does with the node list, with discovery, and with its configuration.
 
-use passrelay_standin::*;
+use passrelay_test_support::*;
 use serde_json::json;
 use std::process::Command;
 use std::sync::atomic::{AtomicUsize, Ordering};
--- a/crates/passrelay/tests/relay.rs
+++ b/crates/passrelay/tests/relay.rs
@@ -1,6 +1,6 @@
 //! The sidecar as a process: requests through it, and what its callers and nodes may do to it.
 
-use passrelay_standin::*;
+use passrelay_test_support::*;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -15,7 +15,7 @@
 
 /// An address at which nobody listens.
 fn nobody() -> SocketAddr {
-    passrelay_standin::free_address().unwrap()
+    passrelay_test_support::free_address().unwrap()
 }
 
 #[test]
--- a/crates/passrelay/tests/service.rs
+++ b/crates/passrelay/tests/service.rs
@@ -1,6 +1,6 @@
 //! Day-to-day service: the operators' address, standby and a second process on the clients' address.
 
-use passrelay_standin::*;
+use passrelay_test_support::*;
 use serde_json::Value;
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
@@ -12,7 +12,7 @@
 }
 
 fn free() -> SocketAddr {
-    passrelay_standin::free_address().unwrap()
+    passrelay_test_support::free_address().unwrap()
 }
 
 /// A sidecar with an operators' address, before one node.
--- a/crates/router/data-plane/src/balancer.rs
+++ b/crates/router/data-plane/src/balancer.rs
@@ -5,8 +5,8 @@
 //! which the prompt would be read soonest: least tokens ahead of it, and shared parts that are kept there already.
 
 use crate::prompt::Prompt;
-use passrelay_core::turns::{take_turn, Candidate};
 use passrelay_dissemination::{EndpointLoad, EndpointRecord, EndpointState, Outcomes};
+use passrelay_load_balancing::turns::{take_turn, Candidate};
 use rustc_hash::FxHasher;
 use std::collections::{BTreeMap, HashMap};
 use std::hash::{Hash, Hasher};
--- a/crates/sidecar/load-balancing/benches/pick.rs
+++ b/crates/sidecar/load-balancing/benches/pick.rs
@@ -3,7 +3,7 @@
 #![allow(missing_docs)]
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
-use passrelay_core::*;
+use passrelay_load_balancing::*;
 
 /// The module before `nodes` nodes with `held` requests that it cannot send, and a clock.
 struct Bench {
--- a/crates/sidecar/load-balancing/src/lib.rs
+++ b/crates/sidecar/load-balancing/src/lib.rs
@@ -5,8 +5,8 @@
 //! the caller hands it events with its own clock and carries out the actions it gets back.
 //!
 //! ```
-//! use passrelay_core::{Action, Balancer, ClassId, Condition, Entry, Event};
-//! use passrelay_core::{RequestId, Settings, UpstreamId, ZoneId};
+//! use passrelay_load_balancing::{Action, Balancer, ClassId, Condition, Entry, Event};
+//! use passrelay_load_balancing::{RequestId, Settings, UpstreamId, ZoneId};
 //!
 //! let mut balancer = Balancer::new(Settings::default(), 7, 0.0)?;
 //! let mut actions = Vec::new();
@@ -28,7 +28,7 @@
 //! };
 //! balancer.handle(0.1, request, &mut actions);
 //! assert!(matches!(actions[..], [Action::Send { upstream: UpstreamId(1), .. }]));
-//! # Ok::<(), passrelay_core::SettingsError>(())
+//! # Ok::<(), passrelay_load_balancing::SettingsError>(())
 //! ```
 pub mod admission;
 mod api;
--- a/crates/sidecar/load-balancing/tests/common/mod.rs
+++ b/crates/sidecar/load-balancing/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A small driver around the public API.
 #![allow(dead_code)]
 
-use passrelay_core::*;
+use passrelay_load_balancing::*;
 
 pub fn entry(id: u64) -> Entry {
     Entry { upstream: UpstreamId(id), zone: ZoneId(0), cell: 0, condition: Condition::On, started: None }
--- a/crates/sidecar/load-balancing/tests/dispatcher.rs
+++ b/crates/sidecar/load-balancing/tests/dispatcher.rs
@@ -1,7 +1,7 @@
 //! The dispatcher with a module whose actions the test writes: what it lets out and when.
 
-use passrelay_core::dispatcher::{Answer, Arrival, Decider, Dispatcher, Timer, Transport};
-use passrelay_core::*;
+use passrelay_load_balancing::dispatcher::{Answer, Arrival, Decider, Dispatcher, Timer, Transport};
+use passrelay_load_balancing::*;
 
 mod common;
 use common::{entry, settings};
--- a/crates/sidecar/load-balancing/tests/rules.rs
+++ b/crates/sidecar/load-balancing/tests/rules.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use passrelay_core::*;
+use passrelay_load_balancing::*;
 use std::collections::BTreeSet;
 
 fn cpu(value: f64) -> Option<Report> {
--- a/crates/sidecar/proxy/src/client_connection.rs
+++ b/crates/sidecar/proxy/src/client_connection.rs
@@ -3,7 +3,7 @@
 use crate::buffer_pool::{Buffer, BufferPool};
 use crate::http::{BodyReader, Fault, Head};
 use mio::net::TcpStream;
-use passrelay_core::RequestId;
+use passrelay_load_balancing::RequestId;
 use std::io::{self, IoSlice, Read, Write};
 use std::net::Shutdown;
 use std::ops::Range;
--- a/crates/sidecar/proxy/src/connections/clients.rs
+++ b/crates/sidecar/proxy/src/connections/clients.rs
@@ -6,7 +6,7 @@
 use crate::http::{answer_head, Head};
 use mio::net::TcpStream;
 use mio::Interest;
-use passrelay_core::RequestId;
+use passrelay_load_balancing::RequestId;
 use std::fmt::Display;
 use std::io;
 
--- a/crates/sidecar/proxy/src/connections/upstreams.rs
+++ b/crates/sidecar/proxy/src/connections/upstreams.rs
@@ -6,7 +6,7 @@
 use crate::pool::{Attempt, ConnectionPool, Phase, UpstreamConnection, Verdict};
 use mio::net::TcpStream;
 use mio::Interest;
-use passrelay_core::{Ending, RequestId, UpstreamId};
+use passrelay_load_balancing::{Ending, RequestId, UpstreamId};
 use std::collections::HashSet;
 use std::io::{self, Write};
 use std::net::SocketAddr;
--- a/crates/sidecar/proxy/src/discovery_client.rs
+++ b/crates/sidecar/proxy/src/discovery_client.rs
@@ -3,7 +3,7 @@
 use crate::buffer_pool::{Buffer, BufferPool};
 use crate::http::{BodyReader, Head};
 use mio::net::TcpStream;
-use passrelay_settings::NodeListUpdate;
+use passrelay_sidecar_settings::NodeListUpdate;
 use std::io::{self, Read, Write};
 use std::net::SocketAddr;
 
--- a/crates/sidecar/proxy/src/sidecar.rs
+++ b/crates/sidecar/proxy/src/sidecar.rs
@@ -7,10 +7,10 @@
 use crate::log::Log;
 use crate::pool::Phase;
 use mio::{Events, Interest, Poll};
-use passrelay_core::dispatcher::Dispatcher;
-use passrelay_core::lifecycle::{Lifecycle, PlannedEnd};
-use passrelay_core::Ending;
-use passrelay_settings::{Config, NodeListUpdate, ServiceSettings};
+use passrelay_load_balancing::dispatcher::Dispatcher;
+use passrelay_load_balancing::lifecycle::{Lifecycle, PlannedEnd};
+use passrelay_load_balancing::Ending;
+use passrelay_sidecar_settings::{Config, NodeListUpdate, ServiceSettings};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook_mio::v1_0::Signals;
 use std::error::Error;
@@ -153,7 +153,7 @@
         sidecar.learn(known.unwrap_or(NodeListUpdate { whole: true, ..NodeListUpdate::default() }));
         if !sidecar.connections.discovery.wanted {
             // The list is asked for also where changes come unasked in the simulator: here they never do.
-            passrelay_core::dispatcher::Transport::watch(&mut sidecar.connections);
+            passrelay_load_balancing::dispatcher::Transport::watch(&mut sidecar.connections);
         }
         sidecar.settle();
         Ok(sidecar)
--- a/crates/sidecar/proxy/src/sidecar/clients.rs
+++ b/crates/sidecar/proxy/src/sidecar/clients.rs
@@ -5,9 +5,9 @@
 use crate::connections::{generation, Again};
 use crate::http::Head;
 use crate::listener::Accepted;
-use passrelay_core::admission::Admission;
-use passrelay_core::dispatcher::Arrival;
-use passrelay_core::{Effect, RequestId};
+use passrelay_load_balancing::admission::Admission;
+use passrelay_load_balancing::dispatcher::Arrival;
+use passrelay_load_balancing::{Effect, RequestId};
 
 /// Clients let in at one go, so that a crowd at the listener does not hold up answers.
 const ACCEPTS: usize = 64;
@@ -161,6 +161,6 @@
         // Only a hint: one that cannot be read, or that no call can take, costs no request its answer.
         let cost = head.header("x-call-cost").filter(digits).and_then(|c| c.parse::<f64>().ok());
         let work = cost.map(|micros| micros / 1e6).filter(|w| (1e-6..=MOST_WORK_S).contains(w));
-        Ok(Arrival { class: passrelay_core::ClassId(class), tenant, budget, work, repeat })
+        Ok(Arrival { class: passrelay_load_balancing::ClassId(class), tenant, budget, work, repeat })
     }
 }
--- a/crates/sidecar/proxy/src/sidecar/discovery.rs
+++ b/crates/sidecar/proxy/src/sidecar/discovery.rs
@@ -3,8 +3,8 @@
 use super::Sidecar;
 use crate::connections::Timer;
 use crate::discovery_client::{Word, PAUSE_S};
-use passrelay_core::{Condition, Entry, ZoneId};
-use passrelay_settings::{Item, NodeListUpdate};
+use passrelay_load_balancing::{Condition, Entry, ZoneId};
+use passrelay_sidecar_settings::{Item, NodeListUpdate};
 use std::fmt::Display;
 
 impl Sidecar {
--- a/crates/sidecar/proxy/src/sidecar/operators.rs
+++ b/crates/sidecar/proxy/src/sidecar/operators.rs
@@ -2,7 +2,7 @@
 
 use super::{Shift, Sidecar};
 use crate::admin::Call;
-use passrelay_core::lifecycle::Turn;
+use passrelay_load_balancing::lifecycle::Turn;
 
 impl Sidecar {
     /// Tells the connections whether answers end their connections, as the lifecycle and the shift say.
--- a/crates/sidecar/proxy/src/sidecar/signals.rs
+++ b/crates/sidecar/proxy/src/sidecar/signals.rs
@@ -3,9 +3,9 @@
 use super::{Shift, Sidecar};
 use crate::client_connection::Stage;
 use crate::connections::Timer;
-use passrelay_core::dispatcher;
-use passrelay_core::lifecycle::PlannedEnd;
-use passrelay_settings::Config;
+use passrelay_load_balancing::dispatcher;
+use passrelay_load_balancing::lifecycle::PlannedEnd;
+use passrelay_sidecar_settings::Config;
 use signal_hook::consts::SIGHUP;
 use std::fmt::Display;
 
@@ -47,7 +47,7 @@
         let (service, discovery) = match read {
             Ok(both) => both,
             Err(e) => {
-                let line = passrelay_settings::line_of(&file, &e);
+                let line = passrelay_sidecar_settings::line_of(&file, &e);
                 let values: [(&str, &dyn Display); 4] =
                     [("file", &file), ("key", &e.key), ("line", &line), ("problem", &e.problem)];
                 return self.connections.say("warn", "reload_failed", &values);
--- a/crates/sidecar/proxy/src/sidecar/upstreams.rs
+++ b/crates/sidecar/proxy/src/sidecar/upstreams.rs
@@ -3,7 +3,7 @@
 use super::Sidecar;
 use crate::connections::generation;
 use crate::pool::{Attempt, Phase, Return, UpstreamConnection, Verdict};
-use passrelay_core::Ending;
+use passrelay_load_balancing::Ending;
 
 impl Sidecar {
     /// The poller tells of a connection to a node, or of one that had its slot before.
--- a/crates/sidecar/settings/src/config.rs
+++ b/crates/sidecar/settings/src/config.rs
@@ -4,7 +4,7 @@
 //! brought into the form of pairs and go through the same checks.
 
 use crate::node_list::NodeListUpdate;
-use passrelay_core::{Class, DedupScope, Effect, Entry, Settings, Tenant, TenantId, ZoneId};
+use passrelay_load_balancing::{Class, DedupScope, Effect, Entry, Settings, Tenant, TenantId, ZoneId};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::fmt;
--- a/crates/sidecar/settings/src/node_list.rs
+++ b/crates/sidecar/settings/src/node_list.rs
@@ -1,6 +1,6 @@
 //! The node list as discovery writes it, and as `known` in the configuration holds it.
 
-use passrelay_core::Condition;
+use passrelay_load_balancing::Condition;
 use serde_json::Value;
 use std::net::SocketAddr;
 
--- a/crates/sidecar/settings/src/report.rs
+++ b/crates/sidecar/settings/src/report.rs
@@ -1,6 +1,6 @@
 //! Load reports as text: `name=value` pairs in an answer, `name:value` pairs on the simulator's wire.
 
-use passrelay_core::Report;
+use passrelay_load_balancing::Report;
 
 /// More than any figure of a report can be: requests, milliseconds, or requests a second.
 const MOST: f64 = 1e6;
--- a/crates/sidecar/simulator-adapter/src/main.rs
+++ b/crates/sidecar/simulator-adapter/src/main.rs
@@ -2,8 +2,8 @@
 
 mod wire;
 
-use passrelay_core::{Action, Balancer, Event};
-use passrelay_settings::{Item, Names, ServiceSettings};
+use passrelay_load_balancing::{Action, Balancer, Event};
+use passrelay_sidecar_settings::{Item, Names, ServiceSettings};
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -136,7 +136,7 @@
             Ok(0) => break,
             Ok(_) => {}
             Err(e) => {
-                eprintln!("passrelay-simhost: line {number}: expected UTF-8 text: {e}");
+                eprintln!("passrelay-simulator-adapter: line {number}: expected UTF-8 text: {e}");
                 return ExitCode::FAILURE;
             }
         }
@@ -144,13 +144,13 @@
             Ok(false) => {}
             Ok(true) => {
                 if output.write_all(host.out.as_bytes()).and_then(|()| output.flush()).is_err() {
-                    eprintln!("passrelay-simhost: standard output is closed");
+                    eprintln!("passrelay-simulator-adapter: standard output is closed");
                     return ExitCode::FAILURE;
                 }
                 host.out.clear();
             }
             Err(expected) => {
-                eprintln!("passrelay-simhost: line {number}: expected {expected}");
+                eprintln!("passrelay-simulator-adapter: line {number}: expected {expected}");
                 return ExitCode::FAILURE;
             }
         }
--- a/crates/sidecar/simulator-adapter/src/wire.rs
+++ b/crates/sidecar/simulator-adapter/src/wire.rs
@@ -1,9 +1,9 @@
 //! Parsing and printing of the wire's lines. No decisions are made here.
 
-use passrelay_core::{
+use passrelay_load_balancing::{
     Action, ClassId, Condition, Ending, Entry, Event, Outcome, Report, RequestId, UpstreamId, ZoneId,
 };
-use passrelay_settings::{parse_report, Item, Names};
+use passrelay_sidecar_settings::{parse_report, Item, Names};
 use std::fmt::Write as _;
 use std::str::FromStr;
 
--- a/crates/sidecar/simulator-adapter/tests/wire.rs
+++ b/crates/sidecar/simulator-adapter/tests/wire.rs
@@ -4,7 +4,7 @@
 use std::process::{Command, Output, Stdio};
 
 fn run(input: &str) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_passrelay-simhost"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_passrelay-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/crates/testing/cluster-simulation/examples/dissemination.rs
+++ b/crates/testing/cluster-simulation/examples/dissemination.rs
@@ -1,11 +1,11 @@
 //! Time until all sidecars know a change, and what dissemination and replication cost, by size and loss.
 //!
-//! `cargo run --release -p passrelay-simulation --example dissemination`
+//! `cargo run --release -p passrelay-cluster-simulation --example dissemination`
 
+use passrelay_cluster_simulation::cluster::{Cluster, ClusterSettings, HEARTBEAT};
 use passrelay_control_plane::orders::{Order, OrderKind};
 use passrelay_control_plane::OperatorRequest;
 use passrelay_dissemination::{EndpointRecord, EndpointState, Heartbeat};
-use passrelay_simulation::cluster::{Cluster, ClusterSettings, HEARTBEAT};
 use serde_json::json;
 use std::time::Duration;
 
--- a/crates/testing/cluster-simulation/examples/failover.rs
+++ b/crates/testing/cluster-simulation/examples/failover.rs
@@ -1,9 +1,9 @@
 //! Time from the loss of the primary to the next acknowledgement, by kind of loss, size and loss of messages.
 //!
-//! `cargo run --release -p passrelay-simulation --example failover -- [HISTORIES]`
+//! `cargo run --release -p passrelay-cluster-simulation --example failover -- [HISTORIES]`
 
-use passrelay_simulation::cluster::ClusterSettings;
-use passrelay_simulation::failover::{time_to_acknowledge, PrimaryLoss};
+use passrelay_cluster_simulation::cluster::ClusterSettings;
+use passrelay_cluster_simulation::failover::{time_to_acknowledge, PrimaryLoss};
 use std::time::Duration;
 
 const SIZES: [(usize, usize); 3] = [(3, 12), (5, 12), (8, 90)];
--- a/crates/testing/cluster-simulation/tests/failover.rs
+++ b/crates/testing/cluster-simulation/tests/failover.rs
@@ -1,7 +1,7 @@
 //! A lost primary is replaced in time.
 
-use passrelay_simulation::cluster::ClusterSettings;
-use passrelay_simulation::failover::{time_to_acknowledge, PrimaryLoss};
+use passrelay_cluster_simulation::cluster::ClusterSettings;
+use passrelay_cluster_simulation::failover::{time_to_acknowledge, PrimaryLoss};
 use rstest::rstest;
 use std::time::Duration;
 
--- a/crates/testing/cluster-simulation/tests/histories.rs
+++ b/crates/testing/cluster-simulation/tests/histories.rs
@@ -1,10 +1,10 @@
 //! Random histories keep every promise, and broken protocols and disks are found out.
 
+use passrelay_cluster_simulation::cluster::ClusterSettings;
+use passrelay_cluster_simulation::disk::DiskMutant;
+use passrelay_cluster_simulation::history::{play, HistorySettings, Scenario};
+use passrelay_cluster_simulation::seeds::seeds_from;
 use passrelay_control_plane::replication::ProtocolFault;
-use passrelay_simulation::cluster::ClusterSettings;
-use passrelay_simulation::disk::DiskMutant;
-use passrelay_simulation::history::{play, HistorySettings, Scenario};
-use passrelay_simulation::seeds::seeds_from;
 use rstest::rstest;
 use std::time::Duration;
 
--- a/crates/testing/cluster-simulation/tests/limits.rs
+++ b/crates/testing/cluster-simulation/tests/limits.rs
@@ -1,10 +1,10 @@
 //! Random histories keep the limits that bind the whole fleet, and broken sidecars are found out.
 
+use passrelay_cluster_simulation::cluster::ClusterSettings;
+use passrelay_cluster_simulation::limits::{play, LimitMutant, LimitSettings};
+use passrelay_cluster_simulation::seeds::seeds_from;
 use passrelay_control_plane::replication::ProtocolFault;
 use passrelay_dissemination::GossipFault;
-use passrelay_simulation::cluster::ClusterSettings;
-use passrelay_simulation::limits::{play, LimitMutant, LimitSettings};
-use passrelay_simulation::seeds::seeds_from;
 use rstest::rstest;
 
 fn settings(counted: usize, machines: usize, seed: u64) -> LimitSettings {
--- a/crates/testing/cluster-simulation/tests/repairs.rs
+++ b/crates/testing/cluster-simulation/tests/repairs.rs
@@ -1,9 +1,9 @@
 //! Losses in an order that leaves one member with the only copy for a while.
 
+use passrelay_cluster_simulation::cluster::{CallKey, Cluster, ClusterSettings, Seen};
 use passrelay_control_plane::orders::{Order, OrderKind};
 use passrelay_control_plane::replication::ProtocolFault;
 use passrelay_control_plane::OperatorRequest;
-use passrelay_simulation::cluster::{CallKey, Cluster, ClusterSettings, Seen};
 use serde_json::json;
 use std::time::Duration;
 
--- a/crates/testing/load-simulator/src/cli.rs
+++ b/crates/testing/load-simulator/src/cli.rs
@@ -16,8 +16,8 @@
 use crate::world::{play, Mutant as WorldMutant, RunError, Wanted};
 use crate::{tables, theory};
 use clap::{Args, Parser, Subcommand, ValueEnum};
-use passrelay_fleet::mutant::Mutant;
-use passrelay_standin::free_address;
+use passrelay_lease_consensus::mutant::Mutant;
+use passrelay_test_support::free_address;
 use std::io::Write;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -30,7 +30,7 @@
 /// Exit codes: 0 done; 1 a file cannot be read or written; 2 the command line or an experiment is faulty; 3 a rule
 /// was broken.
 #[derive(Parser)]
-#[command(name = "passrelay-lab", version, max_term_width = 110)]
+#[command(name = "passrelay-load-simulator", version, max_term_width = 110)]
 struct Cli {
     #[command(subcommand)]
     command: Command,
@@ -429,7 +429,7 @@
     match done {
         Ok(()) => ExitCode::SUCCESS,
         Err(Failure(code, text)) => {
-            eprintln!("passrelay-lab: {text}");
+            eprintln!("passrelay-load-simulator: {text}");
             ExitCode::from(code)
         }
     }
@@ -622,7 +622,7 @@
     if faults.is_empty() {
         return print(&format!("{} experiments are in order\n", files.len()));
     }
-    Err(Failure(2, faults.join("\npassrelay-lab: ")))
+    Err(Failure(2, faults.join("\npassrelay-load-simulator: ")))
 }
 
 fn do_theory(calls: f64, seeds: u64, only: &str, as_json: bool) -> Result<(), Failure> {
--- a/crates/testing/load-simulator/src/experiment.rs
+++ b/crates/testing/load-simulator/src/experiment.rs
@@ -5,7 +5,7 @@
 mod tier;
 
 use crate::random::Form;
-use passrelay_core::{Class, Effect, Settings, Tenant, ZoneId};
+use passrelay_load_balancing::{Class, Effect, Settings, Tenant, ZoneId};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::path::Path;
--- a/crates/testing/load-simulator/src/fault_injection/crowd.rs
+++ b/crates/testing/load-simulator/src/fault_injection/crowd.rs
@@ -3,12 +3,12 @@
 use super::{start_quietly, voters_of};
 use crate::sockets::program::cpu_of;
 use hdrhistogram::Histogram;
-use passrelay_fleet::client::News;
-use passrelay_fleet::lease_table::Op;
-use passrelay_links::member::Member;
-use passrelay_links::now;
-use passrelay_links::plan::Plan as Fleet;
-use passrelay_standin::free_address;
+use passrelay_lease_consensus::client::News;
+use passrelay_lease_consensus::lease_table::Op;
+use passrelay_lease_runtime::member::Member;
+use passrelay_lease_runtime::now;
+use passrelay_lease_runtime::plan::Plan as Fleet;
+use passrelay_test_support::free_address;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command};
 use std::sync::atomic::{AtomicBool, Ordering};
--- a/crates/testing/load-simulator/src/main.rs
+++ b/crates/testing/load-simulator/src/main.rs
@@ -3,5 +3,5 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    passrelay_lab::cli::main()
+    passrelay_load_simulator::cli::main()
 }
--- a/crates/testing/load-simulator/src/model/discovery.rs
+++ b/crates/testing/load-simulator/src/model/discovery.rs
@@ -2,7 +2,7 @@
 
 use crate::experiment::Discovery as Figures;
 use crate::queue::{nanos, Nanos};
-use passrelay_core::{Condition, Entry, UpstreamId, ZoneId};
+use passrelay_load_balancing::{Condition, Entry, UpstreamId, ZoneId};
 use std::collections::{BTreeMap, VecDeque};
 
 /// What one call brings.
--- a/crates/testing/load-simulator/src/model/report.rs
+++ b/crates/testing/load-simulator/src/model/report.rs
@@ -3,7 +3,7 @@
 use crate::experiment::{Field, Reports};
 use crate::queue::{nanos, seconds, Nanos};
 use crate::random::{wobble, Stream};
-use passrelay_core::Report;
+use passrelay_load_balancing::Report;
 use rand::Rng;
 
 /// What is true of a node, as it would count it itself.
--- a/crates/testing/load-simulator/src/observer.rs
+++ b/crates/testing/load-simulator/src/observer.rs
@@ -53,7 +53,7 @@
         /// Its number.
         attempt: u32,
         /// How it ended.
-        ending: passrelay_core::Ending,
+        ending: passrelay_load_balancing::Ending,
     },
     /// Its caller went away.
     Gone,
@@ -232,7 +232,7 @@
     }
 
     /// An attempt is over: nothing of it can begin any more.
-    pub fn ended(&mut self, at: Nanos, id: u64, attempt: u32, ending: passrelay_core::Ending) {
+    pub fn ended(&mut self, at: Nanos, id: u64, attempt: u32, ending: passrelay_load_balancing::Ending) {
         if let Some(w) = self.note(at, id, Note::Ended { attempt, ending }) {
             w.out = w.out.saturating_sub(1);
         }
--- a/crates/testing/load-simulator/src/rivals/ewma.rs
+++ b/crates/testing/load-simulator/src/rivals/ewma.rs
@@ -5,7 +5,7 @@
 
 use super::{Picker, View};
 use crate::random::Stream;
-use passrelay_core::{Ending, UpstreamId};
+use passrelay_load_balancing::{Ending, UpstreamId};
 use rustc_hash::FxHashMap;
 
 /// Time over which the average decays; Finagle's default.
--- a/crates/testing/load-simulator/src/rivals/mod.rs
+++ b/crates/testing/load-simulator/src/rivals/mod.rs
@@ -21,8 +21,8 @@
 pub use simple::{LeastRequests, Random, RoundRobin, TwoChoices};
 pub use weighted::WeightedRoundRobin;
 
-use passrelay_core::dispatcher::Decider;
-use passrelay_core::{
+use passrelay_load_balancing::dispatcher::Decider;
+use passrelay_load_balancing::{
     Action, Balancer, Condition, Effect, Ending, Entry, Event, Outcome, Report, RequestId, Settings,
     SettingsError, UpstreamId,
 };
@@ -96,7 +96,7 @@
     /// Where it comes from.
     pub fn source(self) -> &'static str {
         match self {
-            Policy::Passrelay => "the module in crates/core",
+            Policy::Passrelay => "the module in crates/sidecar/load-balancing",
             Policy::Random => "the baseline of every comparison",
             Policy::RoundRobin => "Nginx's and Envoy's default, without weights",
             Policy::LeastRequests => "join the shortest queue, by what one copy knows",
--- a/crates/testing/load-simulator/src/rivals/oracle.rs
+++ b/crates/testing/load-simulator/src/rivals/oracle.rs
@@ -3,7 +3,7 @@
 
 use super::{Picker, View};
 use crate::random::Stream;
-use passrelay_core::UpstreamId;
+use passrelay_load_balancing::UpstreamId;
 use std::cell::RefCell;
 use std::rc::Rc;
 
--- a/crates/testing/load-simulator/src/rivals/prequal.rs
+++ b/crates/testing/load-simulator/src/rivals/prequal.rs
@@ -11,7 +11,7 @@
 
 use super::{Picker, View};
 use crate::random::Stream;
-use passrelay_core::{Ending, Report, UpstreamId};
+use passrelay_load_balancing::{Ending, Report, UpstreamId};
 use rustc_hash::FxHashMap;
 use std::collections::VecDeque;
 
--- a/crates/testing/load-simulator/src/rivals/simple.rs
+++ b/crates/testing/load-simulator/src/rivals/simple.rs
@@ -2,7 +2,7 @@
 
 use super::{Picker, View};
 use crate::random::Stream;
-use passrelay_core::UpstreamId;
+use passrelay_load_balancing::UpstreamId;
 use rand::Rng;
 
 /// Any node, with equal chances.
--- a/crates/testing/load-simulator/src/sockets/bench.rs
+++ b/crates/testing/load-simulator/src/sockets/bench.rs
@@ -10,7 +10,7 @@
 use crate::meter::Outcome;
 use crate::rivals::Policy;
 use crate::world::{play, Wanted};
-use passrelay_standin::free_address;
+use passrelay_test_support::free_address;
 use serde::Serialize;
 use std::io;
 use std::net::SocketAddr;
--- a/crates/testing/load-simulator/src/sockets/fleet.rs
+++ b/crates/testing/load-simulator/src/sockets/fleet.rs
@@ -9,7 +9,7 @@
 use crate::random::{between, Stream, Streams};
 use mio::net::TcpListener;
 use mio::{Events, Interest, Poll, Registry, Token};
-use passrelay_core::{Condition, Report};
+use passrelay_load_balancing::{Condition, Report};
 use rand::seq::SliceRandom;
 use rustc_hash::FxHashMap;
 use serde_json::json;
--- a/crates/testing/load-simulator/src/sockets/program.rs
+++ b/crates/testing/load-simulator/src/sockets/program.rs
@@ -27,7 +27,8 @@
     pub fn start(program: &Path, config: &Value) -> io::Result<Program> {
         static NUMBER: AtomicUsize = AtomicUsize::new(0);
         let number = NUMBER.fetch_add(1, Ordering::SeqCst);
-        let file = std::env::temp_dir().join(format!("passrelay-lab-{}-{number}.json", std::process::id()));
+        let file = std::env::temp_dir()
+            .join(format!("passrelay-load-simulator-{}-{number}.json", std::process::id()));
         std::fs::write(&file, config.to_string())?;
         let named = |e: io::Error| io::Error::new(e.kind(), format!("{}: {e}", program.display()));
         let child = Command::new(program)
--- a/crates/testing/load-simulator/src/world.rs
+++ b/crates/testing/load-simulator/src/world.rs
@@ -19,8 +19,8 @@
 use crate::queue::{nanos, seconds, Nanos, Queue};
 use crate::random::{between, Stream, Streams};
 use crate::rivals::{Policy, Sights, True};
-use passrelay_core::dispatcher::{Answer, Arrival, Decider, Dispatcher, Timer, Transport};
-use passrelay_core::{
+use passrelay_load_balancing::dispatcher::{Answer, Arrival, Decider, Dispatcher, Timer, Transport};
+use passrelay_load_balancing::{
     ClassId, Condition, Ending, Entry, Report, RequestId, SettingsError, TenantId, UpstreamId,
 };
 use rand::seq::SliceRandom;
@@ -380,7 +380,7 @@
     ) -> Result<Dispatcher<Box<dyn Decider>>, RunError> {
         let mut settings = self.e.settings(tier, balancers, rank, zone);
         if self.wanted.mutant == Mutant::Retry {
-            settings.classes.iter_mut().for_each(|c| c.effect = passrelay_core::Effect::Safe);
+            settings.classes.iter_mut().for_each(|c| c.effect = passrelay_load_balancing::Effect::Safe);
         }
         let decider = self.policy.decider(&settings, seed, &self.streams, &self.sights);
         Ok(Dispatcher::round(decider.map_err(RunError::Settings)?, &settings))
--- a/crates/testing/load-simulator/tests/cli.rs
+++ b/crates/testing/load-simulator/tests/cli.rs
@@ -8,7 +8,7 @@
                      count = 3\n[[class]]\nname = \"look\"\nwork_ms = 60\n";
 
 fn lab(arguments: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_passrelay-lab")).args(arguments).output().unwrap()
+    Command::new(env!("CARGO_BIN_EXE_passrelay-load-simulator")).args(arguments).output().unwrap()
 }
 
 fn text(bytes: &[u8]) -> String {
@@ -121,8 +121,8 @@
 /// The stand-in nodes answer the load by themselves: all that the sockets need but the sidecar.
 #[test]
 fn a_fleet_answers_load_and_its_troubles_show() {
-    use passrelay_lab::experiment::Experiment;
-    use passrelay_lab::sockets::{fleet::Fleet, load::Load};
+    use passrelay_load_simulator::experiment::Experiment;
+    use passrelay_load_simulator::sockets::{fleet::Fleet, load::Load};
     use std::sync::atomic::{AtomicBool, Ordering};
     let calm = SMALL.replace("length_s = 6", "length_s = 1.5").replace("count = 3", "count = 1");
     let failing = format!("{calm}\n[[trouble]]\nkind = \"fail_fast\"\nfrom_s = 0\nfor_s = 60\nsize = 1\n");
--- a/crates/testing/load-simulator/tests/emulator.rs
+++ b/crates/testing/load-simulator/tests/emulator.rs
@@ -1,12 +1,12 @@
 //! The parts of the emulator: its queue of events, its chance, its discovery, and its statistics.
 
-use passrelay_core::Condition;
-use passrelay_lab::experiment::Discovery as Figures;
-use passrelay_lab::model::discovery::{Discovery, Line, Turn};
-use passrelay_lab::queue::Queue;
-use passrelay_lab::random::{Around, Form, Streams};
-use passrelay_lab::stats::{Mean, Verdict};
-use passrelay_lab::theory::{erlang_c, mg1, mm1, mmc, supermarket};
+use passrelay_load_balancing::Condition;
+use passrelay_load_simulator::experiment::Discovery as Figures;
+use passrelay_load_simulator::model::discovery::{Discovery, Line, Turn};
+use passrelay_load_simulator::queue::Queue;
+use passrelay_load_simulator::random::{Around, Form, Streams};
+use passrelay_load_simulator::stats::{Mean, Verdict};
+use passrelay_load_simulator::theory::{erlang_c, mg1, mm1, mmc, supermarket};
 use rand::Rng;
 
 fn line(node: u32, condition: Condition) -> Line {
--- a/crates/testing/load-simulator/tests/fault_injection.rs
+++ b/crates/testing/load-simulator/tests/fault_injection.rs
@@ -1,8 +1,8 @@
 //! Histories of leases under faults in simulated time, and their checker.
 
-use passrelay_fleet::mutant::Mutant;
-use passrelay_lab::fault_injection::history::{check, Act, Belief, History, Noted};
-use passrelay_lab::fault_injection::timed::{drawn, play, play_many, CLIENTS};
+use passrelay_lease_consensus::mutant::Mutant;
+use passrelay_load_simulator::fault_injection::history::{check, Act, Belief, History, Noted};
+use passrelay_load_simulator::fault_injection::timed::{drawn, play, play_many, CLIENTS};
 use std::collections::BTreeMap;
 
 fn belief(process: &str, token: u64, from: f64, to: f64) -> Belief {
--- a/crates/testing/load-simulator/tests/theory.rs
+++ b/crates/testing/load-simulator/tests/theory.rs
@@ -1,6 +1,6 @@
-//! The emulator against closed forms at a few points; the full table is `passrelay-lab theory`.
+//! The emulator against closed forms at a few points; the full table is `passrelay-load-simulator theory`.
 
-use passrelay_lab::theory::{measure, System};
+use passrelay_load_simulator::theory::{measure, System};
 
 /// Guards against an emulator that is plausible and wrong. The bounds are 2%, or what is left of chance at so few
 /// calls where that is more; seeds are fixed, so the verdict is always the same.
--- a/crates/testing/load-simulator/tests/worlds.rs
+++ b/crates/testing/load-simulator/tests/worlds.rs
@@ -1,15 +1,15 @@
 //! Small random worlds: the rules hold in all of them, and the same seed gives the same bytes. And worlds with a
 //! check taken out: the observer has to notice.
 
-use passrelay_lab::experiment::{
+use passrelay_load_simulator::experiment::{
     Callers, ClassSpec, Discovery, Experiment, Jam, Kind, Limits, Load, Network, Shape, Tier, Trouble,
     TroubleKind, Wait,
 };
-use passrelay_lab::observer::Rule;
-use passrelay_lab::random::Form;
-use passrelay_lab::results::{series, Job, Keep};
-use passrelay_lab::rivals::Policy;
-use passrelay_lab::world::{play, Mutant, RunError, Wanted};
+use passrelay_load_simulator::observer::Rule;
+use passrelay_load_simulator::random::Form;
+use passrelay_load_simulator::results::{series, Job, Keep};
+use passrelay_load_simulator::rivals::Policy;
+use passrelay_load_simulator::world::{play, Mutant, RunError, Wanted};
 use proptest::prelude::*;
 
 const STRICT: Wanted = Wanted { nodes: false, strict: true, mutant: Mutant::None };
--- a/crates/testing/test-support/examples/endpoint.rs
+++ b/crates/testing/test-support/examples/endpoint.rs
@@ -1,9 +1,9 @@
 //! A stand-in endpoint of the router fleet on loopback: it registers at a sidecar, tells it every second that it is
 //! there, and answers every request with a short stream of events.
 //!
-//! `cargo run -p passrelay-standin --example endpoint -- CONTROL_ADDRESS SERVICE`
+//! `cargo run -p passrelay-test-support --example endpoint -- CONTROL_ADDRESS SERVICE`
 
-use passrelay_standin::{answer, Message, Reply, Server};
+use passrelay_test_support::{answer, Message, Reply, Server};
 use serde_json::json;
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
--- a/crates/testing/test-support/src/fleet.rs
+++ b/crates/testing/test-support/src/fleet.rs
@@ -38,7 +38,7 @@
         let number = FLEETS.fetch_add(1, Ordering::SeqCst);
         let id = std::process::id();
         let network = format!("127.{}.{}", 1 + id % 250, number);
-        let folder = std::env::temp_dir().join(format!("passrelay-fleet-{id}-{number}"));
+        let folder = std::env::temp_dir().join(format!("passrelay-lease-consensus-{id}-{number}"));
         std::fs::create_dir_all(&folder).expect("a folder for the fleet");
         Fleet { program, folder, network, machines, grace_s: DEFAULT_GRACE_S }
     }
