--- a/crates/passrelay/src/config.rs
+++ b/crates/passrelay/src/config.rs
@@ -3,7 +3,7 @@
 use crate::output::Output;
 use clap::Subcommand;
 use hyper::Method;
-use passrelay_configuration::{parse_document, Configuration, Difference, Faults};
+use passrelay_configuration::{parse_document, Configuration, Difference, ValidationErrors};
 use passrelay_node::operator::{call, ControlCall};
 use serde_json::Value;
 use std::error::Error;
@@ -89,14 +89,14 @@
 }
 
 /// A document that was read and checked, or its faults.
-fn read_document(file: &Path) -> Result<Result<Value, Faults>, Box<dyn Error>> {
+fn read_document(file: &Path) -> Result<Result<Value, ValidationErrors>, Box<dyn Error>> {
     let bytes = std::fs::read(file).map_err(|e| format!("{}: {e}", file.display()))?;
     let checked =
         parse_document(&bytes).and_then(|document| Configuration::read(&document).map(|_| document));
     Ok(checked)
 }
 
-fn print_faults(file: &Path, faults: &Faults) -> ExitCode {
+fn print_faults(file: &Path, faults: &ValidationErrors) -> ExitCode {
     for fault in &faults.0 {
         println!("{}: {fault}", file.display());
     }
--- a/crates/router/configuration/src/lib.rs
+++ b/crates/router/configuration/src/lib.rs
@@ -13,5 +13,5 @@
 pub use difference::{Difference, ItemChange, ItemDifference};
 pub use model::{Backend, Configuration, Limits, Route, RouteType, Service, Tenant, TokenUnit};
 pub use patch::apply_patch;
-pub use reader::{Fault, FaultKind, Faults, Reader};
+pub use reader::{Reader, ValidationError, ValidationErrorKind, ValidationErrors};
 pub use validate::parse_document;
--- a/crates/router/configuration/src/patch.rs
+++ b/crates/router/configuration/src/patch.rs
@@ -1,6 +1,6 @@
 //! Changes by name: `upsert` adds items or replaces those of the same name, `remove` takes items away.
 
-use crate::reader::{Fault, FaultKind, Faults, Reader};
+use crate::reader::{Reader, ValidationError, ValidationErrorKind, ValidationErrors};
 use serde_json::{Map, Value};
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
@@ -14,7 +14,7 @@
 /// # Errors
 ///
 /// Returns all faults in the change itself.
-pub fn apply_patch(current: &Value, change: &Value) -> Result<Value, Faults> {
+pub fn apply_patch(current: &Value, change: &Value) -> Result<Value, ValidationErrors> {
     let faults = RefCell::new(Vec::new());
     let root = Reader::root(change, &faults);
     root.expect_object();
@@ -30,11 +30,11 @@
     {
         document.insert("limits".to_owned(), limits.clone());
     }
-    let faults: Vec<Fault> = faults.into_inner();
+    let faults: Vec<ValidationError> = faults.into_inner();
     if faults.is_empty() {
         Ok(Value::Object(document))
     } else {
-        Err(Faults(faults))
+        Err(ValidationErrors(faults))
     }
 }
 
@@ -55,10 +55,10 @@
     for (item, value) in list.items().iter().zip(values.into_iter().flatten()) {
         let item_name = item.field("name").text();
         if !seen.insert(item_name.clone()) {
-            item.fault(FaultKind::DuplicateName(item_name.clone()));
+            item.fault(ValidationErrorKind::DuplicateName(item_name.clone()));
         }
         if removed.contains(&item_name) {
-            item.fault(FaultKind::ChangedAndRemoved(item_name.clone()));
+            item.fault(ValidationErrorKind::ChangedAndRemoved(item_name.clone()));
         }
         upserts.push((item_name, value.clone()));
     }
--- a/crates/router/configuration/src/reader.rs
+++ b/crates/router/configuration/src/reader.rs
@@ -7,7 +7,7 @@
 
 /// What can be wrong with a configuration. The list is closed: answers and exit codes hang on it.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum FaultKind {
+pub enum ValidationErrorKind {
     /// The text is no JSON document.
     #[error("cannot be read as JSON: {0}")]
     Unreadable(String),
@@ -46,28 +46,28 @@
 /// One fault and its place, such as `routes[3].timeout-ms`.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{path}: {kind}")]
-pub struct Fault {
+pub struct ValidationError {
     /// The place in the document; `document` stands for the whole.
     pub path: String,
     /// What is wrong there.
-    pub kind: FaultKind,
+    pub kind: ValidationErrorKind,
 }
 
 /// All faults found in one document; never empty when it is returned as an error.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Error)]
-pub struct Faults(pub Vec<Fault>);
+pub struct ValidationErrors(pub Vec<ValidationError>);
 
-impl fmt::Display for Faults {
+impl fmt::Display for ValidationErrors {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let lines: Vec<String> = self.0.iter().map(Fault::to_string).collect();
+        let lines: Vec<String> = self.0.iter().map(ValidationError::to_string).collect();
         f.write_str(&lines.join("; "))
     }
 }
 
-impl Faults {
+impl ValidationErrors {
     /// A single fault of the whole document.
-    pub fn of_document(kind: FaultKind) -> Self {
-        Faults(vec![Fault { path: "document".to_owned(), kind }])
+    pub fn of_document(kind: ValidationErrorKind) -> Self {
+        ValidationErrors(vec![ValidationError { path: "document".to_owned(), kind }])
     }
 }
 
@@ -75,19 +75,19 @@
 pub struct Reader<'a> {
     value: Option<&'a Value>,
     path: String,
-    faults: &'a RefCell<Vec<Fault>>,
+    faults: &'a RefCell<Vec<ValidationError>>,
 }
 
 impl<'a> Reader<'a> {
     /// A reader at the root of a document.
-    pub fn root(value: &'a Value, faults: &'a RefCell<Vec<Fault>>) -> Self {
+    pub fn root(value: &'a Value, faults: &'a RefCell<Vec<ValidationError>>) -> Self {
         Reader { value: Some(value), path: String::new(), faults }
     }
 
     /// Notes a fault at this place.
-    pub fn fault(&self, kind: FaultKind) {
+    pub fn fault(&self, kind: ValidationErrorKind) {
         let path = if self.path.is_empty() { "document".to_owned() } else { self.path.clone() };
-        self.faults.borrow_mut().push(Fault { path, kind });
+        self.faults.borrow_mut().push(ValidationError { path, kind });
     }
 
     /// Whether there is a value other than null.
@@ -114,7 +114,7 @@
                 items.iter().enumerate().map(reader).collect()
             }
             Some(_) => {
-                self.fault(FaultKind::WrongType("a list"));
+                self.fault(ValidationErrorKind::WrongType("a list"));
                 Vec::new()
             }
         }
@@ -124,8 +124,8 @@
     pub fn expect_object(&self) {
         match self.value {
             Some(Value::Object(_)) => {}
-            Some(_) => self.fault(FaultKind::WrongType("an object")),
-            None => self.fault(FaultKind::Missing),
+            Some(_) => self.fault(ValidationErrorKind::WrongType("an object")),
+            None => self.fault(ValidationErrorKind::Missing),
         }
     }
 
@@ -134,11 +134,11 @@
         match self.value {
             Some(Value::String(text)) if !text.is_empty() => text.clone(),
             Some(_) => {
-                self.fault(FaultKind::WrongType("a text that is not empty"));
+                self.fault(ValidationErrorKind::WrongType("a text that is not empty"));
                 String::new()
             }
             None => {
-                self.fault(FaultKind::Missing);
+                self.fault(ValidationErrorKind::Missing);
                 String::new()
             }
         }
@@ -157,11 +157,11 @@
     pub fn whole(&self) -> u64 {
         match self.value {
             Some(value) => value.as_u64().unwrap_or_else(|| {
-                self.fault(FaultKind::WrongType("a whole number from 0 up"));
+                self.fault(ValidationErrorKind::WrongType("a whole number from 0 up"));
                 0
             }),
             None => {
-                self.fault(FaultKind::Missing);
+                self.fault(ValidationErrorKind::Missing);
                 0
             }
         }
@@ -184,11 +184,11 @@
         match self.value.and_then(Value::as_f64) {
             Some(number) if number.is_finite() && number >= 0.0 => number,
             Some(_) => {
-                self.fault(FaultKind::OutOfRange("from 0 up"));
+                self.fault(ValidationErrorKind::OutOfRange("from 0 up"));
                 default
             }
             None => {
-                self.fault(FaultKind::WrongType("a number"));
+                self.fault(ValidationErrorKind::WrongType("a number"));
                 default
             }
         }
@@ -200,7 +200,7 @@
             return default;
         }
         self.value.and_then(Value::as_bool).unwrap_or_else(|| {
-            self.fault(FaultKind::WrongType("true or false"));
+            self.fault(ValidationErrorKind::WrongType("true or false"));
             default
         })
     }
--- a/crates/router/configuration/src/validate.rs
+++ b/crates/router/configuration/src/validate.rs
@@ -1,7 +1,7 @@
 //! Reads a whole configuration and finds every fault in it.
 
 use crate::model::{Backend, Configuration, Limits, Route, RouteType, Service, Tenant, TokenUnit};
-use crate::reader::{Fault, FaultKind, Faults, Reader};
+use crate::reader::{Reader, ValidationError, ValidationErrorKind, ValidationErrors};
 use serde_json::Value;
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
@@ -18,8 +18,9 @@
 /// # Errors
 ///
 /// Returns a fault of the whole document when they are no JSON (cut short, nested too deeply, not UTF-8).
-pub fn parse_document(bytes: &[u8]) -> Result<Value, Faults> {
-    serde_json::from_slice(bytes).map_err(|e| Faults::of_document(FaultKind::Unreadable(e.to_string())))
+pub fn parse_document(bytes: &[u8]) -> Result<Value, ValidationErrors> {
+    serde_json::from_slice(bytes)
+        .map_err(|e| ValidationErrors::of_document(ValidationErrorKind::Unreadable(e.to_string())))
 }
 
 impl Configuration {
@@ -28,14 +29,14 @@
     /// # Errors
     ///
     /// Returns all faults with their places.
-    pub fn read(document: &Value) -> Result<Self, Faults> {
+    pub fn read(document: &Value) -> Result<Self, ValidationErrors> {
         let faults = RefCell::new(Vec::new());
         let configuration = read_all(&Reader::root(document, &faults));
-        let faults: Vec<Fault> = faults.into_inner();
+        let faults: Vec<ValidationError> = faults.into_inner();
         if faults.is_empty() {
             Ok(configuration)
         } else {
-            Err(Faults(faults))
+            Err(ValidationErrors(faults))
         }
     }
 
@@ -44,12 +45,12 @@
     /// # Errors
     ///
     /// Returns a fault at `generation` when it isn't above `current`.
-    pub fn follows(&self, current: u64) -> Result<(), Faults> {
+    pub fn follows(&self, current: u64) -> Result<(), ValidationErrors> {
         if self.generation > current {
             return Ok(());
         }
-        let kind = FaultKind::OldGeneration(current);
-        Err(Faults(vec![Fault { path: "generation".to_owned(), kind }]))
+        let kind = ValidationErrorKind::OldGeneration(current);
+        Err(ValidationErrors(vec![ValidationError { path: "generation".to_owned(), kind }]))
     }
 }
 
@@ -70,7 +71,7 @@
 /// Notes a fault where a name stood before.
 fn check_name(reader: &Reader, name: &str, seen: &mut HashSet<String>) {
     if !name.is_empty() && !seen.insert(name.to_owned()) {
-        reader.fault(FaultKind::DuplicateName(name.to_owned()));
+        reader.fault(ValidationErrorKind::DuplicateName(name.to_owned()));
     }
 }
 
@@ -99,7 +100,7 @@
         check_name(&item, &route.name, &mut seen);
         let place = (route.hostname.to_ascii_lowercase(), route.path_prefix.clone());
         if let Some(earlier) = places.insert(place, route.name.clone()) {
-            item.fault(FaultKind::DuplicatePlace(earlier));
+            item.fault(ValidationErrorKind::DuplicatePlace(earlier));
         }
         routes.push(route);
     }
@@ -110,12 +111,12 @@
     let path_prefix = item.field("path-prefix");
     let prefix = path_prefix.text();
     if !prefix.is_empty() && !prefix.starts_with('/') {
-        path_prefix.fault(FaultKind::WrongType("a path that begins with a slash"));
+        path_prefix.fault(ValidationErrorKind::WrongType("a path that begins with a slash"));
     }
     let timeout = item.field("timeout-ms");
     let timeout_ms = timeout.whole();
     if timeout_ms == 0 && timeout.is_present() {
-        timeout.fault(FaultKind::OutOfRange("from 1 up"));
+        timeout.fault(ValidationErrorKind::OutOfRange("from 1 up"));
     }
     Route {
         name: item.field("name").text(),
@@ -139,7 +140,7 @@
         "unsafe" => RouteType::Unsafe,
         "streaming" => RouteType::Streaming,
         _ => {
-            reader.fault(FaultKind::WrongType("'safe', 'unsafe' or 'streaming'"));
+            reader.fault(ValidationErrorKind::WrongType("'safe', 'unsafe' or 'streaming'"));
             RouteType::Unsafe
         }
     }
@@ -157,7 +158,7 @@
     };
     let backends: Vec<Backend> = split.items().iter().map(read).collect();
     if backends.iter().map(|b| b.weight).sum::<f64>() <= 0.0 {
-        split.fault(FaultKind::NoWeight);
+        split.fault(ValidationErrorKind::NoWeight);
     }
     backends
 }
@@ -165,7 +166,7 @@
 fn read_service_name(reader: &Reader, services: &HashSet<&str>) -> String {
     let name = reader.text();
     if !name.is_empty() && !services.contains(name.as_str()) {
-        reader.fault(FaultKind::UnknownService(name.clone()));
+        reader.fault(ValidationErrorKind::UnknownService(name.clone()));
     }
     name
 }
@@ -191,7 +192,7 @@
         for key in item.field("api-keys").items() {
             let text = key.text();
             match holders.insert(text.clone(), name.clone()) {
-                Some(holder) if holder != name => key.fault(FaultKind::SharedKey(holder)),
+                Some(holder) if holder != name => key.fault(ValidationErrorKind::SharedKey(holder)),
                 _ => api_keys.push(text),
             }
         }
--- a/crates/router/configuration/tests/faults.rs
+++ b/crates/router/configuration/tests/faults.rs
@@ -1,6 +1,6 @@
 //! Faulty configurations are told with their place; changes by name do what they say.
 
-use passrelay_configuration::{apply_patch, parse_document, Configuration, FaultKind};
+use passrelay_configuration::{apply_patch, parse_document, Configuration, ValidationErrorKind};
 use rstest::rstest;
 use serde_json::{json, Value};
 
@@ -23,27 +23,27 @@
     assert_eq!((read.generation, read.routes.len(), read.services.len(), read.tenants.len()), (4, 2, 2, 2));
     assert_eq!(read.routes[1].backends.len(), 2);
     assert!(read.follows(3).is_ok());
-    assert_eq!(read.follows(4).unwrap_err().0[0].kind, FaultKind::OldGeneration(4));
+    assert_eq!(read.follows(4).unwrap_err().0[0].kind, ValidationErrorKind::OldGeneration(4));
 }
 
 #[rstest]
-#[case::unknown_service("/routes/0/backend", json!("u"), "routes[0].backend", FaultKind::UnknownService("u".into()))]
-#[case::unknown_split("/routes/1/traffic-split/1/backend", json!("u"), "routes[1].traffic-split[1].backend", FaultKind::UnknownService("u".into()))]
-#[case::no_weight("/routes/1/traffic-split", json!([{ "backend": "s", "weight": 0 }]), "routes[1].traffic-split", FaultKind::NoWeight)]
-#[case::no_timeout("/routes/0/timeout-ms", json!(0), "routes[0].timeout-ms", FaultKind::OutOfRange("from 1 up"))]
-#[case::same_place("/routes/1/path-prefix", json!("/a/"), "routes[1]", FaultKind::DuplicatePlace("a".into()))]
-#[case::same_name("/routes/1/name", json!("a"), "routes[1]", FaultKind::DuplicateName("a".into()))]
-#[case::shared_key("/tenants/1/api-keys", json!(["k2"]), "tenants[1].api-keys[0]", FaultKind::SharedKey("x".into()))]
-#[case::no_list("/routes", json!({}), "routes", FaultKind::WrongType("a list"))]
-#[case::no_number("/generation", json!("four"), "generation", FaultKind::WrongType("a whole number from 0 up"))]
-#[case::past_range("/generation", json!(1e30), "generation", FaultKind::WrongType("a whole number from 0 up"))]
-#[case::no_host("/routes/0/hostname", json!(""), "routes[0].hostname", FaultKind::WrongType("a text that is not empty"))]
-#[case::negative_weight("/routes/1/traffic-split/0/weight", json!(-1), "routes[1].traffic-split[0].weight", FaultKind::OutOfRange("from 0 up"))]
+#[case::unknown_service("/routes/0/backend", json!("u"), "routes[0].backend", ValidationErrorKind::UnknownService("u".into()))]
+#[case::unknown_split("/routes/1/traffic-split/1/backend", json!("u"), "routes[1].traffic-split[1].backend", ValidationErrorKind::UnknownService("u".into()))]
+#[case::no_weight("/routes/1/traffic-split", json!([{ "backend": "s", "weight": 0 }]), "routes[1].traffic-split", ValidationErrorKind::NoWeight)]
+#[case::no_timeout("/routes/0/timeout-ms", json!(0), "routes[0].timeout-ms", ValidationErrorKind::OutOfRange("from 1 up"))]
+#[case::same_place("/routes/1/path-prefix", json!("/a/"), "routes[1]", ValidationErrorKind::DuplicatePlace("a".into()))]
+#[case::same_name("/routes/1/name", json!("a"), "routes[1]", ValidationErrorKind::DuplicateName("a".into()))]
+#[case::shared_key("/tenants/1/api-keys", json!(["k2"]), "tenants[1].api-keys[0]", ValidationErrorKind::SharedKey("x".into()))]
+#[case::no_list("/routes", json!({}), "routes", ValidationErrorKind::WrongType("a list"))]
+#[case::no_number("/generation", json!("four"), "generation", ValidationErrorKind::WrongType("a whole number from 0 up"))]
+#[case::past_range("/generation", json!(1e30), "generation", ValidationErrorKind::WrongType("a whole number from 0 up"))]
+#[case::no_host("/routes/0/hostname", json!(""), "routes[0].hostname", ValidationErrorKind::WrongType("a text that is not empty"))]
+#[case::negative_weight("/routes/1/traffic-split/0/weight", json!(-1), "routes[1].traffic-split[0].weight", ValidationErrorKind::OutOfRange("from 0 up"))]
 fn a_fault_is_told_with_its_place(
     #[case] pointer: &str,
     #[case] value: Value,
     #[case] place: &str,
-    #[case] kind: FaultKind,
+    #[case] kind: ValidationErrorKind,
 ) {
     let mut document = sound();
     *document.pointer_mut(pointer).unwrap() = value;
@@ -66,7 +66,7 @@
 #[case::no_text(b"\xff\xfe{}")]
 #[case::two_documents(b"{} {}")]
 fn what_is_no_document_is_told(#[case] bytes: &[u8]) {
-    assert!(matches!(parse_document(bytes).unwrap_err().0[0].kind, FaultKind::Unreadable(_)));
+    assert!(matches!(parse_document(bytes).unwrap_err().0[0].kind, ValidationErrorKind::Unreadable(_)));
 }
 
 #[test]
@@ -95,7 +95,7 @@
 fn a_change_that_contradicts_itself_is_refused() {
     let change = json!({ "generation": 6, "upsert": { "services": [{ "name": "s" }] }, "remove": { "services": ["s"] } });
     let faults = apply_patch(&sound(), &change).unwrap_err();
-    assert_eq!(faults.0[0].kind, FaultKind::ChangedAndRemoved("s".into()));
+    assert_eq!(faults.0[0].kind, ValidationErrorKind::ChangedAndRemoved("s".into()));
 }
 
 #[test]
--- a/crates/router/control-plane/src/orders.rs
+++ b/crates/router/control-plane/src/configuration_change.rs
@@ -1,7 +1,7 @@
 //! The operators' orders on a primary: what is taken, what is refused, what can't be said yet.
 
-use crate::replication::{ReplicatedState, TakenOrder};
-use passrelay_configuration::{apply_patch, parse_document, Configuration, Faults};
+use crate::replication::{AppliedChange, ReplicatedState};
+use passrelay_configuration::{apply_patch, parse_document, Configuration, ValidationErrors};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use sha2::{Digest, Sha256};
@@ -10,7 +10,7 @@
 
 /// How an order changes the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum OrderKind {
+pub enum ChangeKind {
     /// A whole configuration.
     Replace,
     /// Items by name.
@@ -19,21 +19,21 @@
 
 /// An order as an operator sends it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Order {
+pub struct ConfigurationChange {
     /// How it changes the configuration.
-    pub kind: OrderKind,
+    pub kind: ChangeKind,
     /// The generation that it builds on.
     pub base: u64,
     /// The document or the change, as JSON.
     pub body: Arc<str>,
 }
 
-/// Why an order is refused. The list is closed: [`Refusal::status`] gives the answer to each.
+/// Why an order is refused. The list is closed: [`Rejection::status`] gives the answer to each.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum Refusal {
+pub enum Rejection {
     /// Another version is in force than the order builds on.
     #[error("the current generation is {current}, the order builds on {base}")]
-    OtherVersion {
+    GenerationMismatch {
         /// The generation in force.
         current: u64,
         /// That of the order.
@@ -41,15 +41,15 @@
     },
     /// The result would be no valid configuration.
     #[error("{0}")]
-    Invalid(Faults),
+    Invalid(ValidationErrors),
 }
 
-impl Refusal {
+impl Rejection {
     /// The status that an operator gets.
     pub fn status(&self) -> u16 {
         match self {
-            Refusal::OtherVersion { .. } => 412,
-            Refusal::Invalid(_) => 400,
+            Rejection::GenerationMismatch { .. } => 412,
+            Rejection::Invalid(_) => 400,
         }
     }
 }
@@ -58,24 +58,24 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// It was taken before: to be acknowledged once the state is committed.
-    TakenBefore,
+    AlreadyApplied,
     /// It is to be taken.
-    Take {
+    Apply {
         /// The generation that it brings.
         generation: u64,
         /// The document that follows.
         document: Arc<str>,
         /// What is remembered of it.
-        order: TakenOrder,
+        order: AppliedChange,
     },
     /// It is refused, if this primary still leads and the state is committed.
-    Refuse(Refusal),
+    Reject(Rejection),
     /// It builds on a version so old that it may have been taken and forgotten since. Neither an acknowledgement nor a
     /// refusal would be safe.
-    TooOld,
+    HistoryTruncated,
 }
 
-impl Order {
+impl ConfigurationChange {
     /// The digest by which the same order is recognised.
     pub fn digest(&self) -> [u8; 32] {
         let mut hasher = Sha256::new();
@@ -93,33 +93,35 @@
     /// What is to be made of this order on top of a state.
     pub fn judge(&self, state: &ReplicatedState) -> Verdict {
         let digest = self.digest();
-        if state.orders.iter().any(|o| o.digest == digest) {
-            return Verdict::TakenBefore;
+        if state.applied_changes.iter().any(|o| o.digest == digest) {
+            return Verdict::AlreadyApplied;
         }
         match self.next_document(state) {
-            Err(Refusal::OtherVersion { .. }) if state.may_have_forgotten(self.base) => Verdict::TooOld,
+            Err(Rejection::GenerationMismatch { .. }) if state.may_have_truncated(self.base) => {
+                Verdict::HistoryTruncated
+            }
             Ok((generation, document)) => {
-                Verdict::Take { generation, document, order: TakenOrder { generation, digest } }
+                Verdict::Apply { generation, document, order: AppliedChange { generation, digest } }
             }
-            Err(refusal) => Verdict::Refuse(refusal),
+            Err(refusal) => Verdict::Reject(refusal),
         }
     }
 
-    fn next_document(&self, state: &ReplicatedState) -> Result<(u64, Arc<str>), Refusal> {
-        let body = parse_document(self.body.as_bytes()).map_err(Refusal::Invalid)?;
+    fn next_document(&self, state: &ReplicatedState) -> Result<(u64, Arc<str>), Rejection> {
+        let body = parse_document(self.body.as_bytes()).map_err(Rejection::Invalid)?;
         if self.base != state.generation {
-            return Err(Refusal::OtherVersion { current: state.generation, base: self.base });
+            return Err(Rejection::GenerationMismatch { current: state.generation, base: self.base });
         }
         let document = match self.kind {
-            OrderKind::Replace => body,
-            OrderKind::Patch => {
+            ChangeKind::Replace => body,
+            ChangeKind::Patch => {
                 let current =
                     state.document.as_deref().map_or(Ok(Value::Null), |d| parse_document(d.as_bytes()));
-                apply_patch(&current.map_err(Refusal::Invalid)?, &body).map_err(Refusal::Invalid)?
+                apply_patch(&current.map_err(Rejection::Invalid)?, &body).map_err(Rejection::Invalid)?
             }
         };
-        let configuration = Configuration::read(&document).map_err(Refusal::Invalid)?;
-        configuration.follows(state.generation).map_err(Refusal::Invalid)?;
+        let configuration = Configuration::read(&document).map_err(Rejection::Invalid)?;
+        configuration.follows(state.generation).map_err(Rejection::Invalid)?;
         Ok((configuration.generation, document.to_string().into()))
     }
 }
--- a/crates/router/control-plane/src/coordinator.rs
+++ b/crates/router/control-plane/src/coordinator.rs
@@ -3,12 +3,12 @@
 
 mod calls;
 
-use crate::load::{LoadMessage, LoadSums};
+use crate::load::{LoadMessage, LoadTotals};
 use crate::messages::{Action, CallId, Envelope, Message, OperatorMessage, OperatorRequest};
-use crate::quota::{Grantor, QuotaBounds, QuotaMessage, ToldLevels};
+use crate::quota::{Grantor, QuotaBounds, QuotaMessage, ReportedLevels};
 use crate::replication::{
-    DurableState, Member, MemberId, ProtocolFault, Replica, ReplicaAction, ReplicaSettings, ReplicatedState,
-    ReplicationEnvelope, ReplicationMessage, Ticket, UncountedSeed,
+    DurableState, Member, MemberId, NonVotingSeed, ProtocolMutation, Replica, ReplicaAction, ReplicaSettings,
+    ReplicatedState, ReplicationEnvelope, ReplicationMessage, WriteId,
 };
 use calls::{Call, Caller};
 use passrelay_configuration::{parse_document, Configuration};
@@ -71,13 +71,13 @@
     gossip: Gossip,
     replica: Option<Replica>,
     /// Before the system is founded, on a seed that doesn't count.
-    uncounted_seed: Option<UncountedSeed>,
+    non_voting_seed: Option<NonVotingSeed>,
     quota_bounds: QuotaBounds,
     grantor: Option<Grantor>,
     /// What the grantor last told of its buckets, on members.
-    told_levels: Option<ToldLevels>,
+    reported_levels: Option<ReportedLevels>,
     next_levels: Duration,
-    load_sums: LoadSums,
+    load_sums: LoadTotals,
     calls: Vec<Call>,
     answers_dropped: u64,
 }
@@ -86,18 +86,18 @@
     /// The deciders of a process that starts now.
     pub fn new(now: Duration, settings: CoordinatorSettings) -> Self {
         let own = Peer { address: settings.gossip.own, incarnation: settings.incarnation };
-        let uncounted_seed =
-            UncountedSeed::new(own.address, &settings.gossip.seeds, settings.tolerated_losses);
+        let non_voting_seed =
+            NonVotingSeed::new(own.address, &settings.gossip.seeds, settings.tolerated_losses);
         Coordinator {
             own,
             gossip: Gossip::new(settings.gossip),
             replica: settings.replica.map(|(replica, durable)| Replica::new(now, replica, durable)),
-            uncounted_seed: uncounted_seed.filter(|_| !settings.counts),
+            non_voting_seed: non_voting_seed.filter(|_| !settings.counts),
             quota_bounds: settings.quota_bounds,
             grantor: None,
-            told_levels: None,
+            reported_levels: None,
             next_levels: Duration::ZERO,
-            load_sums: LoadSums::default(),
+            load_sums: LoadTotals::default(),
             calls: Vec::new(),
             answers_dropped: 0,
         }
@@ -133,7 +133,7 @@
         let configuration = self.gossip.configuration();
         let age = self.gossip.fresh_at().map(|at| now.saturating_sub(at));
         let core = self.gossip.core();
-        let alive = |r: &&EndpointRecord| r.state != EndpointState::Gone;
+        let alive = |r: &&EndpointRecord| r.state != EndpointState::Removed;
         Status {
             generation: configuration.map_or(0, |c| c.generation),
             index: configuration.map_or(0, |c| c.index),
@@ -155,14 +155,14 @@
         due = due.min(self.gossip.tick(now, &mut gossip_actions));
         self.carry_gossip(gossip_actions, actions);
         if let Some(replica) = &mut self.replica {
-            replica.learn_core(self.gossip.core());
+            replica.observe_core(self.gossip.core());
             let mut replica_actions = Vec::new();
             due = due.min(replica.tick(now, &mut replica_actions));
             self.carry_replica(replica_actions, actions);
         }
         self.found(now, actions);
         self.after_progress(now, actions);
-        self.tell_levels(now, actions);
+        self.report_levels(now, actions);
         due
     }
 
@@ -201,10 +201,10 @@
     }
 
     /// A write has ended.
-    pub fn written(&mut self, now: Duration, ticket: Ticket, succeeded: bool, actions: &mut Vec<Action>) {
+    pub fn written(&mut self, now: Duration, write_id: WriteId, succeeded: bool, actions: &mut Vec<Action>) {
         if let Some(replica) = &mut self.replica {
             let mut replica_actions = Vec::new();
-            replica.written(now, ticket, succeeded, &mut replica_actions);
+            replica.written(now, write_id, succeeded, &mut replica_actions);
             self.carry_replica(replica_actions, actions);
         }
         self.after_progress(now, actions);
@@ -236,13 +236,13 @@
         self.carry_gossip(gossip_actions, actions);
     }
 
-    /// Has the core confirm that it knows what is known here of an endpoint. [`Action::Confirmed`] tells when.
+    /// Has the core confirm that it knows what is known here of an endpoint. [`Action::AnnouncementConfirmed`] tells when.
     pub fn announce(&mut self, now: Duration, endpoint: &str) -> Announcement {
         self.gossip.announce(now, endpoint)
     }
 
     /// A question for tokens, to whoever grants them now.
-    pub fn want_tokens(&mut self, now: Duration, message: QuotaMessage, actions: &mut Vec<Action>) {
+    pub fn request_tokens(&mut self, now: Duration, message: QuotaMessage, actions: &mut Vec<Action>) {
         let Some(primary) = self.gossip.core().map(|c| c.primary) else { return };
         if primary == self.own.address {
             self.receive_quota(now, self.own, message, actions);
@@ -252,15 +252,15 @@
     }
 
     /// Tells the primary what this sidecar has out.
-    pub fn tell_load(
+    pub fn report_load(
         &mut self,
         now: Duration,
-        nonce: u64,
+        request_id: u64,
         loads: Vec<EndpointLoad>,
         actions: &mut Vec<Action>,
     ) {
         let Some(primary) = self.gossip.core().map(|c| c.primary) else { return };
-        let message = LoadMessage::Tell { nonce, loads };
+        let message = LoadMessage::Report { request_id, loads };
         if primary == self.own.address {
             self.receive_load(now, self.own, message, actions);
         } else {
@@ -269,16 +269,16 @@
     }
 
     fn receive_load(&mut self, now: Duration, from: Peer, message: LoadMessage, actions: &mut Vec<Action>) {
-        let LoadMessage::Tell { nonce, loads } = message else {
-            actions.push(Action::LoadSums(message));
+        let LoadMessage::Report { request_id, loads } = message else {
+            actions.push(Action::LoadTotals(message));
             return;
         };
         if !self.replica.as_ref().is_some_and(Replica::is_established) {
             return;
         }
-        let sums = self.load_sums.tell(now, from.address, nonce, loads);
+        let sums = self.load_sums.tell(now, from.address, request_id, loads);
         if from.address == self.own.address {
-            actions.push(Action::LoadSums(sums));
+            actions.push(Action::LoadTotals(sums));
         } else {
             actions.push(self.answer_to(from, Message::Load(sums)));
         }
@@ -304,7 +304,7 @@
                 self.send_for(to, addressee, Message::Gossip(message))
             }
             GossipAction::Configured(configuration) => Action::Configured(configuration),
-            GossipAction::Confirmed(announcement) => Action::Confirmed(announcement),
+            GossipAction::AnnouncementConfirmed(announcement) => Action::AnnouncementConfirmed(announcement),
         }));
     }
 
@@ -315,7 +315,7 @@
             ReplicaAction::Send { to, addressee, message } => {
                 self.send_for(to, addressee, Message::Replication(ReplicationEnvelope { sender, message }))
             }
-            ReplicaAction::Write { ticket, write } => Action::Write { ticket, write },
+            ReplicaAction::Write { write_id, write } => Action::Write { write_id, write },
         }));
     }
 
@@ -329,10 +329,10 @@
         let mut replica_actions = Vec::new();
         if let Some(replica) = &mut self.replica {
             replica.receive(now, sender, envelope, &mut replica_actions);
-        } else if let Some(seed) = &mut self.uncounted_seed {
+        } else if let Some(seed) = &mut self.non_voting_seed {
             match envelope.message {
                 ReplicationMessage::Present { member } => seed.present(now, member, &mut replica_actions),
-                ReplicationMessage::SeedWithoutDisk { address } => seed.without_disk(address),
+                ReplicationMessage::NonVotingSeed { address } => seed.without_disk(address),
                 _ => {}
             }
         }
@@ -342,47 +342,48 @@
     /// Lets a seed that doesn't count do its part until the core is known.
     fn found(&mut self, now: Duration, actions: &mut Vec<Action>) {
         if self.gossip.core().is_some() {
-            self.uncounted_seed = None;
+            self.non_voting_seed = None;
         }
-        let Some(seed) = &mut self.uncounted_seed else { return };
+        let Some(seed) = &mut self.non_voting_seed else { return };
         let mut replica_actions = Vec::new();
         seed.tick(now, &mut replica_actions);
         self.carry_replica(replica_actions, actions);
     }
 
     fn receive_quota(&mut self, now: Duration, from: Peer, message: QuotaMessage, actions: &mut Vec<Action>) {
-        let (nonce, wanted, overdrawn) = match message {
-            QuotaMessage::Want { nonce, wanted, overdrawn } => (nonce, wanted, overdrawn),
+        let (request_id, wanted, overdrawn) = match message {
+            QuotaMessage::Request { request_id, wanted, overdrawn } => (request_id, wanted, overdrawn),
             QuotaMessage::Grant { .. } => {
-                actions.push(Action::Granted(message));
+                actions.push(Action::QuotaGranted(message));
                 return;
             }
             QuotaMessage::Levels(levels) => {
-                let newer = self.told_levels.as_ref().is_none_or(|t| t.levels.term <= levels.term);
+                let newer = self.reported_levels.as_ref().is_none_or(|t| t.levels.term <= levels.term);
                 if newer && self.replica.is_some() {
-                    self.told_levels = Some(ToldLevels { levels, at: now });
+                    self.reported_levels = Some(ReportedLevels { levels, at: now });
                 }
                 return;
             }
         };
-        let unfenced = self.replica.as_ref().is_some_and(|r| r.has_fault(ProtocolFault::GrantsUnconfirmed));
+        let unfenced =
+            self.replica.as_ref().is_some_and(|r| r.has_mutation(ProtocolMutation::GrantsUnconfirmed));
         let confirmed_at = self.replica.as_ref().and_then(Replica::confirmed_at);
         let confirmed_at = if unfenced { Some(now) } else { confirmed_at };
         let Some(grantor) = &mut self.grantor else { return };
-        grantor.learn_sidecars(self.load_sums.sidecars().max(self.gossip.view().len() + 1));
+        grantor.set_sidecar_count(self.load_sums.sidecars().max(self.gossip.view().len() + 1));
         let Some(granted) = grantor.grant(now, confirmed_at, from.address, &wanted, &overdrawn) else {
             return;
         };
-        let grant = QuotaMessage::Grant { nonce, term: grantor.term(), granted };
+        let grant = QuotaMessage::Grant { request_id, term: grantor.term(), granted };
         if from.address == self.own.address {
-            actions.push(Action::Granted(grant));
+            actions.push(Action::QuotaGranted(grant));
         } else {
             actions.push(self.answer_to(from, Message::Quota(grant)));
         }
     }
 
     /// Tells the other members how full the buckets are, so that whoever follows as grantor goes on from there.
-    fn tell_levels(&mut self, now: Duration, actions: &mut Vec<Action>) {
+    fn report_levels(&mut self, now: Duration, actions: &mut Vec<Action>) {
         if now < self.next_levels {
             return;
         }
@@ -406,13 +407,13 @@
     fn publish(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let Some(replica) = &self.replica else { return };
         if let Some(hint) = replica.core_hint() {
-            self.gossip.learn_core(hint);
+            self.gossip.observe_core(hint);
         }
         let Some(mut committed) = replica.committed().filter(|_| replica.is_established()).cloned() else {
-            self.told_levels = last_levels(&mut self.grantor, now).or(self.told_levels.take());
+            self.reported_levels = last_levels(&mut self.grantor, now).or(self.reported_levels.take());
             return;
         };
-        if replica.has_fault(ProtocolFault::PublishesUncommitted) {
+        if replica.has_mutation(ProtocolMutation::PublishesUncommitted) {
             committed = replica.state().clone();
         }
         let configuration = committed.document.clone().map(|document| CommittedConfiguration {
@@ -426,9 +427,9 @@
         let term = committed.version.term;
         let current = self.grantor.as_ref().is_some_and(|g| g.term() == term);
         if !current {
-            self.told_levels = last_levels(&mut self.grantor, now).or(self.told_levels.take());
+            self.reported_levels = last_levels(&mut self.grantor, now).or(self.reported_levels.take());
             let since = replica.leads_since().unwrap_or(now);
-            self.grantor = Some(Grantor::new(since, term, self.quota_bounds, self.told_levels.as_ref()));
+            self.grantor = Some(Grantor::new(since, term, self.quota_bounds, self.reported_levels.as_ref()));
         }
         if !current || before != committed.version.index {
             self.configure_grantor(now, &committed);
@@ -446,7 +447,7 @@
 }
 
 /// The levels of a grantor that grants no more; if this process is the next to grant, it goes on from there.
-fn last_levels(grantor: &mut Option<Grantor>, now: Duration) -> Option<ToldLevels> {
+fn last_levels(grantor: &mut Option<Grantor>, now: Duration) -> Option<ReportedLevels> {
     let mut grantor = grantor.take()?;
-    Some(ToldLevels { levels: grantor.levels(now), at: now })
+    Some(ReportedLevels { levels: grantor.levels(now), at: now })
 }
--- a/crates/router/control-plane/src/coordinator/calls.rs
+++ b/crates/router/control-plane/src/coordinator/calls.rs
@@ -1,9 +1,9 @@
 //! Operators' calls: passed on to the primary, judged there, answered once what the answer rests on is certain.
 
 use super::Coordinator;
+use crate::configuration_change::{Rejection, Verdict};
 use crate::messages::{Action, CallId, Message, OperatorAnswer, OperatorMessage, OperatorRequest};
-use crate::orders::{Refusal, Verdict};
-use crate::replication::{ProtocolFault, Replica};
+use crate::replication::{ProtocolMutation, Replica};
 use passrelay_dissemination::{CoreHint, Peer};
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -25,11 +25,11 @@
     /// An acknowledgement that waits for a commit.
     Commit { term: u64, index: u64, generation: u64 },
     /// A refusal that waits for a commit and a confirmation.
-    Refuse { term: u64, index: u64, judged_at: Duration, refusal: Refusal },
+    Refuse { term: u64, index: u64, judged_at: Duration, refusal: Rejection },
     /// A read that waits for a confirmation.
     Read { term: u64, asked_at: Duration },
     /// An order of which nobody can tell any more whether it was taken.
-    TooOld { term: u64 },
+    HistoryTruncated { term: u64 },
 }
 
 /// To whom a call was passed on, and when.
@@ -140,20 +140,20 @@
         let state = replica.state().clone();
         let (term, index) = (state.version.term, state.version.index);
         let OperatorRequest::Change(order) = request else {
-            replica.confirm_soon();
+            replica.request_confirmation();
             return Some(Step::Read { term, asked_at: now });
         };
-        let same_number = replica.has_fault(ProtocolFault::AcknowledgesByGeneration)
+        let same_number = replica.has_mutation(ProtocolMutation::AcknowledgesByGeneration)
             && order.generation() == Some(state.generation);
-        let verdict = if same_number { Verdict::TakenBefore } else { order.judge(&state) };
+        let verdict = if same_number { Verdict::AlreadyApplied } else { order.judge(&state) };
         let step = match verdict {
-            Verdict::TooOld => Step::TooOld { term },
-            Verdict::TakenBefore => Step::Commit { term, index, generation: state.generation },
-            Verdict::Refuse(refusal) => {
-                replica.confirm_soon();
+            Verdict::HistoryTruncated => Step::HistoryTruncated { term },
+            Verdict::AlreadyApplied => Step::Commit { term, index, generation: state.generation },
+            Verdict::Reject(refusal) => {
+                replica.request_confirmation();
                 Step::Refuse { term, index, judged_at: now, refusal }
             }
-            Verdict::Take { generation, document, order } => {
+            Verdict::Apply { generation, document, order } => {
                 let mut replica_actions = Vec::new();
                 let index = replica.propose(now, generation, document, order, &mut replica_actions)?;
                 self.carry_replica(replica_actions, actions);
@@ -171,7 +171,7 @@
             Step::Commit { term, .. }
             | Step::Refuse { term, .. }
             | Step::Read { term, .. }
-            | Step::TooOld { term } => *term,
+            | Step::HistoryTruncated { term } => *term,
         };
         let committed = replica.committed().filter(|_| replica.is_established());
         let Some(committed) = committed.filter(|c| c.version.term == judged_in) else {
@@ -179,7 +179,7 @@
         };
         match step {
             Step::Open { .. } => None,
-            Step::TooOld { .. } => Some(OperatorAnswer::unavailable(
+            Step::HistoryTruncated { .. } => Some(OperatorAnswer::unavailable(
                 "the order is too old to tell whether it was taken, read first",
             )),
             Step::Commit { index, generation, .. } => {
@@ -187,13 +187,13 @@
             }
             Step::Refuse { index, judged_at, refusal, .. } => {
                 let confirmed = replica.confirmed_at() >= Some(*judged_at)
-                    || replica.has_fault(ProtocolFault::RefusesUnconfirmed);
+                    || replica.has_mutation(ProtocolMutation::RejectsUnconfirmed);
                 (committed.version.index >= *index && confirmed)
                     .then(|| OperatorAnswer::fault(refusal.status(), &refusal.to_string()))
             }
             Step::Read { asked_at, .. } => {
                 let confirmed = replica.confirmed_at() >= Some(*asked_at)
-                    || replica.has_fault(ProtocolFault::ReadsUnconfirmed);
+                    || replica.has_mutation(ProtocolMutation::ReadsUnconfirmed);
                 confirmed.then(|| match &committed.document {
                     Some(document) => OperatorAnswer { status: 200, body: document.clone() },
                     None => OperatorAnswer::fault(404, "there is no configuration yet"),
--- a/crates/router/control-plane/src/lib.rs
+++ b/crates/router/control-plane/src/lib.rs
@@ -2,10 +2,10 @@
 //! the operators' orders, and the grants of tenants' quotas. No I/O and no clock: `now` is the time since the
 //! process started; what is to be sent and written comes back as actions.
 
+pub mod configuration_change;
 mod coordinator;
 pub mod load;
 mod messages;
-pub mod orders;
 pub mod quota;
 pub mod replication;
 
--- a/crates/router/control-plane/src/load.rs
+++ b/crates/router/control-plane/src/load.rs
@@ -24,16 +24,20 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LoadMessage {
     /// What a sidecar has out.
-    Tell {
+    #[serde(rename = "Tell")]
+    Report {
         /// Names the message.
-        nonce: u64,
+        #[serde(rename = "nonce")]
+        request_id: u64,
         /// Endpoints at which it has something out.
         loads: Vec<EndpointLoad>,
     },
     /// What all sidecars have out.
-    Sums {
+    #[serde(rename = "Sums")]
+    Totals {
         /// The message that is answered.
-        nonce: u64,
+        #[serde(rename = "nonce")]
+        request_id: u64,
         /// Sidecars that told lately.
         sidecars: u32,
         /// Endpoints at which anyone has something out.
@@ -68,20 +72,20 @@
 
 /// Adds up what sidecars tell.
 #[derive(Debug, Default)]
-pub struct LoadSums {
+pub struct LoadTotals {
     told: BTreeMap<SocketAddrV4, (Duration, Vec<EndpointLoad>)>,
     outcomes: BTreeMap<u64, ToldOutcomes>,
     sums: Vec<EndpointLoad>,
     summed_at: Option<Duration>,
 }
 
-impl LoadSums {
+impl LoadTotals {
     /// Takes in what a sidecar has out, and answers with the sums.
     pub fn tell(
         &mut self,
         now: Duration,
         from: SocketAddrV4,
-        nonce: u64,
+        request_id: u64,
         loads: Vec<EndpointLoad>,
     ) -> LoadMessage {
         for load in loads.iter().filter(|l| l.answered + l.failed > 0) {
@@ -92,7 +96,7 @@
             self.sum(now);
         }
         let sidecars = u32::try_from(self.sidecars()).unwrap_or(u32::MAX);
-        LoadMessage::Sums { nonce, sidecars, loads: self.sums.clone() }
+        LoadMessage::Totals { request_id, sidecars, loads: self.sums.clone() }
     }
 
     /// Sidecars that told lately.
@@ -107,7 +111,7 @@
         for load in self.told.values().flat_map(|(_, loads)| loads) {
             let zero = EndpointLoad { endpoint: load.endpoint, ..EndpointLoad::default() };
             let sum = sums.entry(load.endpoint).or_insert(zero);
-            sum.unread_tokens = sum.unread_tokens.saturating_add(load.unread_tokens);
+            sum.pending_prompt_tokens = sum.pending_prompt_tokens.saturating_add(load.pending_prompt_tokens);
             sum.in_flight = sum.in_flight.saturating_add(load.in_flight);
         }
         self.outcomes.retain(|endpoint, told| {
--- a/crates/router/control-plane/src/messages.rs
+++ b/crates/router/control-plane/src/messages.rs
@@ -1,9 +1,9 @@
 //! What processes tell each other, what operators ask and get, and what the driver of a coordinator is to do.
 
+use crate::configuration_change::ConfigurationChange;
 use crate::load::LoadMessage;
-use crate::orders::Order;
 use crate::quota::QuotaMessage;
-use crate::replication::{DurableWrite, ReplicationEnvelope, Ticket};
+use crate::replication::{DurableWrite, ReplicationEnvelope, WriteId};
 use passrelay_dissemination::{Announcement, CommittedConfiguration, GossipMessage, Incarnation};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddrV4;
@@ -19,7 +19,7 @@
     /// The newest configuration.
     Read,
     /// A change.
-    Change(Order),
+    Change(ConfigurationChange),
 }
 
 /// What an operator gets.
@@ -89,9 +89,9 @@
     pub fn is_answer(&self) -> bool {
         match self {
             Message::Replication(envelope) => envelope.message.is_answer(),
-            Message::Gossip(message) => matches!(message, GossipMessage::Answer { .. }),
+            Message::Gossip(message) => matches!(message, GossipMessage::DigestResponse { .. }),
             Message::Quota(message) => matches!(message, QuotaMessage::Grant { .. }),
-            Message::Load(message) => matches!(message, LoadMessage::Sums { .. }),
+            Message::Load(message) => matches!(message, LoadMessage::Totals { .. }),
             Message::Operator(message) => matches!(message, OperatorMessage::Answer { .. }),
         }
     }
@@ -134,14 +134,14 @@
     /// Write and sync, then call [`Coordinator::written`](crate::Coordinator::written).
     Write {
         /// Names the write.
-        ticket: Ticket,
+        write_id: WriteId,
         /// What to write.
         write: DurableWrite,
     },
     /// A newer configuration is in force here.
     Configured(CommittedConfiguration),
     /// The core knows what was announced of an endpoint.
-    Confirmed(Announcement),
+    AnnouncementConfirmed(Announcement),
     /// The answer to an operator's call.
     Answer {
         /// The call.
@@ -150,7 +150,7 @@
         answer: OperatorAnswer,
     },
     /// Tokens were granted to this sidecar.
-    Granted(QuotaMessage),
+    QuotaGranted(QuotaMessage),
     /// The loads of endpoints over all sidecars.
-    LoadSums(LoadMessage),
+    LoadTotals(LoadMessage),
 }
--- a/crates/router/control-plane/src/quota.rs
+++ b/crates/router/control-plane/src/quota.rs
@@ -16,7 +16,7 @@
 /// A grantor that wasn't confirmed within this time grants nothing.
 const CONFIRMED_WITHIN: Duration = Duration::from_millis(400);
 /// How long a grant may be spent, from the moment it was asked for.
-pub const GRANT_LASTS: Duration = Duration::from_millis(1_500);
+pub const GRANT_LIFETIME: Duration = Duration::from_millis(1_500);
 /// A grantor that doesn't know the levels of the one before starts with the allowance of this time, in seconds. Members
 /// are told them often, so this happens after a time without any grantor: all processes were started again.
 const FIRST_ALLOWANCE_S: f64 = 0.65;
@@ -72,9 +72,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum QuotaMessage {
     /// Tokens are wanted.
-    Want {
+    #[serde(rename = "Want")]
+    Request {
         /// Names the question.
-        nonce: u64,
+        #[serde(rename = "nonce")]
+        request_id: u64,
         /// Tenant and tokens wanted.
         wanted: Vec<(TenantKey, u64)>,
         /// Tenant and tokens that were spent of the reserve and not told yet.
@@ -83,19 +85,20 @@
     /// Tokens are granted, possibly fewer than wanted or none.
     Grant {
         /// The question.
-        nonce: u64,
+        #[serde(rename = "nonce")]
+        request_id: u64,
         /// Term of the grantor.
         term: u64,
         /// What each tenant gets.
-        granted: Vec<Allotment>,
+        granted: Vec<TenantGrant>,
     },
     /// The grantor tells the members who may follow it how full the buckets are.
-    Levels(Levels),
+    Levels(BucketLevels),
 }
 
 /// How full the buckets of a grantor are.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Levels {
+pub struct BucketLevels {
     /// Term of the grantor.
     pub term: u64,
     /// Tenants and tokens, below zero where some are owed; all others' buckets are nearly full.
@@ -104,16 +107,16 @@
 
 /// Levels as they were told, and when.
 #[derive(Clone, Debug)]
-pub struct ToldLevels {
+pub struct ReportedLevels {
     /// The levels.
-    pub levels: Levels,
+    pub levels: BucketLevels,
     /// When they came.
     pub at: Duration,
 }
 
 /// What a sidecar gets of one tenant's quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Allotment {
+pub struct TenantGrant {
     /// The tenant.
     pub tenant: TenantKey,
     /// Tokens granted.
@@ -156,7 +159,7 @@
 impl Grantor {
     /// The grantor of a term that began at a time. The one before may still have granted for a while after that; what it
     /// told of its buckets is where this one goes on.
-    pub fn new(began: Duration, term: u64, bounds: QuotaBounds, told: Option<&ToldLevels>) -> Self {
+    pub fn new(began: Duration, term: u64, bounds: QuotaBounds, told: Option<&ReportedLevels>) -> Self {
         let recent = told.filter(|t| t.levels.term < term && began.saturating_sub(t.at) < LEVELS_LAST);
         Grantor {
             inherited: recent.map(|t| t.levels.tokens.iter().copied().collect()),
@@ -204,7 +207,7 @@
     }
 
     /// How full the buckets are.
-    pub fn levels(&mut self, now: Duration) -> Levels {
+    pub fn levels(&mut self, now: Duration) -> BucketLevels {
         let mut tokens = Vec::new();
         for (tenant, bucket) in &mut self.buckets {
             bucket.refill(now);
@@ -212,12 +215,12 @@
                 tokens.push((*tenant, bucket.tokens as i64));
             }
         }
-        Levels { term: self.term, tokens }
+        BucketLevels { term: self.term, tokens }
     }
 
     /// How many sidecars there are at least, those aside that have asked. They share the reserve: without them the first
     /// to ask after a quiet time would get too much of it.
-    pub fn learn_sidecars(&mut self, sidecars: usize) {
+    pub fn set_sidecar_count(&mut self, sidecars: usize) {
         self.sidecars = sidecars;
     }
 
@@ -229,7 +232,7 @@
         from: SocketAddrV4,
         wanted: &[(TenantKey, u64)],
         overdrawn: &[(TenantKey, u64)],
-    ) -> Option<Vec<Allotment>> {
+    ) -> Option<Vec<TenantGrant>> {
         let confirmed = confirmed_at.is_some_and(|at| now.saturating_sub(at) < CONFIRMED_WITHIN);
         if !confirmed || now < self.grants_from {
             return None;
@@ -249,7 +252,7 @@
             let tokens = (*tokens as f64).min(bucket.tokens).max(0.0).floor();
             bucket.tokens -= tokens;
             let reserve = (bucket.rate_per_s * reserve_s / sidecars) as u64;
-            granted.push(Allotment { tenant: *tenant, tokens: tokens as u64, reserve });
+            granted.push(TenantGrant { tenant: *tenant, tokens: tokens as u64, reserve });
         }
         Some(granted)
     }
--- a/crates/router/control-plane/src/replication.rs
+++ b/crates/router/control-plane/src/replication.rs
@@ -5,18 +5,18 @@
 //! majority has stored it. A change is committed once all of the in-sync set that the record names have synced it.
 //! No promise rests on a clock; clocks only decide when to try.
 
-mod founder;
-mod gathering;
+mod bootstrap_election;
 mod leadership;
+mod non_voting_seed;
 mod replica;
 mod rounds;
 mod types;
-mod uncounted_seed;
+mod voter_discovery;
 
+pub use non_voting_seed::NonVotingSeed;
 pub use replica::Replica;
 pub use types::{
-    DurableState, DurableWrite, EpochRecord, Member, MemberId, ProtocolFault, ReplicaAction, ReplicaSettings,
-    ReplicatedState, ReplicationEnvelope, ReplicationMessage, Sender, StateVersion, TakenOrder, Ticket,
-    WitnessState,
+    AppliedChange, DurableState, DurableWrite, EpochRecord, Member, MemberId, ProtocolMutation,
+    ReplicaAction, ReplicaSettings, ReplicatedState, ReplicationEnvelope, ReplicationMessage, Sender,
+    StateVersion, WitnessState, WriteId,
 };
-pub use uncounted_seed::UncountedSeed;
--- a/crates/router/control-plane/src/replication/founder.rs
+++ b/crates/router/control-plane/src/replication/bootstrap_election.rs
@@ -5,33 +5,33 @@
 //! Two parts of a divided system can't both have that, and a record that some seed has stored is found by whoever
 //! stands after that. A seed is taken to count until it says that it doesn't.
 
-use super::gathering::Gathering;
-use super::types::{EpochRecord, Member, MemberId, ProtocolFault, ReplicaSettings};
+use super::types::{EpochRecord, Member, MemberId, ProtocolMutation, ReplicaSettings};
+use super::voter_discovery::VoterDiscovery;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
 /// What a counted machine knows of the others before there is a record.
 #[derive(Debug)]
-pub(super) struct Founder {
+pub(super) struct Bootstrap {
     own: Member,
     seeds: Vec<SocketAddrV4>,
     tolerated_losses: usize,
-    gathering: Gathering,
+    voter_discovery: VoterDiscovery,
     /// Members at the seeds' addresses, for good once they are known.
     electors: BTreeMap<SocketAddrV4, MemberId>,
     /// Seeds that don't count.
     without_disk: BTreeSet<SocketAddrV4>,
-    fault: Option<ProtocolFault>,
+    fault: Option<ProtocolMutation>,
 }
 
-impl Founder {
+impl Bootstrap {
     pub(super) fn new(now: Duration, settings: &ReplicaSettings) -> Self {
-        Founder {
+        Bootstrap {
             own: settings.own,
             seeds: settings.seeds.clone(),
             tolerated_losses: settings.tolerated_losses,
-            gathering: Gathering::new(now),
+            voter_discovery: VoterDiscovery::new(now),
             electors: BTreeMap::new(),
             without_disk: BTreeSet::new(),
             fault: settings.fault,
@@ -40,7 +40,7 @@
 
     /// A machine that counts tells that it is there.
     pub(super) fn present(&mut self, now: Duration, member: Member) {
-        self.gathering.present(now, member);
+        self.voter_discovery.present(now, member);
         if self.seeds.contains(&member.address) {
             self.electors.entry(member.address).or_insert(member.id);
         }
@@ -55,8 +55,8 @@
     /// machine is no elector.
     pub(super) fn electorate(&self, now: Duration) -> Option<EpochRecord> {
         let members = match self.fault {
-            Some(ProtocolFault::FoundsAgain) => vec![self.own],
-            Some(ProtocolFault::FoundsWithoutSeeds) => self.gathering.members(now),
+            Some(ProtocolMutation::BootstrapsAgain) => vec![self.own],
+            Some(ProtocolMutation::BootstrapsWithoutSeeds) => self.voter_discovery.members(now),
             _ => self.counted_seeds()?,
         };
         Some(EpochRecord {
@@ -80,19 +80,19 @@
 
     /// Whether it is time to stand with what has gathered.
     pub(super) fn may_found(&self, now: Duration) -> bool {
-        if self.fault == Some(ProtocolFault::FoundsAgain) {
+        if self.fault == Some(ProtocolMutation::BootstrapsAgain) {
             return true;
         }
         let place = self.seeds.iter().position(|seed| *seed == self.own.address);
-        place.is_some_and(|place| self.gathering.is_enough(now, place, self.tolerated_losses))
+        place.is_some_and(|place| self.voter_discovery.is_enough(now, place, self.tolerated_losses))
     }
 
     /// The first record, for the elector that has the promises of a majority of which none has stored any.
     pub(super) fn first_record(&self, now: Duration, term: u64) -> Option<EpochRecord> {
         let electorate = self.electorate(now)?;
         let members = match self.fault {
-            Some(ProtocolFault::FoundsAgain) => vec![self.own],
-            _ => self.gathering.members(now),
+            Some(ProtocolMutation::BootstrapsAgain) => vec![self.own],
+            _ => self.voter_discovery.members(now),
         };
         let own_is_there = members.iter().any(|m| m.id == self.own.id);
         own_is_there.then(|| EpochRecord {
--- a/crates/router/control-plane/src/replication/leadership.rs
+++ b/crates/router/control-plane/src/replication/leadership.rs
@@ -2,7 +2,7 @@
 
 use super::rounds::Rounds;
 use super::types::{
-    EpochRecord, Member, MemberId, ProtocolFault, ReplicaAction, ReplicaSettings, ReplicatedState,
+    EpochRecord, Member, MemberId, ProtocolMutation, ReplicaAction, ReplicaSettings, ReplicatedState,
     ReplicationMessage, StateVersion,
 };
 use std::collections::{BTreeMap, BTreeSet};
@@ -71,7 +71,7 @@
     uncommitted: BTreeMap<u64, Arc<ReplicatedState>>,
     committed: Option<Arc<ReplicatedState>>,
     joiners: BTreeMap<MemberId, Joiner>,
-    fault: Option<ProtocolFault>,
+    fault: Option<ProtocolMutation>,
 }
 
 impl Leadership {
@@ -217,7 +217,7 @@
         }
         self.synced(now, by, term, synced, state, actions);
         if let Some(record) = &self.in_force {
-            let at_arrival = self.fault == Some(ProtocolFault::ConfirmsAtArrival);
+            let at_arrival = self.fault == Some(ProtocolMutation::ConfirmsAtArrival);
             self.rounds.answered(round, by, record, at_arrival.then_some(now));
         }
         self.accepted(now, by, position, state, actions);
@@ -353,7 +353,9 @@
             .or_else(|| self.with_newcomer(now, record));
         if let Some(mut next) = next {
             next.sequence = record.sequence + 1;
-            if self.fault == Some(ProtocolFault::ShrinksAlone) && next.in_sync.len() < record.in_sync.len() {
+            if self.fault == Some(ProtocolMutation::ShrinksInSyncSetWithoutQuorum)
+                && next.in_sync.len() < record.in_sync.len()
+            {
                 self.in_force = Some(next);
                 self.commit();
                 return;
@@ -374,7 +376,7 @@
         }
         let all = u32::try_from(record.members.len()).unwrap_or(u32::MAX);
         let owed_since =
-            self.newest.as_ref().map(|(state, at)| (state.version, *at + state.hand_over_time() * all));
+            self.newest.as_ref().map(|(state, at)| (state.version, *at + state.transfer_time() * all));
         let lags = |id: &MemberId| {
             let patience = if self.heard.contains_key(id) { OUT_OF_SYNC_AFTER } else { NEVER_HEARD };
             let silent = !self.was_heard_within(now, *id, patience);
@@ -413,7 +415,7 @@
         self.joiners
             .retain(|id, j| now.saturating_sub(j.asked_at) < JOINER_LATELY && record.member(*id).is_none());
         let joiner = self.joiners.values().next()?;
-        let unsynced = self.fault == Some(ProtocolFault::CountsNewcomerInSync);
+        let unsynced = self.fault == Some(ProtocolMutation::AdmitsUnsyncedMember);
         let at_same_address = record.members.iter().find(|m| m.address == joiner.member.address);
         let leaves = match at_same_address {
             Some(former) => Some(*former),
@@ -425,7 +427,7 @@
             },
         };
         let mut next = record.clone();
-        let keeps = self.fault == Some(ProtocolFault::KeepsReplaced);
+        let keeps = self.fault == Some(ProtocolMutation::CountsReplacedMember);
         if let Some(former) = leaves.filter(|_| !keeps) {
             next.members.retain(|m| m.id != former.id);
             next.in_sync.remove(&former.id);
@@ -451,7 +453,7 @@
     }
 
     fn removes_last_copies(&self) -> bool {
-        self.fault == Some(ProtocolFault::RemovesLastCopies)
+        self.fault == Some(ProtocolMutation::RemovesLastReplicas)
     }
 
     fn longest_silent(&self, now: Duration, record: &EpochRecord) -> Option<Member> {
@@ -465,5 +467,5 @@
 
 /// How long a state may be on its way to one of so many members before it is sent again.
 fn hand_over_patience(state: &ReplicatedState, members: usize) -> Duration {
-    RESEND_AFTER + state.hand_over_time() * u32::try_from(members).unwrap_or(u32::MAX)
+    RESEND_AFTER + state.transfer_time() * u32::try_from(members).unwrap_or(u32::MAX)
 }
--- a/crates/router/control-plane/src/replication/uncounted_seed.rs
+++ b/crates/router/control-plane/src/replication/non_voting_seed.rs
@@ -5,8 +5,8 @@
 //! two parts of a divided system from founding one each; the order of the seeds and the wait for machines to gather make
 //! it unlikely. `docs/design/consistency.md` says so.
 
-use super::gathering::Gathering;
 use super::types::{EpochRecord, Member, ReplicaAction, ReplicationMessage};
+use super::voter_discovery::VoterDiscovery;
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -16,26 +16,26 @@
 
 /// The decider of such a seed.
 #[derive(Debug)]
-pub struct UncountedSeed {
+pub struct NonVotingSeed {
     own: SocketAddrV4,
     seeds: Vec<SocketAddrV4>,
     tolerated_losses: usize,
     /// Seeds that have told that they don't count, this one among them.
     uncounted: BTreeSet<SocketAddrV4>,
-    gathering: Gathering,
+    voter_discovery: VoterDiscovery,
     record: Option<EpochRecord>,
     next_tell: Duration,
 }
 
-impl UncountedSeed {
+impl NonVotingSeed {
     /// The decider, if the process at `own` is one of the seeds.
     pub fn new(own: SocketAddrV4, seeds: &[SocketAddrV4], tolerated_losses: usize) -> Option<Self> {
-        seeds.contains(&own).then(|| UncountedSeed {
+        seeds.contains(&own).then(|| NonVotingSeed {
             own,
             seeds: seeds.to_vec(),
             tolerated_losses,
             uncounted: BTreeSet::from([own]),
-            gathering: Gathering::new(Duration::ZERO),
+            voter_discovery: VoterDiscovery::new(Duration::ZERO),
             record: None,
             next_tell: Duration::ZERO,
         })
@@ -43,7 +43,7 @@
 
     /// A machine that counts tells that it is there. It is told that this seed doesn't.
     pub fn present(&mut self, now: Duration, member: Member, actions: &mut Vec<ReplicaAction>) {
-        self.gathering.present(now, member);
+        self.voter_discovery.present(now, member);
         actions.push(self.tell(member.address));
     }
 
@@ -73,14 +73,14 @@
     }
 
     fn tell(&self, to: SocketAddrV4) -> ReplicaAction {
-        let message = ReplicationMessage::SeedWithoutDisk { address: self.own };
+        let message = ReplicationMessage::NonVotingSeed { address: self.own };
         ReplicaAction::Send { to, addressee: None, message }
     }
 
     fn may_found(&self, now: Duration) -> bool {
         let no_seed_counts = self.seeds.iter().all(|seed| self.uncounted.contains(seed));
         let place = self.place().filter(|_| no_seed_counts);
-        place.is_some_and(|place| self.gathering.is_enough(now, place, self.tolerated_losses))
+        place.is_some_and(|place| self.voter_discovery.is_enough(now, place, self.tolerated_losses))
     }
 
     fn place(&self) -> Option<usize> {
@@ -89,7 +89,7 @@
 
     /// The machine with the lowest address leads first.
     fn first_record(&self, now: Duration) -> Option<EpochRecord> {
-        let members = self.gathering.members(now);
+        let members = self.voter_discovery.members(now);
         Some(EpochRecord {
             term: 1 + u64::try_from(self.place()?).unwrap_or(0),
             sequence: 0,
--- a/crates/router/control-plane/src/replication/replica.rs
+++ b/crates/router/control-plane/src/replication/replica.rs
@@ -3,11 +3,12 @@
 mod election;
 mod follower;
 
-use super::founder::Founder;
+use super::bootstrap_election::Bootstrap;
 use super::leadership::{Leadership, PongReport};
 use super::types::{
-    DurableState, DurableWrite, EpochRecord, Member, MemberId, ProtocolFault, ReplicaAction, ReplicaSettings,
-    ReplicatedState, ReplicationEnvelope, ReplicationMessage, Sender, TakenOrder, Ticket, WitnessState,
+    AppliedChange, DurableState, DurableWrite, EpochRecord, Member, MemberId, ProtocolMutation,
+    ReplicaAction, ReplicaSettings, ReplicatedState, ReplicationEnvelope, ReplicationMessage, Sender,
+    WitnessState, WriteId,
 };
 use passrelay_dissemination::{CoreHint, Incarnation};
 use rand::{Rng, SeedableRng};
@@ -51,7 +52,7 @@
     state: Arc<ReplicatedState>,
     durable_witness: WitnessState,
     durable_state: Arc<ReplicatedState>,
-    writes: BTreeMap<Ticket, PendingWrite>,
+    writes: BTreeMap<WriteId, PendingWrite>,
     next_ticket: u64,
     role: Role,
     /// When the primary was last heard, if it was since the start.
@@ -61,7 +62,7 @@
     next_tick: Duration,
     next_join: Duration,
     /// What is gathered for the first record, while none is known.
-    founder: Option<Founder>,
+    bootstrap_election: Option<Bootstrap>,
 }
 
 /// The answer to a message.
@@ -73,9 +74,10 @@
     /// A member with what its disk holds.
     pub fn new(now: Duration, settings: ReplicaSettings, durable: DurableState) -> Self {
         let state = Arc::new(durable.state);
-        let founds = settings.founding || settings.fault == Some(ProtocolFault::FoundsAgain);
+        let founds = settings.founding || settings.fault == Some(ProtocolMutation::BootstrapsAgain);
         let mut replica = Replica {
-            founder: (founds && durable.witness.record.is_none()).then(|| Founder::new(now, &settings)),
+            bootstrap_election: (founds && durable.witness.record.is_none())
+                .then(|| Bootstrap::new(now, &settings)),
             rng: ChaCha8Rng::seed_from_u64(settings.random_seed),
             witness: durable.witness.clone(),
             durable_witness: durable.witness,
@@ -116,12 +118,12 @@
             self.witness.promised,
             self.state.version,
             self.witness.record,
-            self.founder.is_some() && self.witness.record.is_none()
+            self.bootstrap_election.is_some() && self.witness.record.is_none()
         )
     }
 
     /// Whether this member breaks the protocol in that way.
-    pub fn has_fault(&self, fault: ProtocolFault) -> bool {
+    pub fn has_mutation(&self, fault: ProtocolMutation) -> bool {
         self.settings.fault == Some(fault)
     }
 
@@ -165,7 +167,7 @@
     }
 
     /// Takes in where the core is.
-    pub fn learn_core(&mut self, hint: Option<&CoreHint>) {
+    pub fn observe_core(&mut self, hint: Option<&CoreHint>) {
         if let Some(hint) = hint {
             let newer = |known: &CoreHint| (hint.term, hint.sequence) > (known.term, known.sequence);
             if self.hint.as_ref().is_none_or(newer) {
@@ -175,7 +177,7 @@
     }
 
     /// Asks for a round of pings at once.
-    pub fn confirm_soon(&mut self) {
+    pub fn request_confirmation(&mut self) {
         if let Role::Primary(leadership) = &mut self.role {
             leadership.ping_soon();
             self.next_tick = Duration::ZERO;
@@ -189,7 +191,7 @@
         now: Duration,
         generation: u64,
         document: Arc<str>,
-        order: TakenOrder,
+        order: AppliedChange,
         actions: &mut Vec<ReplicaAction>,
     ) -> Option<u64> {
         let term = self.leadership().filter(|l| l.is_established())?.term();
@@ -230,14 +232,14 @@
     pub fn written(
         &mut self,
         now: Duration,
-        ticket: Ticket,
+        write_id: WriteId,
         succeeded: bool,
         actions: &mut Vec<ReplicaAction>,
     ) {
-        let Some(pending) = self.writes.remove(&ticket) else { return };
+        let Some(pending) = self.writes.remove(&write_id) else { return };
         if !succeeded {
             self.disk_failed(now);
-            if self.has_fault(ProtocolFault::PromisesOnFullDisk) {
+            if self.has_mutation(ProtocolMutation::PromisesOnFullDisk) {
                 actions.extend(pending.replies.into_iter().map(|(asker, message)| reply(asker, message)));
             }
             return;
@@ -265,13 +267,13 @@
         let from = Sender { member: envelope.sender, incarnation };
         match envelope.message {
             ReplicationMessage::Present { member } => {
-                if let Some(founder) = &mut self.founder {
-                    founder.present(now, member);
+                if let Some(bootstrap_election) = &mut self.bootstrap_election {
+                    bootstrap_election.present(now, member);
                 }
             }
-            ReplicationMessage::SeedWithoutDisk { address } => {
-                if let Some(founder) = &mut self.founder {
-                    founder.without_disk(address);
+            ReplicationMessage::NonVotingSeed { address } => {
+                if let Some(bootstrap_election) = &mut self.bootstrap_election {
+                    bootstrap_election.without_disk(address);
                 }
             }
             ReplicationMessage::Join { member, founding } => {
@@ -295,7 +297,7 @@
                     self.own_progress(now, actions);
                 }
             }
-            ReplicationMessage::Refused { promised } => self.refused(now, promised),
+            ReplicationMessage::Rejected { promised } => self.refused(now, promised),
             ReplicationMessage::Ping { term, round, .. } => self.answer_ping(now, from, term, round, actions),
             ReplicationMessage::Pong { term, round, position, synced } => {
                 if let Role::Primary(leadership) = &mut self.role {
@@ -342,9 +344,9 @@
         actions: &mut Vec<ReplicaAction>,
     ) {
         self.next_ticket += 1;
-        let ticket = Ticket(self.next_ticket);
-        self.writes.insert(ticket, PendingWrite { began: now, write: write.clone(), replies });
-        actions.push(ReplicaAction::Write { ticket, write });
+        let write_id = WriteId(self.next_ticket);
+        self.writes.insert(write_id, PendingWrite { began: now, write: write.clone(), replies });
+        actions.push(ReplicaAction::Write { write_id, write });
     }
 
     fn write_witness(
--- a/crates/router/control-plane/src/replication/replica/election.rs
+++ b/crates/router/control-plane/src/replication/replica/election.rs
@@ -3,7 +3,7 @@
 use super::{reply, Replica, Role, CANDIDACY, PRE_CANDIDACY};
 use crate::replication::leadership::Leadership;
 use crate::replication::types::{
-    EpochRecord, MemberId, ProtocolFault, ReplicaAction, ReplicatedState, ReplicationMessage, Sender,
+    EpochRecord, MemberId, ProtocolMutation, ReplicaAction, ReplicatedState, ReplicationMessage, Sender,
     StateVersion,
 };
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,22 +14,26 @@
 impl Replica {
     /// Whether this member is to stand for the first term of all: no record is known anywhere, as far as it has heard.
     pub(super) fn may_found(&self, now: Duration) -> bool {
-        let again = self.has_fault(ProtocolFault::FoundsAgain);
+        let again = self.has_mutation(ProtocolMutation::BootstrapsAgain);
         let unfounded = self.witness.record.is_none() && (self.hint.is_none() || again);
-        unfounded && self.founder.as_ref().is_some_and(|founder| founder.may_found(now))
+        unfounded
+            && self
+                .bootstrap_election
+                .as_ref()
+                .is_some_and(|bootstrap_election| bootstrap_election.may_found(now))
     }
 
     /// The record whose quorum decides an election in which this member stands: the newest stored, or before the first
     /// one the seeds.
     pub(super) fn electorate(&self, now: Duration) -> Option<EpochRecord> {
-        self.witness.record.clone().or_else(|| self.founder.as_ref()?.electorate(now))
+        self.witness.record.clone().or_else(|| self.bootstrap_election.as_ref()?.electorate(now))
     }
 
     pub(super) fn ask_for_place(&mut self, now: Duration, actions: &mut Vec<ReplicaAction>) {
         let member = self.settings.own;
-        let founding = self.founder.is_some() && self.witness.record.is_none();
-        if let Some(founder) = &mut self.founder {
-            founder.present(now, member);
+        let founding = self.bootstrap_election.is_some() && self.witness.record.is_none();
+        if let Some(bootstrap_election) = &mut self.bootstrap_election {
+            bootstrap_election.present(now, member);
         }
         if let Some(hint) = &self.hint {
             let message = ReplicationMessage::Join { member, founding };
@@ -172,7 +176,7 @@
         let voters: BTreeSet<MemberId> = promises.keys().copied().collect();
         let newest = promises.values().flatten().max_by_key(|r| r.position()).cloned();
         let newest = match self.settings.fault {
-            Some(ProtocolFault::CampaignsWithOldRecord) => self.durable_witness.record.clone(),
+            Some(ProtocolMutation::CampaignsWithOldRecord) => self.durable_witness.record.clone(),
             _ => newest,
         };
         let Some(newest) = newest else {
@@ -205,9 +209,10 @@
         voters: &BTreeSet<MemberId>,
         actions: &mut Vec<ReplicaAction>,
     ) {
-        let Some(founder) = &self.founder else { return };
-        let elected = founder.electorate(now).is_some_and(|electorate| electorate.is_quorum(voters));
-        if let Some(record) = founder.first_record(now, term).filter(|_| elected) {
+        let Some(bootstrap_election) = &self.bootstrap_election else { return };
+        let elected =
+            bootstrap_election.electorate(now).is_some_and(|electorate| electorate.is_quorum(voters));
+        if let Some(record) = bootstrap_election.first_record(now, term).filter(|_| elected) {
             self.lead(now, record, actions);
         }
     }
@@ -221,8 +226,8 @@
         // The state goes out under the own term, so that older primaries' unfinished changes give way to it.
         let version = StateVersion { term, index: self.state.version.index };
         let mut state = ReplicatedState { version, ..(*self.state).clone() };
-        if self.has_fault(ProtocolFault::ForgetsOrdersAtFailover) {
-            state.orders.clear();
+        if self.has_mutation(ProtocolMutation::DropsAppliedChangesAtFailover) {
+            state.applied_changes.clear();
         }
         self.take_state(now, Arc::new(state), actions);
     }
--- a/crates/router/control-plane/src/replication/replica/follower.rs
+++ b/crates/router/control-plane/src/replication/replica/follower.rs
@@ -2,7 +2,7 @@
 
 use super::{reply, PendingWrite, Replica, Role};
 use crate::replication::types::{
-    DurableWrite, EpochRecord, ProtocolFault, ReplicaAction, ReplicatedState, ReplicationMessage, Sender,
+    DurableWrite, EpochRecord, ProtocolMutation, ReplicaAction, ReplicatedState, ReplicationMessage, Sender,
 };
 use std::sync::Arc;
 use std::time::Duration;
@@ -39,7 +39,7 @@
         if self.witness.record.as_ref().is_none_or(|r| r.position() < position) {
             self.witness.record = Some(record);
         }
-        if self.has_fault(ProtocolFault::RecordsUnsynced) && self.durable_witness.record.is_some() {
+        if self.has_mutation(ProtocolMutation::AcceptsBeforeSync) && self.durable_witness.record.is_some() {
             self.durable_witness = self.witness.clone();
             actions.push(reply(from, accepted));
             return;
@@ -79,8 +79,8 @@
         }
         self.follow(now);
         let state = match self.settings.fault {
-            Some(ProtocolFault::ReplicatesNoOrders) => {
-                Arc::new(ReplicatedState { orders: Default::default(), ..(*state).clone() })
+            Some(ProtocolMutation::OmitsAppliedChanges) => {
+                Arc::new(ReplicatedState { applied_changes: Default::default(), ..(*state).clone() })
             }
             _ => state,
         };
@@ -106,7 +106,7 @@
 
     /// Something of a lower term than promised came.
     pub(super) fn refuse(&self, from: Sender, actions: &mut Vec<ReplicaAction>) {
-        actions.push(reply(from, ReplicationMessage::Refused { promised: self.witness.promised }));
+        actions.push(reply(from, ReplicationMessage::Rejected { promised: self.witness.promised }));
     }
 
     /// A primary of the promised term or a later one was heard.
--- a/crates/router/control-plane/src/replication/types.rs
+++ b/crates/router/control-plane/src/replication/types.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 /// Taken orders that are remembered, so that the same one sent again is acknowledged again.
-const REMEMBERED_ORDERS: usize = 512;
+const MAX_APPLIED_CHANGES: usize = 512;
 
 /// Time allowed for handing a state over, by its size.
 const MICROS_PER_KILOBYTE: u64 = 1_500;
@@ -100,7 +100,7 @@
 
 /// An order that was taken.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TakenOrder {
+pub struct AppliedChange {
     /// The generation that it brought.
     pub generation: u64,
     /// Digest of method, base version and body.
@@ -117,31 +117,32 @@
     /// The document, as JSON; `None` before the first configuration.
     pub document: Option<Arc<str>>,
     /// The orders taken last, oldest first.
-    pub orders: VecDeque<TakenOrder>,
+    #[serde(rename = "orders")]
+    pub applied_changes: VecDeque<AppliedChange>,
 }
 
 impl ReplicatedState {
     /// About the time that handing it over may take on a slow link, in addition to what a small one takes.
-    pub fn hand_over_time(&self) -> Duration {
+    pub fn transfer_time(&self) -> Duration {
         let bytes = self.document.as_ref().map_or(0, |d| d.len());
         Duration::from_micros(u64::try_from(bytes).unwrap_or(u64::MAX) * MICROS_PER_KILOBYTE / 1_024)
     }
 
     /// Whether an order that builds on this generation may have been taken and dropped out of the memory since.
-    pub fn may_have_forgotten(&self, base: u64) -> bool {
-        let oldest = self.orders.front().map_or(0, |order| order.generation);
-        self.orders.len() >= REMEMBERED_ORDERS && base < oldest
+    pub fn may_have_truncated(&self, base: u64) -> bool {
+        let oldest = self.applied_changes.front().map_or(0, |order| order.generation);
+        self.applied_changes.len() >= MAX_APPLIED_CHANGES && base < oldest
     }
 
     /// The state that follows by one more order.
-    pub fn after(&self, term: u64, generation: u64, document: Arc<str>, order: TakenOrder) -> Self {
-        let mut orders = self.orders.clone();
-        orders.push_back(order);
-        while orders.len() > REMEMBERED_ORDERS {
-            orders.pop_front();
+    pub fn after(&self, term: u64, generation: u64, document: Arc<str>, order: AppliedChange) -> Self {
+        let mut applied_changes = self.applied_changes.clone();
+        applied_changes.push_back(order);
+        while applied_changes.len() > MAX_APPLIED_CHANGES {
+            applied_changes.pop_front();
         }
         let version = StateVersion { term, index: self.version.index + 1 };
-        ReplicatedState { version, generation, document: Some(document), orders }
+        ReplicatedState { version, generation, document: Some(document), applied_changes }
     }
 }
 
@@ -165,7 +166,7 @@
 
 /// Names a write whose end is waited for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Ticket(pub u64);
+pub struct WriteId(pub u64);
 
 /// A message and who sent it. Words count by identity: a machine whose disk was lost speaks as another member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -185,7 +186,8 @@
         member: Member,
     },
     /// A seed that doesn't count tells that it takes no part in the founding.
-    SeedWithoutDisk {
+    #[serde(rename = "SeedWithoutDisk")]
+    NonVotingSeed {
         /// Its address.
         address: SocketAddrV4,
     },
@@ -231,7 +233,8 @@
         position: (u64, u64),
     },
     /// Something of a lower term than promised came.
-    Refused {
+    #[serde(rename = "Refused")]
+    Rejected {
         /// The term promised.
         promised: u64,
     },
@@ -278,11 +281,11 @@
             ReplicationMessage::PreVoteGranted { .. }
             | ReplicationMessage::Promise { .. }
             | ReplicationMessage::Accepted { .. }
-            | ReplicationMessage::Refused { .. }
+            | ReplicationMessage::Rejected { .. }
             | ReplicationMessage::Pong { .. }
             | ReplicationMessage::Synced { .. } => true,
             ReplicationMessage::Present { .. }
-            | ReplicationMessage::SeedWithoutDisk { .. }
+            | ReplicationMessage::NonVotingSeed { .. }
             | ReplicationMessage::Join { .. }
             | ReplicationMessage::PreVote { .. }
             | ReplicationMessage::Prepare { .. }
@@ -308,7 +311,7 @@
     /// Write and sync, then call [`Replica::written`](super::Replica::written).
     Write {
         /// Names the write.
-        ticket: Ticket,
+        write_id: WriteId,
         /// What to write.
         write: DurableWrite,
     },
@@ -317,41 +320,41 @@
 /// A way in which a member is made to break the protocol, so that the checker of simulated histories can itself be
 /// checked. The program never sets one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ProtocolFault {
+pub enum ProtocolMutation {
     /// A newer record is answered for without being written.
-    RecordsUnsynced,
+    AcceptsBeforeSync,
     /// The in-sync set shrinks without a majority's word.
-    ShrinksAlone,
+    ShrinksInSyncSetWithoutQuorum,
     /// A member whose place was given away still counts.
-    KeepsReplaced,
+    CountsReplacedMember,
     /// Taken orders are not replicated.
-    ReplicatesNoOrders,
+    OmitsAppliedChanges,
     /// A read is answered although no majority has confirmed the primary since.
     ReadsUnconfirmed,
     /// An order is refused although no majority has confirmed the primary since.
-    RefusesUnconfirmed,
+    RejectsUnconfirmed,
     /// A state is told on before it is committed.
     PublishesUncommitted,
     /// Quota is granted without a majority's word, and without waiting for the grantor before.
     GrantsUnconfirmed,
     /// A machine whose disk was lost founds the system a second time, alone.
-    FoundsAgain,
+    BootstrapsAgain,
     /// The machines that have found each other found the system, without a majority of the seeds.
-    FoundsWithoutSeeds,
+    BootstrapsWithoutSeeds,
     /// Questions of a process begin with the same numbers as those of the one before, and nothing tells them apart.
-    NumbersBeginAgain,
+    ReusesRequestIds,
     /// A majority counts as confirming a primary from the moment at which its answers arrive.
     ConfirmsAtArrival,
     /// An order counts as taken before if the order taken last brought the same generation.
     AcknowledgesByGeneration,
     /// A newcomer is put into the in-sync set before it has synced the state.
-    CountsNewcomerInSync,
+    AdmitsUnsyncedMember,
     /// Members leave the in-sync set, or their place, although too few others hold the state.
-    RemovesLastCopies,
+    RemovesLastReplicas,
     /// A candidate goes on from the record on its own disk, not from the newest that it was told.
     CampaignsWithOldRecord,
     /// The orders taken are forgotten when the primary changes.
-    ForgetsOrdersAtFailover,
+    DropsAppliedChangesAtFailover,
     /// A promise is told although the disk refused to hold it.
     PromisesOnFullDisk,
 }
@@ -373,5 +376,5 @@
     /// Sets this member's random choices apart from those of others.
     pub random_seed: u64,
     /// A broken rule, in simulations only.
-    pub fault: Option<ProtocolFault>,
+    pub fault: Option<ProtocolMutation>,
 }
--- a/crates/router/control-plane/src/replication/gathering.rs
+++ b/crates/router/control-plane/src/replication/voter_discovery.rs
@@ -17,16 +17,16 @@
 
 /// Machines that have told a seed that they are there.
 #[derive(Debug)]
-pub(super) struct Gathering {
+pub(super) struct VoterDiscovery {
     began: Duration,
     present: BTreeMap<MemberId, (Member, Duration)>,
     last_came: Duration,
 }
 
-impl Gathering {
+impl VoterDiscovery {
     /// Nobody is there yet.
     pub(super) fn new(now: Duration) -> Self {
-        Gathering { began: now, present: BTreeMap::new(), last_came: now }
+        VoterDiscovery { began: now, present: BTreeMap::new(), last_came: now }
     }
 
     /// A machine tells that it is there.
--- a/crates/router/control-plane/tests/quota.rs
+++ b/crates/router/control-plane/tests/quota.rs
@@ -1,7 +1,7 @@
 //! Quota grants: the bound over all sidecars, changes of grantor, reserves.
 
 use passrelay_configuration::Configuration;
-use passrelay_control_plane::quota::{Grantor, QuotaBounds, TenantKey, ToldLevels};
+use passrelay_control_plane::quota::{Grantor, QuotaBounds, ReportedLevels, TenantKey};
 use serde_json::json;
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -88,7 +88,7 @@
 #[test]
 fn the_first_to_ask_after_a_quiet_time_gets_no_more_of_the_reserve_than_its_share() {
     let mut grantor = grantor(ms(0), 1);
-    grantor.learn_sidecars(12);
+    grantor.set_sidecar_count(12);
     let wanted = [(TenantKey::of("t"), 10)];
     let first = grantor.grant(ms(0), Some(ms(0)), sidecar(1), &wanted, &[]).unwrap()[0];
     assert!(first.reserve as f64 <= RATE * 2.0 / 12.0, "{}", first.reserve);
@@ -115,12 +115,12 @@
     let mut first = grantor(ms(0), 1);
     // Time enough for a full bucket, of which all but little is spent.
     granted(&mut first, ms(9_000), sidecar(1), (capacity - 1_000.0) as u64).unwrap();
-    let told = |first: &mut Grantor, now| ToldLevels { levels: first.levels(now), at: now };
+    let told = |first: &mut Grantor, now| ReportedLevels { levels: first.levels(now), at: now };
     let emptied = told(&mut first, ms(9_000));
     assert_eq!(emptied.levels.tokens.len(), 1);
     let filled = told(&mut first, ms(19_000));
     assert_eq!(filled.levels.tokens, [], "buckets that are nearly full are not told one by one");
-    let next = |told: &ToldLevels, began: Duration| {
+    let next = |told: &ReportedLevels, began: Duration| {
         let mut next = Grantor::new(began, 2, bounds(), Some(told));
         next.configure(began, &configuration(1, RATE));
         granted(&mut next, began + ms(400), sidecar(1), 10_000_000).unwrap() as f64
--- a/crates/router/data-plane/src/balancer.rs
+++ b/crates/router/data-plane/src/balancer.rs
@@ -129,7 +129,7 @@
     unanswered: u32,
     unanswered_at_report: u32,
     /// Prompt tokens of own calls that have no answer yet.
-    unread_tokens: f64,
+    pending_prompt_tokens: f64,
     /// What other sidecars have out here, and when that was known.
     others: Option<(EndpointLoad, Duration)>,
     failures: u32,
@@ -159,7 +159,7 @@
             last_sent: Duration::ZERO,
             unanswered: 0,
             unanswered_at_report: 0,
-            unread_tokens: 0.0,
+            pending_prompt_tokens: 0.0,
             others: None,
             failures: 0,
             paused_until: Duration::ZERO,
@@ -178,7 +178,7 @@
     fn account(&mut self) -> EndpointLoad {
         EndpointLoad {
             endpoint: key_of(&self.id),
-            unread_tokens: self.unread_tokens as u32,
+            pending_prompt_tokens: self.pending_prompt_tokens as u32,
             in_flight: self.in_flight,
             answered: std::mem::take(&mut self.untold_answered),
             failed: std::mem::take(&mut self.untold_failed),
@@ -221,12 +221,12 @@
     /// when the last report was made.
     fn tokens_ahead(&self, now: Duration, mean_tokens: f64) -> f64 {
         if let Some(others) = self.others(now) {
-            return self.unread_tokens + f64::from(others.unread_tokens);
+            return self.pending_prompt_tokens + f64::from(others.pending_prompt_tokens);
         }
-        let Some((report, at)) = self.report else { return self.unread_tokens };
+        let Some((report, at)) = self.report else { return self.pending_prompt_tokens };
         let fresh = (-now.saturating_sub(at).as_secs_f64() / REPORT_FADES.as_secs_f64()).exp();
         let others = (report.waiting - f64::from(self.unanswered_at_report)).max(0.0);
-        self.unread_tokens + others * mean_tokens * fresh
+        self.pending_prompt_tokens + others * mean_tokens * fresh
     }
 
     /// The formula: spare capacity, 0 to 100.
@@ -284,7 +284,7 @@
     pub fn update<'a>(&mut self, records: impl Iterator<Item = &'a EndpointRecord>) {
         let mut services: BTreeMap<&str, Vec<Arc<str>>> = BTreeMap::new();
         let mut before = std::mem::take(&mut self.endpoints);
-        for record in records.filter(|r| r.state != EndpointState::Gone) {
+        for record in records.filter(|r| r.state != EndpointState::Removed) {
             let own_zone = record.zone == self.zone;
             let mut endpoint =
                 before.remove(record.id.as_str()).unwrap_or_else(|| Endpoint::new(record, own_zone));
@@ -311,7 +311,7 @@
     pub fn may_send(&self, id: &str) -> bool {
         self.endpoints
             .get(id)
-            .is_some_and(|e| matches!(e.state, EndpointState::Ready | EndpointState::Silent))
+            .is_some_and(|e| matches!(e.state, EndpointState::Ready | EndpointState::Expired))
     }
 
     /// Picks an endpoint.
@@ -436,7 +436,7 @@
                 |part: fn(&EndpointLoad) -> u32| sum.map_or(0, part).saturating_sub(own.map_or(0, part));
             let others = EndpointLoad {
                 endpoint: key,
-                unread_tokens: rest(|l| l.unread_tokens),
+                pending_prompt_tokens: rest(|l| l.pending_prompt_tokens),
                 in_flight: rest(|l| l.in_flight),
                 answered: sum.map_or(0, |l| l.answered),
                 failed: sum.map_or(0, |l| l.failed),
@@ -454,7 +454,7 @@
             }
         }
         if let Some(endpoint) = self.endpoints.get_mut(&pick.id) {
-            endpoint.unread_tokens += pick.tokens_to_read as f64;
+            endpoint.pending_prompt_tokens += pick.tokens_to_read as f64;
             endpoint.in_flight += 1;
             endpoint.calls_since += 1;
             if endpoint.unanswered == 0 {
@@ -514,7 +514,7 @@
 
 impl Endpoint {
     fn forget_unread(&mut self, pick: &Pick) {
-        self.unread_tokens = (self.unread_tokens - pick.tokens_to_read as f64).max(0.0);
+        self.pending_prompt_tokens = (self.pending_prompt_tokens - pick.tokens_to_read as f64).max(0.0);
     }
 
     fn pause(&mut self, now: Duration) {
--- a/crates/router/data-plane/src/quota.rs
+++ b/crates/router/data-plane/src/quota.rs
@@ -101,7 +101,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Question {
     /// Its number, which the answer repeats.
-    pub nonce: u64,
+    pub request_id: u64,
     /// Tenants, and tokens wanted.
     pub wanted: Vec<(u64, u64)>,
     /// Tenants, and tokens spent of reserves that no answered question has told.
@@ -172,7 +172,8 @@
 
     /// What to ask the grantor now, if anything is wanted.
     pub fn question(&mut self, now: Duration) -> Option<Question> {
-        let mut question = Question { nonce: self.last_nonce + 1, wanted: Vec::new(), overdrawn: Vec::new() };
+        let mut question =
+            Question { request_id: self.last_nonce + 1, wanted: Vec::new(), overdrawn: Vec::new() };
         for (tenant, share) in &mut self.shares {
             share.expire(now);
             let asked = share.asked_at.is_some_and(|at| now.saturating_sub(at) < ASK_AGAIN_AFTER);
@@ -189,8 +190,8 @@
         if question.wanted.is_empty() {
             return None;
         }
-        self.last_nonce = question.nonce;
-        self.open.insert(question.nonce, Open { asked_at: now, question: question.clone() });
+        self.last_nonce = question.request_id;
+        self.open.insert(question.request_id, Open { asked_at: now, question: question.clone() });
         while self.open.len() > OPEN_QUESTIONS {
             self.open.pop_first();
         }
@@ -198,8 +199,8 @@
     }
 
     /// Takes in the answer to a question; what isn't named in it was not granted.
-    pub fn answered(&mut self, now: Duration, nonce: u64, granted: &[Grant]) {
-        let Some(Open { asked_at, question }) = self.open.remove(&nonce) else { return };
+    pub fn answered(&mut self, now: Duration, request_id: u64, granted: &[Grant]) {
+        let Some(Open { asked_at, question }) = self.open.remove(&request_id) else { return };
         let ends = (asked_at + self.grants_last).saturating_sub(MARGIN);
         for (tenant, wanted) in question.wanted {
             let Some(share) = self.shares.get_mut(&tenant) else { continue };
--- a/crates/router/data-plane/tests/balancer.rs
+++ b/crates/router/data-plane/tests/balancer.rs
@@ -111,7 +111,12 @@
     let key = told[0].endpoint;
     let sums = HashMap::from([(
         key,
-        EndpointLoad { endpoint: key, unread_tokens: 500_000, in_flight: 40, ..EndpointLoad::default() },
+        EndpointLoad {
+            endpoint: key,
+            pending_prompt_tokens: 500_000,
+            in_flight: 40,
+            ..EndpointLoad::default()
+        },
     )]);
     balancer.learn_sums(ms(10), &told, &sums);
     assert_ne!(pick(&mut balancer, ms(20), Some(prompt(8))).id, home.id);
@@ -150,8 +155,8 @@
 
 #[rstest]
 #[case(EndpointState::Draining, false, false)]
-#[case(EndpointState::Gone, false, false)]
-#[case(EndpointState::Silent, true, true)]
+#[case(EndpointState::Removed, false, false)]
+#[case(EndpointState::Expired, true, true)]
 fn who_may_be_sent_to_follows_the_state(
     #[case] state: EndpointState,
     #[case] may_send: bool,
--- a/crates/router/data-plane/tests/limits.rs
+++ b/crates/router/data-plane/tests/limits.rs
@@ -83,12 +83,12 @@
     let question = shares.question(ms(0)).unwrap();
     assert_eq!(question.wanted, [(1, 100)]);
     assert_eq!(shares.question(ms(10)), None, "it is asked for already");
-    shares.answered(ms(20), question.nonce, &grant(100, 0));
+    shares.answered(ms(20), question.request_id, &grant(100, 0));
     assert!(shares.spend(ms(30), 1, 100) && !shares.spend(ms(30), 1, 1));
     shares.want(1, 50);
     let question = shares.question(ms(40)).unwrap();
     // The answer was under way for so long that nothing of it may be spent.
-    shares.answered(ms(2_000), question.nonce, &grant(150, 0));
+    shares.answered(ms(2_000), question.request_id, &grant(150, 0));
     assert!(!shares.spend(ms(2_000), 1, 50));
 }
 
@@ -97,7 +97,7 @@
     let mut shares = shares();
     shares.want(1, 10);
     let question = shares.question(ms(0)).unwrap();
-    shares.answered(ms(5), question.nonce, &grant(10, 30));
+    shares.answered(ms(5), question.request_id, &grant(10, 30));
     assert!(shares.spend(ms(6), 1, 10));
     assert!(!shares.spend(ms(7), 1, 10), "the grantor answers");
     shares.question(ms(8)).unwrap();
@@ -105,7 +105,7 @@
     let told = shares.question(ms(101)).unwrap();
     assert_eq!(told.overdrawn, [(1, 10)]);
     assert!(shares.spend(ms(102), 1, 20) && !shares.spend(ms(103), 1, 1));
-    shares.answered(ms(104), told.nonce, &grant(0, 0));
+    shares.answered(ms(104), told.request_id, &grant(0, 0));
     // What was spent after the question was sent is still to be told.
     assert_eq!(shares.question(ms(110)).unwrap().overdrawn, [(1, 20)]);
 }
--- a/crates/router/dissemination/src/gossip.rs
+++ b/crates/router/dissemination/src/gossip.rs
@@ -72,7 +72,7 @@
 pub struct Digest {
     /// Names the question.
     #[serde(rename = "n")]
-    pub nonce: u64,
+    pub request_id: u64,
     /// Index of the configuration in force; 0 for none.
     #[serde(rename = "i")]
     pub index: u64,
@@ -91,10 +91,12 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GossipMessage {
     /// A question for what the other knows.
-    Ask(Digest),
+    #[serde(rename = "Ask")]
+    DigestRequest(Digest),
     /// The answer.
-    Answer {
-        /// What the answering sidecar knows; `nonce` is that of the question.
+    #[serde(rename = "Answer")]
+    DigestResponse {
+        /// What the answering sidecar knows; `request_id` is that of the question.
         digest: Digest,
         /// How long ago its configuration was known to be the newest, in ms.
         fresh_age_ms: Option<u32>,
@@ -130,7 +132,7 @@
     /// A newer configuration is in force from now on.
     Configured(CommittedConfiguration),
     /// The core knows what was announced.
-    Confirmed(Announcement),
+    AnnouncementConfirmed(Announcement),
 }
 
 /// Names something about an endpoint that the core is to know before it is acknowledged.
@@ -147,7 +149,7 @@
 /// A way in which dissemination is made to break its rules, so that the checkers of simulated histories can
 /// themselves be checked. The program never sets one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum GossipFault {
+pub enum GossipMutation {
     /// What is known of the configuration counts as current when it arrives, however old it was at the sender.
     AgeFromArrival,
 }
@@ -164,14 +166,14 @@
     /// Sets this sidecar's random choices apart from those of others.
     pub random_seed: u64,
     /// A broken rule, in simulations only.
-    pub fault: Option<GossipFault>,
+    pub fault: Option<GossipMutation>,
 }
 
 /// The decider.
 pub struct Gossip {
     own: SocketAddrV4,
     seeds: Vec<SocketAddrV4>,
-    fault: Option<GossipFault>,
+    fault: Option<GossipMutation>,
     rng: ChaCha8Rng,
     view: PartialView,
     registry: Registry,
@@ -250,7 +252,7 @@
     }
 
     /// Takes in where the core is; older news than what is known changes nothing.
-    pub fn learn_core(&mut self, hint: CoreHint) {
+    pub fn observe_core(&mut self, hint: CoreHint) {
         let newer = |known: &CoreHint| (hint.term, hint.sequence) > (known.term, known.sequence);
         if self.core.as_ref().is_none_or(newer) {
             self.core = Some(hint);
@@ -278,7 +280,7 @@
     }
 
     /// From now on the core is asked until a member of it, in contact with a majority since now, knows what is known here
-    /// of an endpoint. [`GossipAction::Confirmed`] tells when; it may never come.
+    /// of an endpoint. [`GossipAction::AnnouncementConfirmed`] tells when; it may never come.
     pub fn announce(&mut self, now: Duration, endpoint: &str) -> Announcement {
         self.last_announcement += 1;
         let announcement = Announcement(self.last_announcement);
@@ -291,7 +293,7 @@
         let (done, open): (Vec<Unconfirmed>, Vec<Unconfirmed>) =
             std::mem::take(&mut self.unconfirmed).into_iter().partition(|u| confirmed(u));
         self.unconfirmed = open;
-        actions.extend(done.into_iter().map(|u| GossipAction::Confirmed(u.announcement)));
+        actions.extend(done.into_iter().map(|u| GossipAction::AnnouncementConfirmed(u.announcement)));
     }
 
     /// A heartbeat of an endpoint.
@@ -343,8 +345,8 @@
         let from = peer.address;
         self.view.heard(now, from, &mut self.rng);
         match message {
-            GossipMessage::Ask(digest) => self.answer(now, peer, digest, actions),
-            GossipMessage::Answer { digest, fresh_age_ms } => {
+            GossipMessage::DigestRequest(digest) => self.answer(now, peer, digest, actions),
+            GossipMessage::DigestResponse { digest, fresh_age_ms } => {
                 self.learn_answer(now, from, digest, fresh_age_ms, actions);
             }
             GossipMessage::Announce { index } => self.fetch_if_newer(now, from, index, actions),
@@ -361,9 +363,9 @@
         self.configuration.as_ref().map_or(0, |c| c.index)
     }
 
-    fn digest(&mut self, now: Duration, nonce: u64) -> Digest {
+    fn digest(&mut self, now: Duration, request_id: u64) -> Digest {
         Digest {
-            nonce,
+            request_id,
             index: self.index(),
             registry: self.registry.digest(),
             core: self.core.clone(),
@@ -376,12 +378,12 @@
             return;
         }
         self.next_nonce += 1;
-        let nonce = self.next_nonce;
-        self.questions.insert(nonce, now);
+        let request_id = self.next_nonce;
+        self.questions.insert(request_id, now);
         while self.questions.len() > OPEN_QUESTIONS {
             self.questions.pop_first();
         }
-        let message = GossipMessage::Ask(self.digest(now, nonce));
+        let message = GossipMessage::DigestRequest(self.digest(now, request_id));
         actions.push(GossipAction::Send { to, addressee: None, message });
     }
 
@@ -416,12 +418,12 @@
     fn answer(&mut self, now: Duration, peer: Peer, asked: Digest, actions: &mut Vec<GossipAction>) {
         let from = peer.address;
         self.learn_digest(now, from, &asked, actions);
-        let digest = self.digest(now, asked.nonce);
+        let digest = self.digest(now, asked.request_id);
         let age = self.fresh_at.map(|at| now.saturating_sub(at));
         let fresh_age_ms =
             age.map(|age| u32::try_from(age.as_millis()).unwrap_or(u32::MAX).saturating_add(1));
         self.send_differing(from, &asked.registry, actions);
-        let message = GossipMessage::Answer { digest, fresh_age_ms };
+        let message = GossipMessage::DigestResponse { digest, fresh_age_ms };
         actions.push(GossipAction::Send { to: from, addressee: Some(peer.incarnation), message });
     }
 
@@ -434,10 +436,10 @@
         actions: &mut Vec<GossipAction>,
     ) {
         // Age is counted from the sending of the own question: an answer may have been under way for long.
-        let Some(asked_at) = self.questions.remove(&digest.nonce) else { return };
+        let Some(asked_at) = self.questions.remove(&digest.request_id) else { return };
         if let Some(age_ms) = fresh_age_ms {
             let age = match self.fault {
-                Some(GossipFault::AgeFromArrival) => Duration::ZERO,
+                Some(GossipMutation::AgeFromArrival) => Duration::ZERO,
                 None => Duration::from_millis(u64::from(age_ms)),
             };
             if digest.index <= self.index() && asked_at >= age {
@@ -462,7 +464,7 @@
     ) {
         self.view.merge(now, &digest.sample, &mut self.rng);
         if let Some(hint) = &digest.core {
-            self.learn_core(hint.clone());
+            self.observe_core(hint.clone());
         }
         self.fetch_if_newer(now, from, digest.index, actions);
     }
--- a/crates/router/dissemination/src/lib.rs
+++ b/crates/router/dissemination/src/lib.rs
@@ -9,8 +9,8 @@
 mod view;
 
 pub use gossip::{
-    Announcement, CommittedConfiguration, CoreHint, Digest, Gossip, GossipAction, GossipFault, GossipMessage,
-    GossipSettings,
+    Announcement, CommittedConfiguration, CoreHint, Digest, Gossip, GossipAction, GossipMessage,
+    GossipMutation, GossipSettings,
 };
 pub use load::{EndpointLoad, Outcomes};
 pub use peer::{Incarnation, Peer};
--- a/crates/router/dissemination/src/load.rs
+++ b/crates/router/dissemination/src/load.rs
@@ -14,7 +14,7 @@
     pub endpoint: u64,
     /// Prompt tokens of requests that have no answer yet.
     #[serde(rename = "t", default, skip_serializing_if = "is_zero")]
-    pub unread_tokens: u32,
+    pub pending_prompt_tokens: u32,
     /// Requests out.
     #[serde(rename = "o", default, skip_serializing_if = "is_zero")]
     pub in_flight: u32,
--- a/crates/router/dissemination/src/registry.rs
+++ b/crates/router/dissemination/src/registry.rs
@@ -34,9 +34,11 @@
     /// Finishes what it has; nothing new may be sent.
     Draining,
     /// Its heartbeats have stopped.
-    Silent,
+    #[serde(rename = "Silent")]
+    Expired,
     /// It has said that it is gone, or its address has another owner.
-    Gone,
+    #[serde(rename = "Gone")]
+    Removed,
 }
 
 /// What is known of one endpoint.
@@ -67,8 +69,8 @@
 
 impl EndpointRecord {
     fn is_newer_than(&self, other: &EndpointRecord) -> bool {
-        other.state != EndpointState::Gone
-            && (self.state == EndpointState::Gone
+        other.state != EndpointState::Removed
+            && (self.state == EndpointState::Removed
                 || (self.sequence, self.state) > (other.sequence, other.state))
     }
 }
@@ -136,7 +138,7 @@
     /// Takes in what was known before a restart. Each record has to be confirmed by a heartbeat soon, here or elsewhere.
     pub fn restore(&mut self, now: Duration, records: Vec<EndpointRecord>) {
         for record in records {
-            if record.state < EndpointState::Silent && !self.entries.contains_key(&record.id) {
+            if record.state < EndpointState::Expired && !self.entries.contains_key(&record.id) {
                 self.entries.insert(record.id.clone(), Entry { record, changed_at: now, restored: true });
                 self.touch();
             }
@@ -147,7 +149,7 @@
     pub fn heartbeat(&mut self, now: Duration, beat: &Heartbeat) -> Vec<EndpointRecord> {
         let told = &beat.record;
         let known = self.entries.get(&told.id).map(|e| &e.record);
-        let late = known.is_some_and(|k| k.state == EndpointState::Gone || told.sequence < k.sequence);
+        let late = known.is_some_and(|k| k.state == EndpointState::Removed || told.sequence < k.sequence);
         if late || self.heard.get(&told.id).is_some_and(|h| told.sequence < h.sequence) {
             return Vec::new();
         }
@@ -170,7 +172,7 @@
     pub fn leave(&mut self, now: Duration, id: &str) -> Vec<EndpointRecord> {
         self.heard.remove(id);
         let Some(entry) = self.entries.get(id) else { return Vec::new() };
-        let gone = EndpointRecord { state: EndpointState::Gone, ..entry.record.clone() };
+        let gone = EndpointRecord { state: EndpointState::Removed, ..entry.record.clone() };
         if !gone.is_newer_than(&entry.record) {
             return Vec::new();
         }
@@ -205,7 +207,7 @@
     /// What this sidecar has heard that is later than the silence it is told of.
     fn contradiction(&self, told: &EndpointRecord) -> Option<EndpointRecord> {
         let heard = self.heard.get(&told.id)?;
-        if told.state != EndpointState::Silent || heard.sequence <= told.sequence {
+        if told.state != EndpointState::Expired || heard.sequence <= told.sequence {
             return None;
         }
         let state = match self.entries.get(&told.id)?.record.state {
@@ -228,7 +230,7 @@
         for (id, sequence) in stopped {
             self.heard.remove(&id);
             let Some(entry) = self.entries.get(&id) else { continue };
-            let silent = EndpointRecord { state: EndpointState::Silent, sequence, ..entry.record.clone() };
+            let silent = EndpointRecord { state: EndpointState::Expired, sequence, ..entry.record.clone() };
             if silent.is_newer_than(&entry.record) {
                 self.put(now, silent.clone());
                 news.push(silent);
@@ -251,14 +253,14 @@
             .collect();
         for id in stale {
             if let Some(entry) = self.entries.get_mut(&id) {
-                entry.record.state = EndpointState::Silent;
+                entry.record.state = EndpointState::Expired;
                 entry.changed_at = now;
                 self.touch();
             }
         }
         let before = self.entries.len();
         self.entries.retain(|_, e| {
-            e.record.state < EndpointState::Silent || now.saturating_sub(e.changed_at) < TOMBSTONE_FOR
+            e.record.state < EndpointState::Expired || now.saturating_sub(e.changed_at) < TOMBSTONE_FOR
         });
         if self.entries.len() != before {
             self.touch();
@@ -271,7 +273,7 @@
             return digest;
         }
         let mut digest = [0; BUCKETS];
-        for entry in self.entries.values().filter(|e| e.record.state != EndpointState::Gone) {
+        for entry in self.entries.values().filter(|e| e.record.state != EndpointState::Removed) {
             let mut hasher = DefaultHasher::new();
             (&entry.record.id, entry.record.sequence, entry.record.state).hash(&mut hasher);
             digest[bucket_of(&entry.record.id)] ^= hasher.finish() as u32;
@@ -298,7 +300,7 @@
         let former: Vec<String> = self
             .entries
             .values()
-            .filter(|e| e.record.address == newcomer.address && e.record.state != EndpointState::Gone)
+            .filter(|e| e.record.address == newcomer.address && e.record.state != EndpointState::Removed)
             .map(|e| e.record.id.clone())
             .collect();
         former.iter().flat_map(|id| self.leave(now, id)).collect()
--- a/crates/router/dissemination/tests/registry.rs
+++ b/crates/router/dissemination/tests/registry.rs
@@ -36,7 +36,7 @@
     assert_eq!(state(&registry, "i"), Some(EndpointState::Draining));
     assert_eq!(registry.leave(at(30), "i").len(), 1);
     assert!(registry.heartbeat(at(40), &beat("i", 1, EndpointState::Ready, 9)).is_empty());
-    assert_eq!(state(&registry, "i"), Some(EndpointState::Gone));
+    assert_eq!(state(&registry, "i"), Some(EndpointState::Removed));
 }
 
 #[test]
@@ -56,7 +56,7 @@
     // It goes on at the second one, and the rumour of that is lost.
     second.heartbeat(at(1_200), &beat("i", 1, EndpointState::Ready, 2));
     let silence = first.sweep(at(5_000));
-    assert_eq!(silence[0].state, EndpointState::Silent);
+    assert_eq!(silence[0].state, EndpointState::Expired);
     assert!(second.merge(at(5_001), silence).is_empty());
     assert_eq!(state(&second, "i"), Some(EndpointState::Ready));
     // The digests differ, and the later one wins.
@@ -70,12 +70,12 @@
     let mut registry = Registry::new(BEAT);
     registry.heartbeat(at(0), &beat("i", 1, EndpointState::Ready, 2));
     registry.heartbeat(at(1_200), &beat("i", 1, EndpointState::Ready, 3));
-    let told = beat("i", 1, EndpointState::Silent, 2).record;
+    let told = beat("i", 1, EndpointState::Expired, 2).record;
     let contradiction = registry.merge(at(1_300), vec![told]);
     assert_eq!((contradiction[0].state, contradiction[0].sequence), (EndpointState::Ready, 3));
     // A silence after the last heartbeat that was heard here stands.
-    let told = beat("i", 1, EndpointState::Silent, 4).record;
-    assert_eq!(registry.merge(at(1_400), vec![told])[0].state, EndpointState::Silent);
+    let told = beat("i", 1, EndpointState::Expired, 4).record;
+    assert_eq!(registry.merge(at(1_400), vec![told])[0].state, EndpointState::Expired);
 }
 
 #[test]
@@ -84,7 +84,7 @@
     registry.heartbeat(at(0), &beat("old", 1, EndpointState::Ready, 1));
     let news = registry.heartbeat(at(10), &beat("new", 1, EndpointState::Ready, 1));
     assert_eq!(news.len(), 2);
-    assert_eq!(state(&registry, "old"), Some(EndpointState::Gone));
+    assert_eq!(state(&registry, "old"), Some(EndpointState::Removed));
 }
 
 #[test]
@@ -111,5 +111,5 @@
     registry.heartbeat(at(900), &beat("a", 1, EndpointState::Ready, 8));
     registry.sweep(at(2_700));
     assert_eq!(state(&registry, "a"), Some(EndpointState::Ready));
-    assert_eq!(state(&registry, "b"), Some(EndpointState::Silent));
+    assert_eq!(state(&registry, "b"), Some(EndpointState::Expired));
 }
--- a/crates/router/node/src/client_connections.rs
+++ b/crates/router/node/src/client_connections.rs
@@ -8,7 +8,7 @@
 
 /// What a connection's task is told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Order {
+pub enum ConnectionCommand {
     /// Close as soon as nothing is owed.
     Finish,
     /// Close now.
@@ -28,7 +28,7 @@
 /// One connection, shared by its socket, its requests and the sweeper.
 pub struct ClientConnection {
     phase: Cell<Phase>,
-    orders: Sender<Order>,
+    commands: Sender<ConnectionCommand>,
 }
 
 impl ClientConnection {
@@ -72,9 +72,9 @@
 
 impl ClientConnections {
     /// A connection has opened. Returns its number, itself, and where its orders come.
-    pub fn open(&self, now: Duration) -> (u64, Rc<ClientConnection>, Receiver<Order>) {
-        let (orders, received) = smol::channel::bounded(2);
-        let connection = Rc::new(ClientConnection { phase: Cell::new(Phase::Idle(now)), orders });
+    pub fn open(&self, now: Duration) -> (u64, Rc<ClientConnection>, Receiver<ConnectionCommand>) {
+        let (commands, received) = smol::channel::bounded(2);
+        let connection = Rc::new(ClientConnection { phase: Cell::new(Phase::Idle(now)), commands });
         let number = self.next.get();
         self.next.set(number + 1);
         self.open.borrow_mut().insert(number, connection.clone());
@@ -99,7 +99,7 @@
     /// Has all connections close as soon as nothing is owed on them.
     pub fn finish_all(&self) {
         for connection in self.open.borrow().values() {
-            let _ = connection.orders.try_send(Order::Finish);
+            let _ = connection.commands.try_send(ConnectionCommand::Finish);
         }
     }
 
@@ -107,7 +107,7 @@
     pub fn sweep(&self, now: Duration, head_within: Duration, idle_within: Duration) {
         for connection in self.open.borrow().values() {
             if connection.is_over(now, head_within, idle_within) {
-                let _ = connection.orders.try_send(Order::Close);
+                let _ = connection.commands.try_send(ConnectionCommand::Close);
             }
         }
     }
--- a/crates/router/node/src/control_api.rs
+++ b/crates/router/node/src/control_api.rs
@@ -7,7 +7,7 @@
 use hyper::body::Incoming;
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
-use passrelay_control_plane::orders::{Order, OrderKind};
+use passrelay_control_plane::configuration_change::{ChangeKind, ConfigurationChange};
 use passrelay_control_plane::OperatorRequest;
 use passrelay_dissemination::{EndpointRecord, EndpointState, Heartbeat};
 use serde_json::Value;
@@ -63,8 +63,8 @@
         (Method::GET, "/ready") => readiness(node),
         (Method::GET, "/status") => json(StatusCode::OK, node.status()),
         (Method::GET, "/config") => operator(node, OperatorRequest::Read).await,
-        (Method::PUT, "/config") => change(node, OrderKind::Replace, request).await,
-        (Method::PATCH, "/config") => change(node, OrderKind::Patch, request).await,
+        (Method::PUT, "/config") => change(node, ChangeKind::Replace, request).await,
+        (Method::PATCH, "/config") => change(node, ChangeKind::Patch, request).await,
         (method, path) => match path.strip_prefix("/instances/") {
             Some(id) if method == Method::PUT => heartbeat(node, id, request).await,
             Some(id) if method == Method::DELETE => acknowledgement(node.leave(id).await),
@@ -105,7 +105,7 @@
     }
 }
 
-async fn change(node: &Rc<Node>, kind: OrderKind, request: Request<Incoming>) -> Response<Body> {
+async fn change(node: &Rc<Node>, kind: ChangeKind, request: Request<Incoming>) -> Response<Body> {
     let base = request.headers().get("if-match").and_then(|v| v.to_str().ok());
     let base = base.and_then(|text| text.trim().trim_matches('"').parse::<u64>().ok());
     let Some(base) = base else {
@@ -115,7 +115,10 @@
         return fault(StatusCode::PAYLOAD_TOO_LARGE, "the order is too long, or was cut off");
     };
     match String::from_utf8(body.to_bytes().into()) {
-        Ok(text) => operator(node, OperatorRequest::Change(Order { kind, base, body: text.into() })).await,
+        Ok(text) => {
+            operator(node, OperatorRequest::Change(ConfigurationChange { kind, base, body: text.into() }))
+                .await
+        }
         Err(_) => fault(StatusCode::BAD_REQUEST, "document: cannot be read as JSON: not UTF-8"),
     }
 }
--- a/crates/router/node/src/front.rs
+++ b/crates/router/node/src/front.rs
@@ -1,7 +1,7 @@
 //! Clients' connections: accepting them, serving requests on them, ending them.
 
 use crate::answers::{Body, BodyError};
-use crate::client_connections::{ClientConnection, Order};
+use crate::client_connections::{ClientConnection, ConnectionCommand};
 use crate::listener::accept_all;
 use crate::node::Node;
 use crate::proxy;
@@ -56,7 +56,7 @@
 
 async fn serve(node: Rc<Node>, stream: TcpStream) {
     let _ = stream.set_nodelay(true);
-    let (number, connection, orders) = node.clients.open(node.now());
+    let (number, connection, commands) = node.clients.open(node.now());
     let io = FuturesIo::new(TrackedStream { stream, connection: connection.clone(), node: node.clone() });
     let head_bytes = node.snapshot().map_or(DEFAULT_HEAD_BYTES, |s| s.table.limits().max_header_bytes);
     let service = {
@@ -68,18 +68,18 @@
         .serve_connection(io, service);
     let mut serving = std::pin::pin!(serving);
     loop {
-        let order = {
+        let command = {
             let served = async {
                 let _ = serving.as_mut().await;
                 None
             };
-            smol::future::or(served, async { orders.recv().await.ok() }).await
+            smol::future::or(served, async { commands.recv().await.ok() }).await
         };
-        match order {
-            Some(Order::Finish) => serving.as_mut().graceful_shutdown(),
+        match command {
+            Some(ConnectionCommand::Finish) => serving.as_mut().graceful_shutdown(),
             // A request may have come between the order and now: it is served, and the connection looked at again later.
-            Some(Order::Close) if connection.is_busy() => {}
-            Some(Order::Close) | None => break,
+            Some(ConnectionCommand::Close) if connection.is_busy() => {}
+            Some(ConnectionCommand::Close) | None => break,
         }
     }
     node.clients.closed(number);
--- a/crates/router/node/src/node.rs
+++ b/crates/router/node/src/node.rs
@@ -10,7 +10,7 @@
 use event_listener::Event;
 use passrelay_configuration::{parse_document, Configuration};
 use passrelay_control_plane::load::LoadMessage;
-use passrelay_control_plane::quota::{Allotment, QuotaMessage, TenantKey, GRANT_LASTS};
+use passrelay_control_plane::quota::{QuotaMessage, TenantGrant, TenantKey, GRANT_LIFETIME};
 use passrelay_control_plane::replication::{Member, ReplicaSettings};
 use passrelay_control_plane::{
     Action, CallId, Coordinator, CoordinatorSettings, OperatorAnswer, OperatorRequest,
@@ -256,10 +256,11 @@
     /// Asks the grantor for the tokens that are wanted now.
     pub fn ask_for_quota(self: &Rc<Self>) {
         let question = self.quota.borrow_mut().question(self.now());
-        let Some(Question { nonce, wanted, overdrawn }) = question else { return };
+        let Some(Question { request_id, wanted, overdrawn }) = question else { return };
         let keyed = |all: Vec<(u64, u64)>| all.into_iter().map(|(key, n)| (TenantKey(key), n)).collect();
-        let message = QuotaMessage::Want { nonce, wanted: keyed(wanted), overdrawn: keyed(overdrawn) };
-        self.drive(|c, now, actions| c.want_tokens(now, message, actions));
+        let message =
+            QuotaMessage::Request { request_id, wanted: keyed(wanted), overdrawn: keyed(overdrawn) };
+        self.drive(|c, now, actions| c.request_tokens(now, message, actions));
     }
 
     /// Has the coordinator do something and carries its actions out.
@@ -282,9 +283,9 @@
     fn carry_out(self: &Rc<Self>, action: Action) {
         match action {
             Action::Send { to, envelope } => self.transport.send(self.executor, to, envelope),
-            Action::Write { ticket, write } => {
+            Action::Write { write_id, write } => {
                 if let Some(storage) = &*self.storage.borrow() {
-                    storage.write(ticket, write);
+                    storage.write(write_id, write);
                 }
             }
             Action::Configured(configuration) => self.configure(&configuration),
@@ -293,13 +294,13 @@
                     let _ = waiting.try_send(answer);
                 }
             }
-            Action::Confirmed(announcement) => {
+            Action::AnnouncementConfirmed(announcement) => {
                 if let Some(waiting) = self.announcements.borrow_mut().remove(&announcement) {
                     let _ = waiting.try_send(());
                 }
             }
-            Action::Granted(grant) => self.take_grant(grant),
-            Action::LoadSums(sums) => self.take_sums(sums),
+            Action::QuotaGranted(grant) => self.take_grant(grant),
+            Action::LoadTotals(sums) => self.take_sums(sums),
         }
     }
 
@@ -322,24 +323,24 @@
     }
 
     fn take_grant(&self, grant: QuotaMessage) {
-        let QuotaMessage::Grant { nonce, granted, .. } = grant else { return };
-        let grant = |a: Allotment| Grant { tenant: a.tenant.0, tokens: a.tokens, reserve: a.reserve };
+        let QuotaMessage::Grant { request_id, granted, .. } = grant else { return };
+        let grant = |a: TenantGrant| Grant { tenant: a.tenant.0, tokens: a.tokens, reserve: a.reserve };
         let grants: Vec<Grant> = granted.into_iter().map(grant).collect();
-        self.quota.borrow_mut().answered(self.now(), nonce, &grants);
+        self.quota.borrow_mut().answered(self.now(), request_id, &grants);
         self.quota_granted.notify(usize::MAX);
     }
 
-    fn tell_load(self: &Rc<Self>) {
+    fn report_load(self: &Rc<Self>) {
         let loads = self.balancer.borrow_mut().account();
-        let nonce = self.told_load.borrow().0 + 1;
-        *self.told_load.borrow_mut() = (nonce, loads.clone());
-        self.drive(|c, now, actions| c.tell_load(now, nonce, loads, actions));
+        let request_id = self.told_load.borrow().0 + 1;
+        *self.told_load.borrow_mut() = (request_id, loads.clone());
+        self.drive(|c, now, actions| c.report_load(now, request_id, loads, actions));
     }
 
     fn take_sums(&self, sums: LoadMessage) {
-        let LoadMessage::Sums { nonce, sidecars, loads } = sums else { return };
+        let LoadMessage::Totals { request_id, sidecars, loads } = sums else { return };
         let told = self.told_load.borrow();
-        if told.0 != nonce {
+        if told.0 != request_id {
             return;
         }
         self.sidecars.set(sidecars.max(1));
@@ -359,8 +360,8 @@
     fn disk_event(self: &Rc<Self>, event: DiskEvent) {
         match event {
             DiskEvent::Opened(opened) => self.attach_replica(*opened),
-            DiskEvent::Written(ticket, succeeded) => {
-                self.drive(|c, now, actions| c.written(now, ticket, succeeded, actions));
+            DiskEvent::Written(write_id, succeeded) => {
+                self.drive(|c, now, actions| c.written(now, write_id, succeeded, actions));
             }
         }
     }
@@ -395,7 +396,7 @@
         };
         self.kept_revision.set(self.registry_revision.get());
         let coordinator = self.coordinator.borrow();
-        let alive = coordinator.gossip().registry().records().filter(|r| r.state < EndpointState::Silent);
+        let alive = coordinator.gossip().registry().records().filter(|r| r.state < EndpointState::Expired);
         storage.keep_endpoints(alive.cloned().collect());
     }
 }
@@ -436,7 +437,7 @@
         balancer: RefCell::new(Balancer::new(&settings.zone)),
         budget: RefCell::new(RetryBudget::new(settings.retry_budget_ratio)),
         splits: RefCell::new(TrafficSplits::new(rand::random())),
-        quota: RefCell::new(QuotaShares::new(GRANT_LASTS)),
+        quota: RefCell::new(QuotaShares::new(GRANT_LIFETIME)),
         quota_granted: Event::new(),
         pool: Pool::default(),
         clients: ClientConnections::default(),
@@ -530,7 +531,7 @@
         }
     }));
     every(node, |_| QUOTA_EVERY, Node::ask_for_quota);
-    every(node, |n| LOAD_EVERY + LOAD_EVERY_PER_SIDECAR * n.sidecars.get(), Node::tell_load);
+    every(node, |n| LOAD_EVERY + LOAD_EVERY_PER_SIDECAR * n.sidecars.get(), Node::report_load);
     every(node, |_| KEEP_EVERY, |n| n.keep_endpoints());
     every(node, |_| STATUS_EVERY, |n| log::info!("event=status {}", n.status()));
 }
--- a/crates/router/node/src/storage.rs
+++ b/crates/router/node/src/storage.rs
@@ -2,7 +2,7 @@
 //! but itself.
 
 use passrelay_control_plane::replication::{
-    DurableState, DurableWrite, MemberId, ReplicatedState, Ticket, WitnessState,
+    DurableState, DurableWrite, MemberId, ReplicatedState, WitnessState, WriteId,
 };
 use passrelay_dissemination::EndpointRecord;
 use redb::{Database, TableDefinition};
@@ -60,7 +60,7 @@
     /// The disk is open.
     Opened(Box<Opened>),
     /// A write has ended.
-    Written(Ticket, bool),
+    Written(WriteId, bool),
 }
 
 /// What an opened disk holds.
@@ -76,7 +76,7 @@
 }
 
 enum Request {
-    Replica(Ticket, DurableWrite),
+    Replica(WriteId, DurableWrite),
     Endpoints(Vec<EndpointRecord>),
 }
 
@@ -105,9 +105,9 @@
     }
 
     /// Puts a write into the queue.
-    pub fn write(&self, ticket: Ticket, write: DurableWrite) {
+    pub fn write(&self, write_id: WriteId, write: DurableWrite) {
         // The thread ends only with the process.
-        let _ = self.writes.send(Request::Replica(ticket, write));
+        let _ = self.writes.send(Request::Replica(write_id, write));
     }
 
     /// Keeps the endpoints that are known, for the next start. Nobody waits for it.
@@ -128,12 +128,12 @@
         return;
     }
     while let Ok(request) = queue.recv() {
-        let (ticket, done) = match &request {
-            Request::Replica(ticket, write) => (Some(*ticket), write_replica(&database, write)),
+        let (write_id, done) = match &request {
+            Request::Replica(write_id, write) => (Some(*write_id), write_replica(&database, write)),
             Request::Endpoints(records) => (None, write_endpoints(&database, records)),
         };
         // A failure is told at once; the disk may take long to come back.
-        let told = ticket.is_none_or(|t| events.send_blocking(DiskEvent::Written(t, done.is_ok())).is_ok());
+        let told = write_id.is_none_or(|t| events.send_blocking(DiskEvent::Written(t, done.is_ok())).is_ok());
         if !told {
             return;
         }
--- a/crates/router/node/src/transport.rs
+++ b/crates/router/node/src/transport.rs
@@ -26,7 +26,7 @@
 #[derive(Debug, Error)]
 enum FrameError {
     #[error("it is of protocol version {0}")]
-    OtherVersion(u16),
+    VersionMismatch(u16),
     #[error("it can't be read: {0}")]
     Unreadable(String),
     #[error("it has {0} bytes")]
@@ -158,7 +158,7 @@
 fn decode(bytes: &[u8]) -> Result<(SocketAddrV4, Envelope), FrameError> {
     let frame: Frame = ciborium::from_reader(bytes).map_err(|e| FrameError::Unreadable(e.to_string()))?;
     if frame.version != VERSION {
-        return Err(FrameError::OtherVersion(frame.version));
+        return Err(FrameError::VersionMismatch(frame.version));
     }
     Ok((frame.from, frame.envelope))
 }
--- a/crates/testing/cluster-simulation/examples/dissemination.rs
+++ b/crates/testing/cluster-simulation/examples/dissemination.rs
@@ -3,7 +3,7 @@
 //! `cargo run --release -p passrelay-cluster-simulation --example dissemination`
 
 use passrelay_cluster_simulation::cluster::{Cluster, ClusterSettings, HEARTBEAT};
-use passrelay_control_plane::orders::{Order, OrderKind};
+use passrelay_control_plane::configuration_change::{ChangeKind, ConfigurationChange};
 use passrelay_control_plane::OperatorRequest;
 use passrelay_dissemination::{EndpointRecord, EndpointState, Heartbeat};
 use serde_json::json;
@@ -99,7 +99,11 @@
     let (mut configured, mut drained) = (Vec::new(), Vec::new());
     for change in 1..=CHANGES {
         let document = json!({ "generation": change, "routes": [], "services": [{ "name": "model" }] });
-        let order = Order { kind: OrderKind::Replace, base: change - 1, body: document.to_string().into() };
+        let order = ConfigurationChange {
+            kind: ChangeKind::Replace,
+            base: change - 1,
+            body: document.to_string().into(),
+        };
         while !(0..machines).any(|m| generation(&cluster, m) == change) {
             let primary = cluster.primary().unwrap_or(0);
             cluster.call(primary, OperatorRequest::Change(order.clone()));
--- a/crates/testing/cluster-simulation/src/cluster.rs
+++ b/crates/testing/cluster-simulation/src/cluster.rs
@@ -1,15 +1,16 @@
 //! Machines, their processes, the network between them, and time.
 
-use crate::disk::{Disk, DiskMutant};
+use crate::disk::{Disk, DiskMutation};
 use passrelay_control_plane::quota::{QuotaBounds, QuotaMessage};
 use passrelay_control_plane::replication::{
-    Member, ProtocolFault, ReplicaSettings, ReplicationMessage, Ticket,
+    Member, ProtocolMutation, ReplicaSettings, ReplicationMessage, WriteId,
 };
 use passrelay_control_plane::{
     Action, CallId, Coordinator, CoordinatorSettings, Envelope, Message, OperatorAnswer, OperatorRequest,
 };
 use passrelay_dissemination::{
-    Announcement, CommittedConfiguration, GossipFault, GossipMessage, GossipSettings, Heartbeat, Incarnation,
+    Announcement, CommittedConfiguration, GossipMessage, GossipMutation, GossipSettings, Heartbeat,
+    Incarnation,
 };
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -48,11 +49,11 @@
     /// Bytes a second that each machine can send, as far as documents count; 0 for no bound.
     pub link_bytes_per_s: u64,
     /// Fault of all disks, for checking the checker.
-    pub mutant: Option<DiskMutant>,
+    pub mutant: Option<DiskMutation>,
     /// Fault of all members, for checking the checker.
-    pub fault: Option<ProtocolFault>,
+    pub fault: Option<ProtocolMutation>,
     /// Fault of dissemination at all machines, for checking the checker.
-    pub gossip_fault: Option<GossipFault>,
+    pub gossip_mutation: Option<GossipMutation>,
     /// Seed of all chance.
     pub seed: u64,
 }
@@ -69,7 +70,7 @@
             link_bytes_per_s: 0,
             mutant: None,
             fault: None,
-            gossip_fault: None,
+            gossip_mutation: None,
             seed,
         }
     }
@@ -86,7 +87,7 @@
     pub call: CallId,
 }
 
-enum Happening {
+enum Event {
     /// To whoever listens at the machine's address then.
     Deliver {
         to: usize,
@@ -96,7 +97,7 @@
     Written {
         machine: usize,
         incarnation: u64,
-        ticket: Ticket,
+        write_id: WriteId,
     },
     Tick {
         machine: usize,
@@ -110,7 +111,7 @@
 struct Scheduled {
     at: Duration,
     order: u64,
-    what: Happening,
+    what: Event,
 }
 
 impl PartialEq for Scheduled {
@@ -149,7 +150,7 @@
 }
 
 /// A message that a cut holds up.
-struct HeldUp {
+struct DelayedMessage {
     from: usize,
     to: usize,
     envelope: Envelope,
@@ -157,7 +158,7 @@
 
 /// Something that the outside sees.
 #[derive(Clone, Debug)]
-pub enum Seen {
+pub enum Observation {
     /// A process has put a configuration in force.
     Configured {
         /// The machine.
@@ -208,7 +209,7 @@
     by_address: BTreeMap<SocketAddrV4, usize>,
     /// Pairs (from, to) between which nothing passes.
     cuts: BTreeSet<(usize, usize)>,
-    held_up: Vec<HeldUp>,
+    held_up: Vec<DelayedMessage>,
     /// Messages sent, by machine.
     pub messages: Vec<u64>,
     /// Bytes sent, by machine; counted only where `counts_bytes` is set.
@@ -239,7 +240,7 @@
             let counted = index < cluster.settings.counted;
             let machine = cluster.add_machine(counted);
             let at = Duration::from_millis(cluster.rng.random_range(0..300));
-            cluster.schedule(at, Happening::Start { machine });
+            cluster.schedule(at, Event::Start { machine });
         }
         cluster
     }
@@ -346,7 +347,7 @@
     /// Starts a machine's process after a time.
     pub fn start_after(&mut self, machine: usize, pause: Duration) {
         let at = self.now + pause;
-        self.schedule(at, Happening::Start { machine });
+        self.schedule(at, Event::Start { machine });
     }
 
     /// Ends a machine's process without warning; power may go with it.
@@ -433,17 +434,17 @@
     /// Joins all ways of a machine again.
     pub fn join(&mut self, machine: usize) {
         self.cuts.retain(|(from, to)| *from != machine && *to != machine);
-        let (passing, held): (Vec<HeldUp>, Vec<HeldUp>) = std::mem::take(&mut self.held_up)
+        let (passing, held): (Vec<DelayedMessage>, Vec<DelayedMessage>) = std::mem::take(&mut self.held_up)
             .into_iter()
             .partition(|one| !self.cuts.contains(&(one.from, one.to)));
         self.held_up = held;
-        for HeldUp { from, to, envelope } in passing {
+        for DelayedMessage { from, to, envelope } in passing {
             self.deliver(from, to, envelope);
         }
     }
 
     /// An operator calls at a machine. `None` if nobody is there; else the name of the call, and what is seen at once.
-    pub fn call(&mut self, machine: usize, request: OperatorRequest) -> Option<(CallKey, Vec<Seen>)> {
+    pub fn call(&mut self, machine: usize, request: OperatorRequest) -> Option<(CallKey, Vec<Observation>)> {
         let one = &mut self.machines[machine];
         let call = CallId(one.next_call);
         let key = CallKey { machine, incarnation: one.incarnation, call };
@@ -455,12 +456,12 @@
     }
 
     /// An endpoint sends its heartbeat to a machine.
-    pub fn heartbeat(&mut self, machine: usize, beat: &Heartbeat) -> Option<Vec<Seen>> {
+    pub fn heartbeat(&mut self, machine: usize, beat: &Heartbeat) -> Option<Vec<Observation>> {
         self.act(machine, |process, now, actions| process.heartbeat(now, beat, actions))
     }
 
     /// Has a machine tell when the core knows of an endpoint what is known there.
-    pub fn announce(&mut self, machine: usize, endpoint: &str) -> Option<(Announcement, Vec<Seen>)> {
+    pub fn announce(&mut self, machine: usize, endpoint: &str) -> Option<(Announcement, Vec<Observation>)> {
         let mut announcement = None;
         let seen =
             self.act(machine, |process, now, _| announcement = Some(process.announce(now, endpoint)))?;
@@ -468,12 +469,12 @@
     }
 
     /// A sidecar asks for tokens.
-    pub fn want_tokens(&mut self, machine: usize, question: QuotaMessage) -> Option<Vec<Seen>> {
-        self.act(machine, |process, now, actions| process.want_tokens(now, question, actions))
+    pub fn request_tokens(&mut self, machine: usize, question: QuotaMessage) -> Option<Vec<Observation>> {
+        self.act(machine, |process, now, actions| process.request_tokens(now, question, actions))
     }
 
     /// Plays one event. Returns what was seen from outside; `None` when there is nothing before `until`.
-    pub fn step(&mut self, until: Duration) -> Option<Vec<Seen>> {
+    pub fn step(&mut self, until: Duration) -> Option<Vec<Observation>> {
         if self.queue.peek().is_none_or(|next| next.0.at > until) {
             self.now = self.now.max(until);
             return None;
@@ -484,7 +485,7 @@
     }
 
     /// Plays until a time, and passes over what is seen.
-    pub fn run_until(&mut self, until: Duration) -> Vec<Seen> {
+    pub fn run_until(&mut self, until: Duration) -> Vec<Observation> {
         let mut seen = Vec::new();
         while let Some(more) = self.step(until) {
             seen.extend(more);
@@ -492,18 +493,18 @@
         seen
     }
 
-    fn schedule(&mut self, at: Duration, what: Happening) {
+    fn schedule(&mut self, at: Duration, what: Event) {
         self.order += 1;
         self.queue.push(Reverse(Scheduled { at, order: self.order, what }));
     }
 
-    fn play(&mut self, what: Happening) -> Vec<Seen> {
+    fn play(&mut self, what: Event) -> Vec<Observation> {
         let (machine, incarnation) = match &what {
-            Happening::Deliver { to, .. } => (*to, self.machines[*to].incarnation),
-            Happening::Written { machine, incarnation, .. } | Happening::Tick { machine, incarnation } => {
+            Event::Deliver { to, .. } => (*to, self.machines[*to].incarnation),
+            Event::Written { machine, incarnation, .. } | Event::Tick { machine, incarnation } => {
                 (*machine, *incarnation)
             }
-            Happening::Start { machine } => {
+            Event::Start { machine } => {
                 let machine = *machine;
                 return self.start(machine);
             }
@@ -517,38 +518,38 @@
             return Vec::new();
         }
         let acted = match what {
-            Happening::Deliver { from, envelope, .. } => {
+            Event::Deliver { from, envelope, .. } => {
                 self.act(machine, |process, now, actions| process.receive(now, from, *envelope, actions))
             }
-            Happening::Written { ticket, .. } => self.finish_write(machine, ticket),
-            Happening::Tick { .. } => {
+            Event::Written { write_id, .. } => self.finish_write(machine, write_id),
+            Event::Tick { .. } => {
                 let mut due = Duration::ZERO;
                 let seen = self.act(machine, |process, now, actions| due = process.tick(now, actions));
                 let at = (self.machines[machine].started_at + due).max(self.now + Duration::from_millis(5));
-                self.schedule(at, Happening::Tick { machine, incarnation });
+                self.schedule(at, Event::Tick { machine, incarnation });
                 seen
             }
-            Happening::Start { .. } => None,
+            Event::Start { .. } => None,
         };
         acted.unwrap_or_default()
     }
 
-    fn finish_write(&mut self, machine: usize, ticket: Ticket) -> Option<Vec<Seen>> {
+    fn finish_write(&mut self, machine: usize, write_id: WriteId) -> Option<Vec<Observation>> {
         let now = self.now;
-        let succeeded = self.machines[machine].disk.as_mut()?.finish(now, ticket)?;
-        self.act(machine, |process, now, actions| process.written(now, ticket, succeeded, actions))
+        let succeeded = self.machines[machine].disk.as_mut()?.finish(now, write_id)?;
+        self.act(machine, |process, now, actions| process.written(now, write_id, succeeded, actions))
     }
 
-    fn start(&mut self, machine: usize) -> Vec<Seen> {
+    fn start(&mut self, machine: usize) -> Vec<Observation> {
         if self.machines[machine].process.is_some() || self.machines[machine].removed {
             return Vec::new();
         }
         let seeds = self.seed_addresses();
         let (tolerated_losses, fault) = (self.settings.tolerated_losses, self.settings.fault);
-        let gossip_fault = self.settings.gossip_fault;
+        let gossip_mutation = self.settings.gossip_mutation;
         let random_seed = self.rng.random();
         let drawn = Incarnation(self.rng.random());
-        let numbers_begin_again = fault == Some(ProtocolFault::NumbersBeginAgain);
+        let numbers_begin_again = fault == Some(ProtocolMutation::ReusesRequestIds);
         let incarnation = if numbers_begin_again { Incarnation(0) } else { drawn };
         let one = &mut self.machines[machine];
         let bootstrap = !one.started_before;
@@ -574,7 +575,13 @@
         one.process = Some(Coordinator::new(
             Duration::ZERO,
             CoordinatorSettings {
-                gossip: GossipSettings { own, seeds, heartbeat: HEARTBEAT, random_seed, fault: gossip_fault },
+                gossip: GossipSettings {
+                    own,
+                    seeds,
+                    heartbeat: HEARTBEAT,
+                    random_seed,
+                    fault: gossip_mutation,
+                },
                 replica,
                 incarnation,
                 counts,
@@ -583,7 +590,7 @@
             },
         ));
         let incarnation = one.incarnation;
-        self.schedule(self.now, Happening::Tick { machine, incarnation });
+        self.schedule(self.now, Event::Tick { machine, incarnation });
         Vec::new()
     }
 
@@ -591,7 +598,7 @@
         &mut self,
         machine: usize,
         act: impl FnOnce(&mut Coordinator, Duration, &mut Vec<Action>),
-    ) -> Option<Vec<Seen>> {
+    ) -> Option<Vec<Observation>> {
         let now = self.now.saturating_sub(self.machines[machine].started_at);
         let process = self.machines[machine].process.as_mut()?;
         let mut actions = Vec::new();
@@ -604,28 +611,28 @@
         Some(seen)
     }
 
-    fn carry_out(&mut self, machine: usize, action: Action, seen: &mut Vec<Seen>) {
+    fn carry_out(&mut self, machine: usize, action: Action, seen: &mut Vec<Observation>) {
         let incarnation = self.machines[machine].incarnation;
         match action {
             Action::Send { to, envelope } => self.send(machine, to, envelope),
-            Action::Write { ticket, write } => {
+            Action::Write { write_id, write } => {
                 let now = self.now;
                 if let Some(disk) = &mut self.machines[machine].disk {
-                    let at = disk.write(now, ticket, write);
-                    self.schedule(at, Happening::Written { machine, incarnation, ticket });
+                    let at = disk.write(now, write_id, write);
+                    self.schedule(at, Event::Written { machine, incarnation, write_id });
                 }
             }
             Action::Configured(configuration) => {
-                seen.push(Seen::Configured { machine, incarnation, configuration });
+                seen.push(Observation::Configured { machine, incarnation, configuration });
             }
             Action::Answer { call, answer } => {
-                seen.push(Seen::Answered { call: CallKey { machine, incarnation, call }, answer });
+                seen.push(Observation::Answered { call: CallKey { machine, incarnation, call }, answer });
             }
-            Action::Granted(grant) => seen.push(Seen::Granted { machine, incarnation, grant }),
-            Action::Confirmed(announcement) => {
-                seen.push(Seen::Confirmed { machine, incarnation, announcement })
+            Action::QuotaGranted(grant) => seen.push(Observation::Granted { machine, incarnation, grant }),
+            Action::AnnouncementConfirmed(announcement) => {
+                seen.push(Observation::Confirmed { machine, incarnation, announcement })
             }
-            Action::LoadSums(_) => {}
+            Action::LoadTotals(_) => {}
         }
     }
 
@@ -644,7 +651,7 @@
         if !self.cuts.contains(&(from, target)) {
             self.deliver(from, target, envelope);
         } else if self.held_up.len() < MOST_HELD_UP && self.rng.random_bool(HELD_UP) {
-            self.held_up.push(HeldUp { from, to: target, envelope });
+            self.held_up.push(DelayedMessage { from, to: target, envelope });
         }
     }
 
@@ -653,7 +660,7 @@
         let sent_at = self.sent_at(from, &envelope.message);
         let at = sent_at + self.settings.delay.mul_f64(jitter);
         let from = self.machines[from].address;
-        self.schedule(at, Happening::Deliver { to, from, envelope: Box::new(envelope) });
+        self.schedule(at, Event::Deliver { to, from, envelope: Box::new(envelope) });
     }
 
     /// When a message has left its machine: those that carry documents go one after the other.
@@ -674,7 +681,8 @@
     match message {
         Message::Replication(envelope) => match &envelope.message {
             ReplicationMessage::Replicate { state, .. } => {
-                state.document.as_ref().map_or(0, |d| d.len()) / PACKED + state.orders.len() * BYTES_PER_ORDER
+                state.document.as_ref().map_or(0, |d| d.len()) / PACKED
+                    + state.applied_changes.len() * BYTES_PER_ORDER
             }
             _ => 0,
         },
--- a/crates/testing/cluster-simulation/src/disk.rs
+++ b/crates/testing/cluster-simulation/src/disk.rs
@@ -1,6 +1,6 @@
 //! A member's disk: writes take time, and what was not synced may be lost with power.
 
-use passrelay_control_plane::replication::{DurableState, DurableWrite, MemberId, Ticket};
+use passrelay_control_plane::replication::{DurableState, DurableWrite, MemberId, WriteId};
 use rand::Rng;
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -8,14 +8,14 @@
 /// A write that is under way.
 #[derive(Debug)]
 struct Pending {
-    ticket: Ticket,
+    write_id: WriteId,
     write: DurableWrite,
     done_at: Duration,
 }
 
 /// How a disk is made to break its promises; each of these has to be found by the checker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DiskMutant {
+pub enum DiskMutation {
     /// A write is told as done before it is synced.
     AcknowledgesBeforeSync,
     /// A wiped machine keeps its identity.
@@ -23,9 +23,9 @@
     /// What the witness has stored is lost at each restart.
     ForgetsWitness,
     /// Taken orders are lost at each restart.
-    ForgetsOrders,
+    DropsAppliedChanges,
     /// That the machine was started with the whole system is forgotten when its process ends.
-    ForgetsFounding,
+    ForgetsBootstrap,
 }
 
 /// The disk of one machine.
@@ -36,7 +36,7 @@
     founding: Option<bool>,
     synced: DurableState,
     pending: VecDeque<Pending>,
-    mutant: Option<DiskMutant>,
+    mutant: Option<DiskMutation>,
     /// Time that a sync takes.
     pub latency: Duration,
     /// Nothing ends before this time.
@@ -47,7 +47,7 @@
 
 impl Disk {
     /// An empty disk.
-    pub fn new(rng: &mut impl Rng, latency: Duration, mutant: Option<DiskMutant>) -> Self {
+    pub fn new(rng: &mut impl Rng, latency: Duration, mutant: Option<DiskMutation>) -> Self {
         Disk {
             identity: MemberId(rng.random_range(1..u64::MAX)),
             founding: None,
@@ -61,12 +61,12 @@
     }
 
     /// Takes a write; returns when it will have ended.
-    pub fn write(&mut self, now: Duration, ticket: Ticket, write: DurableWrite) -> Duration {
+    pub fn write(&mut self, now: Duration, write_id: WriteId, write: DurableWrite) -> Duration {
         let after = self.pending.back().map_or(now, |p| p.done_at.max(now));
         let done_at = after.max(self.stalled_until) + self.latency;
-        self.pending.push_back(Pending { ticket, write, done_at });
+        self.pending.push_back(Pending { write_id, write, done_at });
         match self.mutant {
-            Some(DiskMutant::AcknowledgesBeforeSync) => {
+            Some(DiskMutation::AcknowledgesBeforeSync) => {
                 // The sync comes much later than it is told.
                 if let Some(last) = self.pending.back_mut() {
                     last.done_at = done_at + Duration::from_millis(400);
@@ -78,13 +78,13 @@
     }
 
     /// A write's time is over. Returns whether it has succeeded; `None` if it was lost with the process.
-    pub fn finish(&mut self, now: Duration, ticket: Ticket) -> Option<bool> {
+    pub fn finish(&mut self, now: Duration, write_id: WriteId) -> Option<bool> {
         let refused = now < self.full_until;
-        if self.mutant == Some(DiskMutant::AcknowledgesBeforeSync) {
+        if self.mutant == Some(DiskMutation::AcknowledgesBeforeSync) {
             self.apply_until(now);
             return Some(!refused);
         }
-        let index = self.pending.iter().position(|p| p.ticket == ticket)?;
+        let index = self.pending.iter().position(|p| p.write_id == write_id)?;
         let pending = self.pending.remove(index)?;
         if !refused {
             self.apply(pending.write);
@@ -95,7 +95,7 @@
     /// The process ends or power is lost: of the writes under way, a random number was done.
     pub fn crash(&mut self, now: Duration, rng: &mut impl Rng) {
         self.apply_until(now);
-        let early = self.mutant == Some(DiskMutant::AcknowledgesBeforeSync);
+        let early = self.mutant == Some(DiskMutation::AcknowledgesBeforeSync);
         let done = if early { 0 } else { rng.random_range(0..=self.pending.len()) };
         for pending in std::mem::take(&mut self.pending).into_iter().take(done) {
             self.apply(pending.write);
@@ -107,7 +107,7 @@
         self.pending.clear();
         self.synced = DurableState::default();
         self.founding = None;
-        if self.mutant != Some(DiskMutant::KeepsIdentityWhenWiped) {
+        if self.mutant != Some(DiskMutation::KeepsIdentityWhenWiped) {
             self.identity = MemberId(rng.random_range(1..u64::MAX));
         }
     }
@@ -116,16 +116,16 @@
     /// started, and the rest.
     pub fn open(&mut self, bootstrap: bool) -> (MemberId, bool, DurableState) {
         let kept = *self.founding.get_or_insert(bootstrap);
-        let founding = if self.mutant == Some(DiskMutant::ForgetsFounding) { bootstrap } else { kept };
+        let founding = if self.mutant == Some(DiskMutation::ForgetsBootstrap) { bootstrap } else { kept };
         match self.mutant {
-            Some(DiskMutant::ForgetsWitness) => {
+            Some(DiskMutation::ForgetsWitness) => {
                 if let Some(record) = &self.synced.witness.record {
                     // The record stays, so that the member takes part; the promise is gone.
                     self.synced.witness.promised = record.term;
                     self.synced.witness.promised_to = None;
                 }
             }
-            Some(DiskMutant::ForgetsOrders) => self.synced.state.orders.clear(),
+            Some(DiskMutation::DropsAppliedChanges) => self.synced.state.applied_changes.clear(),
             _ => {}
         }
         (self.identity, founding, self.synced.clone())
--- a/crates/testing/cluster-simulation/src/failover.rs
+++ b/crates/testing/cluster-simulation/src/failover.rs
@@ -1,7 +1,7 @@
 //! How long operators wait when the primary is lost.
 
-use crate::cluster::{CallKey, Cluster, ClusterSettings, Seen};
-use passrelay_control_plane::orders::{Order, OrderKind};
+use crate::cluster::{CallKey, Cluster, ClusterSettings, Observation};
+use passrelay_control_plane::configuration_change::{ChangeKind, ConfigurationChange};
 use passrelay_control_plane::OperatorRequest;
 use rand::Rng;
 use serde_json::json;
@@ -70,7 +70,7 @@
 /// Sends an order to one machine after the other until it is acknowledged. Returns when that was.
 fn until_acknowledged(cluster: &mut Cluster, generation: u64, base: u64) -> Option<Duration> {
     let document = json!({ "generation": generation, "routes": [], "services": [{ "name": "s" }] });
-    let order = Order { kind: OrderKind::Replace, base, body: document.to_string().into() };
+    let order = ConfigurationChange { kind: ChangeKind::Replace, base, body: document.to_string().into() };
     let until = cluster.now() + GIVE_UP;
     while cluster.now() < until {
         let machine = cluster.rng.random_range(0..cluster.len());
@@ -92,9 +92,9 @@
     None
 }
 
-fn answer_to(call: CallKey, seen: &[Seen]) -> Option<u16> {
+fn answer_to(call: CallKey, seen: &[Observation]) -> Option<u16> {
     seen.iter().find_map(|one| match one {
-        Seen::Answered { call: answered, answer } if *answered == call => Some(answer.status),
+        Observation::Answered { call: answered, answer } if *answered == call => Some(answer.status),
         _ => None,
     })
 }
--- a/crates/testing/cluster-simulation/src/history.rs
+++ b/crates/testing/cluster-simulation/src/history.rs
@@ -1,9 +1,9 @@
 //! One random history: operators that change the configuration, faults, a final fault, and what the checker makes of it.
 
 use crate::checker::{Checker, OrderId, SeenVersion, Violation};
-use crate::cluster::{CallKey, Cluster, ClusterSettings, Seen};
+use crate::cluster::{CallKey, Cluster, ClusterSettings, Observation};
 use crate::faults::FaultInjector;
-use passrelay_control_plane::orders::{Order, OrderKind};
+use passrelay_control_plane::configuration_change::{ChangeKind, ConfigurationChange};
 use passrelay_control_plane::{OperatorAnswer, OperatorRequest};
 use passrelay_dissemination::CommittedConfiguration;
 use rand::seq::IndexedRandom;
@@ -40,7 +40,7 @@
     /// Hundreds of changes, while a machine is dark, over narrow links.
     ManyChanges,
     /// Everything of the first seconds: kills, cuts and lost power before the system is founded.
-    Founding,
+    Bootstrap,
 }
 
 /// What a history is made of.
@@ -79,7 +79,7 @@
 
 struct OpenOrder {
     id: OrderId,
-    order: Order,
+    order: ConfigurationChange,
     generation: u64,
     sent_at: Duration,
     call: Option<CallKey>,
@@ -95,7 +95,7 @@
     next_order: u64,
     open: Vec<OpenOrder>,
     /// Orders that were acknowledged.
-    taken: Vec<(OrderId, Order, u64)>,
+    taken: Vec<(OrderId, ConfigurationChange, u64)>,
     known: u64,
     outcome: Outcome,
     last_read: Option<u64>,
@@ -128,7 +128,7 @@
         padding: settings.padding,
         settings: settings.clone(),
     };
-    if settings.scenario == Scenario::Founding {
+    if settings.scenario == Scenario::Bootstrap {
         history.disturbed_founding();
     } else {
         history.advance(LEAD);
@@ -298,7 +298,8 @@
             "services": [{ "name": "s" }, { "name": format!("{ORDER_MARK}{}", id.0) }],
             "note": "x".repeat(self.padding),
         });
-        let order = Order { kind: OrderKind::Replace, base, body: document.to_string().into() };
+        let order =
+            ConfigurationChange { kind: ChangeKind::Replace, base, body: document.to_string().into() };
         let now = self.cluster.now();
         self.checker.ordered(now, id, generation, base);
         self.open.push(OpenOrder {
@@ -333,7 +334,7 @@
         let idle = |open: &OpenOrder| {
             open.call.is_none() || now.saturating_sub(open.called_at) >= Duration::from_secs(1)
         };
-        let due: Vec<(OrderId, Order)> =
+        let due: Vec<(OrderId, ConfigurationChange)> =
             self.open.iter().filter(|o| idle(o)).map(|o| (o.id, o.order.clone())).collect();
         for (id, order) in due {
             let call = self.call(Purpose::Change { id }, OperatorRequest::Change(order));
@@ -362,15 +363,15 @@
         Some(call)
     }
 
-    fn take(&mut self, seen: Vec<Seen>) {
+    fn take(&mut self, seen: Vec<Observation>) {
         for one in seen {
             match one {
-                Seen::Configured { machine, incarnation, configuration } => {
+                Observation::Configured { machine, incarnation, configuration } => {
                     let order = version_of(&configuration).order;
                     self.checker.configured(machine, incarnation, &configuration, order);
                 }
-                Seen::Answered { call, answer } => self.answered(call, &answer),
-                Seen::Granted { .. } | Seen::Confirmed { .. } => {}
+                Observation::Answered { call, answer } => self.answered(call, &answer),
+                Observation::Granted { .. } | Observation::Confirmed { .. } => {}
             }
         }
     }
--- a/crates/testing/cluster-simulation/src/limits.rs
+++ b/crates/testing/cluster-simulation/src/limits.rs
@@ -1,12 +1,12 @@
 //! One random history of the limits that bind the whole fleet: clients at all sidecars, tenants within and far over
 //! their quota, keys that are taken away, endpoints that drain, faults, and what the checker makes of it.
 
-use crate::cluster::{CallKey, Cluster, ClusterSettings, Seen};
+use crate::cluster::{CallKey, Cluster, ClusterSettings, Observation};
 use crate::faults::FaultInjector;
 use crate::limit_checker::{LimitBounds, LimitChecker, LimitViolation, Sent};
 use passrelay_configuration::{parse_document, Configuration, Tenant};
-use passrelay_control_plane::orders::{Order, OrderKind};
-use passrelay_control_plane::quota::{QuotaMessage, TenantKey, GRANT_LASTS};
+use passrelay_control_plane::configuration_change::{ChangeKind, ConfigurationChange};
+use passrelay_control_plane::quota::{QuotaMessage, TenantKey, GRANT_LIFETIME};
 use passrelay_control_plane::OperatorRequest;
 use passrelay_data_plane::quota::{Grant, QuotaShares};
 use passrelay_data_plane::retry_budget::RetryBudget;
@@ -42,7 +42,7 @@
 
 /// A way in which sidecars are made to pass the limits, so that the checker can itself be checked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LimitMutant {
+pub enum LimitMutation {
     /// Keys and freshness are checked before the wait for a connection and not at the sending.
     ChecksBeforeWaitOnly,
     /// Each sidecar has the whole slack of the retry budget.
@@ -61,7 +61,7 @@
     /// Whether there are no faults of machines.
     pub calm: bool,
     /// A broken sidecar.
-    pub mutant: Option<LimitMutant>,
+    pub mutant: Option<LimitMutation>,
 }
 
 /// What came of a history.
@@ -110,15 +110,19 @@
 }
 
 impl Gate {
-    fn new(incarnation: u64, bounds: &LimitBounds, mutant: Option<LimitMutant>) -> Self {
+    fn new(incarnation: u64, bounds: &LimitBounds, mutant: Option<LimitMutation>) -> Self {
         Gate {
             incarnation,
-            shares: QuotaShares::new(GRANT_LASTS),
+            shares: QuotaShares::new(GRANT_LIFETIME),
             budget: RetryBudget::new(bounds.budget_ratio),
             table: None,
             waiting: Vec::new(),
             sending: Vec::new(),
-            spare_repeats: if mutant == Some(LimitMutant::SlackForEach) { bounds.budget_slack } else { 0.0 },
+            spare_repeats: if mutant == Some(LimitMutation::SlackForEach) {
+                bounds.budget_slack
+            } else {
+                0.0
+            },
         }
     }
 
@@ -146,7 +150,7 @@
 }
 
 struct OpenOrder {
-    order: Order,
+    order: ConfigurationChange,
     call: Option<CallKey>,
     called_at: Duration,
     removes: Option<String>,
@@ -237,27 +241,27 @@
         }
     }
 
-    fn take(&mut self, seen: Vec<Seen>) {
+    fn take(&mut self, seen: Vec<Observation>) {
         for one in seen {
             match one {
-                Seen::Configured { machine, incarnation, configuration } => {
+                Observation::Configured { machine, incarnation, configuration } => {
                     let document = parse_document(configuration.document.as_bytes());
                     let configuration = document.and_then(|d| Configuration::read(&d));
                     let gate = self.gate(machine, incarnation);
                     gate.table = configuration.ok().map(RoutingTable::new);
                 }
-                Seen::Answered { call, answer } => self.answered(call, answer.status),
-                Seen::Confirmed { machine, incarnation, announcement } => {
+                Observation::Answered { call, answer } => self.answered(call, answer.status),
+                Observation::Confirmed { machine, incarnation, announcement } => {
                     self.confirmed((machine, incarnation, announcement));
                 }
-                Seen::Granted { machine, incarnation, grant } => {
-                    let QuotaMessage::Grant { nonce, granted, .. } = grant else { continue };
+                Observation::Granted { machine, incarnation, grant } => {
+                    let QuotaMessage::Grant { request_id, granted, .. } = grant else { continue };
                     let now = self.cluster.local_now(machine);
                     let grants: Vec<Grant> = granted
                         .iter()
                         .map(|a| Grant { tenant: a.tenant.0, tokens: a.tokens, reserve: a.reserve })
                         .collect();
-                    self.gate(machine, incarnation).shares.answered(now, nonce, &grants);
+                    self.gate(machine, incarnation).shares.answered(now, request_id, &grants);
                 }
             }
         }
@@ -342,7 +346,7 @@
             return;
         }
         let id = endpoint.id.clone();
-        if self.settings.mutant == Some(LimitMutant::AcknowledgesDrainingAlone) {
+        if self.settings.mutant == Some(LimitMutation::AcknowledgesDrainingAlone) {
             return self.drained(&id);
         }
         let incarnation = self.cluster.incarnation(machine);
@@ -379,7 +383,7 @@
             self.keys.push(format!("free-{}", self.generation));
             let document = document(self.generation, self.keys.last().map_or("", String::as_str));
             let base = self.generation - 1;
-            let order = Order { kind: OrderKind::Replace, base, body: document.into() };
+            let order = ConfigurationChange { kind: ChangeKind::Replace, base, body: document.into() };
             self.open = Some(OpenOrder { order, call: None, called_at: Duration::ZERO, removes });
         }
         let idle = |o: &OpenOrder| o.call.is_none() || now > o.called_at + Duration::from_secs(1);
@@ -477,7 +481,7 @@
 
     fn pick(&mut self, machine: usize) -> Option<String> {
         let registry = self.cluster.process(machine)?.gossip().registry();
-        let draining_too = self.settings.mutant == Some(LimitMutant::SendsToDraining);
+        let draining_too = self.settings.mutant == Some(LimitMutation::SendsToDraining);
         let ready = |r: &&EndpointRecord| {
             r.state == EndpointState::Ready || (draining_too && r.state == EndpointState::Draining)
         };
@@ -514,8 +518,8 @@
         let Some(question) = gate.shares.question(now) else { return };
         let keyed = |all: Vec<(u64, u64)>| all.into_iter().map(|(key, n)| (TenantKey(key), n)).collect();
         let (wanted, overdrawn) = (keyed(question.wanted), keyed(question.overdrawn));
-        let want = QuotaMessage::Want { nonce: question.nonce, wanted, overdrawn };
-        let seen = self.cluster.want_tokens(machine, want).unwrap_or_default();
+        let want = QuotaMessage::Request { request_id: question.request_id, wanted, overdrawn };
+        let seen = self.cluster.request_tokens(machine, want).unwrap_or_default();
         self.take(seen);
     }
 
@@ -538,13 +542,13 @@
     }
 
     fn send(&mut self, machine: usize, sending: Sending) {
-        let checked_before = self.settings.mutant == Some(LimitMutant::ChecksBeforeWaitOnly);
+        let checked_before = self.settings.mutant == Some(LimitMutation::ChecksBeforeWaitOnly);
         if !checked_before && !self.may_send(machine, &sending.client.key) {
             return self.refuse(&sending.client);
         }
-        let draining_too = self.settings.mutant == Some(LimitMutant::SendsToDraining);
+        let draining_too = self.settings.mutant == Some(LimitMutation::SendsToDraining);
         let may_have = |r: &EndpointRecord| {
-            matches!(r.state, EndpointState::Ready | EndpointState::Silent)
+            matches!(r.state, EndpointState::Ready | EndpointState::Expired)
                 || (draining_too && r.state == EndpointState::Draining)
         };
         let known = |r: &EndpointRecord| r.id == sending.endpoint && may_have(r);
--- a/crates/testing/cluster-simulation/tests/histories.rs
+++ b/crates/testing/cluster-simulation/tests/histories.rs
@@ -1,10 +1,10 @@
 //! Random histories keep every promise, and broken protocols and disks are found out.
 
 use passrelay_cluster_simulation::cluster::ClusterSettings;
-use passrelay_cluster_simulation::disk::DiskMutant;
+use passrelay_cluster_simulation::disk::DiskMutation;
 use passrelay_cluster_simulation::history::{play, HistorySettings, Scenario};
 use passrelay_cluster_simulation::seeds::seeds_from;
-use passrelay_control_plane::replication::ProtocolFault;
+use passrelay_control_plane::replication::ProtocolMutation;
 use rstest::rstest;
 use std::time::Duration;
 
@@ -118,7 +118,7 @@
     #[case] machines: usize,
     #[case] least: u64,
 ) {
-    keeps_every_promise(Scenario::Founding, counted, machines, least);
+    keeps_every_promise(Scenario::Bootstrap, counted, machines, least);
 }
 
 #[test]
@@ -131,23 +131,23 @@
 }
 
 #[rstest]
-#[case(ProtocolFault::RecordsUnsynced, Scenario::Mixed)]
-#[case(ProtocolFault::ShrinksAlone, Scenario::Mixed)]
-#[case(ProtocolFault::KeepsReplaced, Scenario::Mixed)]
-#[case(ProtocolFault::ReplicatesNoOrders, Scenario::Mixed)]
-#[case(ProtocolFault::ReadsUnconfirmed, Scenario::Mixed)]
-#[case(ProtocolFault::RefusesUnconfirmed, Scenario::Mixed)]
-#[case(ProtocolFault::PublishesUncommitted, Scenario::Mixed)]
-#[case(ProtocolFault::FoundsAgain, Scenario::Mixed)]
-#[case(ProtocolFault::FoundsWithoutSeeds, Scenario::Founding)]
-#[case(ProtocolFault::NumbersBeginAgain, Scenario::Races)]
-#[case(ProtocolFault::ConfirmsAtArrival, Scenario::LongCuts)]
-#[case(ProtocolFault::AcknowledgesByGeneration, Scenario::Races)]
-#[case(ProtocolFault::CountsNewcomerInSync, Scenario::Repairs)]
-#[case(ProtocolFault::CampaignsWithOldRecord, Scenario::LongCuts)]
-#[case(ProtocolFault::ForgetsOrdersAtFailover, Scenario::Races)]
-#[case(ProtocolFault::PromisesOnFullDisk, Scenario::Races)]
-fn a_broken_protocol_is_found_out(#[case] fault: ProtocolFault, #[case] scenario: Scenario) {
+#[case(ProtocolMutation::AcceptsBeforeSync, Scenario::Mixed)]
+#[case(ProtocolMutation::ShrinksInSyncSetWithoutQuorum, Scenario::Mixed)]
+#[case(ProtocolMutation::CountsReplacedMember, Scenario::Mixed)]
+#[case(ProtocolMutation::OmitsAppliedChanges, Scenario::Mixed)]
+#[case(ProtocolMutation::ReadsUnconfirmed, Scenario::Mixed)]
+#[case(ProtocolMutation::RejectsUnconfirmed, Scenario::Mixed)]
+#[case(ProtocolMutation::PublishesUncommitted, Scenario::Mixed)]
+#[case(ProtocolMutation::BootstrapsAgain, Scenario::Mixed)]
+#[case(ProtocolMutation::BootstrapsWithoutSeeds, Scenario::Bootstrap)]
+#[case(ProtocolMutation::ReusesRequestIds, Scenario::Races)]
+#[case(ProtocolMutation::ConfirmsAtArrival, Scenario::LongCuts)]
+#[case(ProtocolMutation::AcknowledgesByGeneration, Scenario::Races)]
+#[case(ProtocolMutation::AdmitsUnsyncedMember, Scenario::Repairs)]
+#[case(ProtocolMutation::CampaignsWithOldRecord, Scenario::LongCuts)]
+#[case(ProtocolMutation::DropsAppliedChangesAtFailover, Scenario::Races)]
+#[case(ProtocolMutation::PromisesOnFullDisk, Scenario::Races)]
+fn a_broken_protocol_is_found_out(#[case] fault: ProtocolMutation, #[case] scenario: Scenario) {
     is_found_out(&format!("{fault:?}"), scenario, |cluster| cluster.fault = Some(fault));
 }
 
@@ -169,10 +169,10 @@
 }
 
 #[rstest]
-#[case(DiskMutant::AcknowledgesBeforeSync, Scenario::Mixed)]
-#[case(DiskMutant::KeepsIdentityWhenWiped, Scenario::Repairs)]
-#[case(DiskMutant::ForgetsOrders, Scenario::Mixed)]
-#[case(DiskMutant::ForgetsFounding, Scenario::Founding)]
-fn a_broken_disk_is_found_out(#[case] mutant: DiskMutant, #[case] scenario: Scenario) {
+#[case(DiskMutation::AcknowledgesBeforeSync, Scenario::Mixed)]
+#[case(DiskMutation::KeepsIdentityWhenWiped, Scenario::Repairs)]
+#[case(DiskMutation::DropsAppliedChanges, Scenario::Mixed)]
+#[case(DiskMutation::ForgetsBootstrap, Scenario::Bootstrap)]
+fn a_broken_disk_is_found_out(#[case] mutant: DiskMutation, #[case] scenario: Scenario) {
     is_found_out(&format!("{mutant:?}"), scenario, |cluster| cluster.mutant = Some(mutant));
 }
--- a/crates/testing/cluster-simulation/tests/limits.rs
+++ b/crates/testing/cluster-simulation/tests/limits.rs
@@ -1,10 +1,10 @@
 //! Random histories keep the limits that bind the whole fleet, and broken sidecars are found out.
 
 use passrelay_cluster_simulation::cluster::ClusterSettings;
-use passrelay_cluster_simulation::limits::{play, LimitMutant, LimitSettings};
+use passrelay_cluster_simulation::limits::{play, LimitMutation, LimitSettings};
 use passrelay_cluster_simulation::seeds::seeds_from;
-use passrelay_control_plane::replication::ProtocolFault;
-use passrelay_dissemination::GossipFault;
+use passrelay_control_plane::replication::ProtocolMutation;
+use passrelay_dissemination::GossipMutation;
 use rstest::rstest;
 
 fn settings(counted: usize, machines: usize, seed: u64) -> LimitSettings {
@@ -51,11 +51,11 @@
 }
 
 #[rstest]
-#[case(LimitMutant::ChecksBeforeWaitOnly)]
-#[case(LimitMutant::SlackForEach)]
-#[case(LimitMutant::SendsToDraining)]
-#[case(LimitMutant::AcknowledgesDrainingAlone)]
-fn a_broken_sidecar_is_found_out(#[case] mutant: LimitMutant) {
+#[case(LimitMutation::ChecksBeforeWaitOnly)]
+#[case(LimitMutation::SlackForEach)]
+#[case(LimitMutation::SendsToDraining)]
+#[case(LimitMutation::AcknowledgesDrainingAlone)]
+fn a_broken_sidecar_is_found_out(#[case] mutant: LimitMutation) {
     let found = (0..500).find(|seed| {
         let settings = LimitSettings { mutant: Some(mutant), ..settings(3, 12, *seed) };
         !play(&settings).violations.is_empty()
@@ -68,7 +68,7 @@
 fn an_age_counted_from_the_arrival_of_news_is_found_out() {
     let found = (0..500).find(|seed| {
         let mut broken = settings(3, 12, *seed);
-        broken.cluster.gossip_fault = Some(GossipFault::AgeFromArrival);
+        broken.cluster.gossip_mutation = Some(GossipMutation::AgeFromArrival);
         !play(&broken).violations.is_empty()
     });
     println!("seed {found:?}");
@@ -79,7 +79,7 @@
 fn a_grantor_without_a_fence_is_found_out() {
     let found = (0..500).find(|seed| {
         let mut broken = settings(3, 12, *seed);
-        broken.cluster.fault = Some(ProtocolFault::GrantsUnconfirmed);
+        broken.cluster.fault = Some(ProtocolMutation::GrantsUnconfirmed);
         !play(&broken).violations.is_empty()
     });
     println!("seed {found:?}");
--- a/crates/testing/cluster-simulation/tests/repairs.rs
+++ b/crates/testing/cluster-simulation/tests/repairs.rs
@@ -1,8 +1,8 @@
 //! Losses in an order that leaves one member with the only copy for a while.
 
-use passrelay_cluster_simulation::cluster::{CallKey, Cluster, ClusterSettings, Seen};
-use passrelay_control_plane::orders::{Order, OrderKind};
-use passrelay_control_plane::replication::ProtocolFault;
+use passrelay_cluster_simulation::cluster::{CallKey, Cluster, ClusterSettings, Observation};
+use passrelay_control_plane::configuration_change::{ChangeKind, ConfigurationChange};
+use passrelay_control_plane::replication::ProtocolMutation;
 use passrelay_control_plane::OperatorRequest;
 use serde_json::json;
 use std::time::Duration;
@@ -15,12 +15,16 @@
 fn order(generation: u64, base: u64) -> OperatorRequest {
     let document = json!({ "generation": generation, "routes": [], "services": [{ "name": "s" }],
         "note": "x".repeat(BIG) });
-    OperatorRequest::Change(Order { kind: OrderKind::Replace, base, body: document.to_string().into() })
+    OperatorRequest::Change(ConfigurationChange {
+        kind: ChangeKind::Replace,
+        base,
+        body: document.to_string().into(),
+    })
 }
 
-fn status(call: CallKey, seen: &[Seen]) -> Option<(u16, String)> {
+fn status(call: CallKey, seen: &[Observation]) -> Option<(u16, String)> {
     seen.iter().find_map(|one| match one {
-        Seen::Answered { call: answered, answer } if *answered == call => {
+        Observation::Answered { call: answered, answer } if *answered == call => {
             Some((answer.status, answer.body.to_string()))
         }
         _ => None,
@@ -55,7 +59,7 @@
 
 /// One member is dark and comes back; while it still fetches the state another goes dark; what the third alone holds is
 /// told to it, and its disk is lost. Returns the generations acknowledged and read in the end.
-fn second_copy_lost(seed: u64, fault: Option<ProtocolFault>) -> (u64, u64) {
+fn second_copy_lost(seed: u64, fault: Option<ProtocolMutation>) -> (u64, u64) {
     let mut cluster = Cluster::new(ClusterSettings {
         link_bytes_per_s: LINK,
         loss: 0.0,
@@ -97,7 +101,7 @@
 #[test]
 fn a_member_removed_while_it_holds_the_only_second_copy_is_found_out() {
     let lost = |seed: &u64| {
-        let (acknowledged, read) = second_copy_lost(*seed, Some(ProtocolFault::RemovesLastCopies));
+        let (acknowledged, read) = second_copy_lost(*seed, Some(ProtocolMutation::RemovesLastReplicas));
         read < acknowledged
     };
     let found = (0..SEEDS).find(lost);
