--- a/crates/passrelay/src/cli.rs
+++ b/crates/passrelay/src/cli.rs
@@ -115,7 +115,7 @@
     let mut sidecar = Sidecar::open(config)?;
     if let Some(resident) = &resident {
         let view = resident.view();
-        sidecar.tell_of_fleet(Box::new(move || {
+        sidecar.set_fleet_status(Box::new(move || {
             json!({ "session": view.session(), "sessions": view.sessions(), "name_taken": view.name_taken() })
         }));
     }
--- a/crates/passrelay/tests/endings.rs
+++ b/crates/passrelay/tests/endings.rs
@@ -77,7 +77,7 @@
     let node = Server::start(|_| answer(200, "", b"ok"));
     let discovery = Discovery::start(vec![node_line("s-0", node.address, "terminating")]);
     let relay = Relay::start(PROGRAM, &watched(&discovery));
-    until("the list is there", || relay.logged("event=list ").is_some());
+    until("the list is there", || relay.logged("event=node_list ").is_some());
     let mut callers: Vec<_> = (0..30).map(|_| relay.caller()).collect();
     callers.iter_mut().for_each(|c| c.send(&request("pay", 5.0, b"")));
     let mut stays = relay.caller();
@@ -155,7 +155,7 @@
     let node = Server::start(|_| answer(200, "", b"ok"));
     let discovery = Discovery::start(vec![node_line("s-0", node.address, "terminating")]);
     let relay = Relay::start(PROGRAM, &watched(&discovery));
-    until("the list is there", || relay.logged("event=list ").is_some());
+    until("the list is there", || relay.logged("event=node_list ").is_some());
     let mut caller = relay.caller();
     let early = request("pay", 5.0, "z".repeat(50_000).as_bytes());
     caller.send(&[request("pay", 5.0, b""), early.clone(), early.clone(), early].concat());
@@ -305,7 +305,7 @@
     assert!(relay.status()["node_connections"].as_u64().unwrap() <= 6);
     let line = node_line("s-1", late.local_addr().unwrap(), "terminating");
     discovery.tell(vec![node_line("s-0", never.local_addr().unwrap(), "in_service"), line]);
-    relay.until_logged("event=node_shut");
+    relay.until_logged("event=node_draining");
     let drained = Server::on(late, |_| answer(200, "", b"wrong"));
     until("all are given back", || relay.status()["node_connections"] == 0);
     assert!(drained.seen().is_empty());
@@ -322,7 +322,7 @@
     until("it waits", || relay.status()["owed"] == 1);
     let new = Server::start(|_| answer(200, "", b"new"));
     discovery.tell(["s-0", "s-1"].map(|name| node_line(name, new.address, "in_service")).into());
-    until("the list has come", || relay.log().iter().filter(|l| l.contains("event=list ")).count() == 2);
+    until("the list has come", || relay.log().iter().filter(|l| l.contains("event=node_list ")).count() == 2);
     let old = Server::on(old, |_| answer(200, "", b"old"));
     assert_eq!(caller.hear().unwrap().body, b"new");
     assert!(old.seen().is_empty());
@@ -498,7 +498,7 @@
         caller.send(&request("pay", 4.0, b""));
         until("the first attempt was cut", || cut.ended() >= 1);
         discovery.tell(vec![node_line("s-0", cut.address, "terminating"), slow_line("in_service")]);
-        relay.until_logged("event=node_shut");
+        relay.until_logged("event=node_draining");
         let node = Server::on(slow, |_| answer(200, "", b"again"));
         let status = caller.hear().unwrap().status();
         assert_eq!((status == 200, node.seen().len() == 1), (repeated, repeated), "{window}: {status}");
@@ -569,7 +569,7 @@
     owed.iter_mut().for_each(|(caller, text)| caller.send(text));
     until("the node has them", || node.seen().len() == 3);
     let crowd: Vec<_> = (0..60).map(|_| relay.caller()).collect();
-    relay.until_logged("event=no_descriptor");
+    relay.until_logged("event=descriptors_exhausted");
     released.store(true, Ordering::SeqCst);
     for (caller, text) in &mut owed {
         let reply = caller.hear().expect("an answer");
@@ -703,7 +703,7 @@
     assert_eq!(relay.call("look", 4.0).body, b"old");
     down.store(true, Ordering::SeqCst);
     ended.join().unwrap();
-    relay.until_logged("event=list_failed");
+    relay.until_logged("event=discovery_failed");
     for _ in 0..10 {
         assert_eq!(relay.call("pay", 4.0).body, b"old", "the last list goes on");
     }
@@ -747,7 +747,7 @@
     at_node.send(&request("pay", 6.0, b""));
     until("the node has it", || node.seen().len() == 1);
     discovery.tell(lines("terminating"));
-    relay.until_logged("event=node_shut");
+    relay.until_logged("event=node_draining");
     waits.send(&request("pay", 6.0, b""));
     until("it waits", || relay.status()["owed"] == 2);
     shorten(&relay, told);
--- a/crates/passrelay/tests/list.rs
+++ b/crates/passrelay/tests/list.rs
@@ -82,7 +82,7 @@
     let hasty = Server::start(|_| answer(200, "", br#"{"seq":1,"whole":true,"hosts":[]}"#));
     let relay = Relay::start(PROGRAM, &config(hasty.address));
     let began = Instant::now();
-    relay.until_logged("event=list_failed");
+    relay.until_logged("event=discovery_failed");
     // 50 ms between two calls at the least, so that a slow machine only makes it fewer.
     let calls = hasty.seen().len() as u32;
     assert!(calls >= 4 && began.elapsed() + Duration::from_millis(500) > calls * Duration::from_millis(50));
@@ -138,7 +138,7 @@
     let asked = old.server.seen().len();
     assert_eq!(relay.call("pay", 4.0).status(), 200);
     new.tell(vec![node_line("s-0", node.address, "terminating")]);
-    relay.until_logged("event=node_shut");
+    relay.until_logged("event=node_draining");
     let (began, before) = (Instant::now(), new.server.seen().len());
     (0..20).for_each(|_| relay.signal("HUP"));
     relay.terminate();
@@ -169,7 +169,7 @@
     let other = Server::start(|_| answer(200, "", b"ok"));
     discovery
         .tell(vec![node_line("s-0", address, "terminating"), node_line("s-1", other.address, "in_service")]);
-    relay.until_logged("event=node_shut");
+    relay.until_logged("event=node_draining");
     let drained = Server::on(slow, |_| answer(200, "", b"wrong"));
     let reply = caller.hear().unwrap();
     assert_eq!((reply.status(), &reply.body[..]), (200, &b"ok"[..]));
@@ -208,8 +208,8 @@
         let relay = Relay::start(PROGRAM, &config(discovery.address));
         relay.until_ready();
         let began = Instant::now();
-        relay.until_logged("event=list_failed");
-        relay.until_logged("event=node_shut node=s-0");
+        relay.until_logged("event=discovery_failed");
+        relay.until_logged("event=node_draining node=s-0");
         assert!(began.elapsed() < Duration::from_secs(5), "{:?}", began.elapsed());
         let before = nodes[0].seen().len();
         assert!((0..6).all(|_| relay.call("pay", 4.0).status() == 200));
--- a/crates/passrelay/tests/relay.rs
+++ b/crates/passrelay/tests/relay.rs
@@ -301,7 +301,7 @@
     // The module's own answer: at the last tick it has its say before the dispatcher gives one for it.
     relay.terminate();
     assert!(relay.ended_well());
-    assert!(relay.until_logged("event=ended").contains(" refused=1 failed=0 gone=0 forced=0 "));
+    assert!(relay.until_logged("event=ended").contains(" refused=1 failed=0 disconnected=0 forced=0 "));
 }
 
 #[test]
@@ -327,7 +327,7 @@
     relay.terminate();
     assert!(relay.ended_well());
     let line = relay.until_logged("event=ended");
-    assert!(line.contains(" gone=1 ") && line.contains(" owed=0 "), "{line}");
+    assert!(line.contains(" disconnected=1 ") && line.contains(" pending=0 "), "{line}");
 }
 
 #[test]
--- a/crates/sidecar/proxy/src/admin.rs
+++ b/crates/sidecar/proxy/src/admin.rs
@@ -1,7 +1,7 @@
 //! The operators' address: a second listener, one call a connection, kept apart from the clients.
 //!
 //! Its connections have slots of their own, so that no crowd of clients stands between an operator and an
-//! answer; a client who connects and says nothing is cut off after [`CALL_S`], and when all slots are taken
+//! answer; a client who connects and says nothing is cut off after [`CALL_TIMEOUT_S`], and when all slots are taken
 //! the client who has waited longest makes room. What a call means is decided by the loop.
 
 use crate::http::answer_head;
@@ -19,9 +19,9 @@
 /// Operators connected at once.
 const SLOTS: usize = 32;
 /// A call has to be in so long after its client connected.
-const CALL_S: f64 = 0.5;
+const CALL_TIMEOUT_S: f64 = 0.5;
 /// A client has this long to take the answer and close.
-const LEAVE_S: f64 = 1.0;
+const LINGER_TIMEOUT_S: f64 = 1.0;
 /// The longest head of a call.
 const HEAD_BYTES: usize = 4096;
 
@@ -109,7 +109,7 @@
     }
 
     /// Lets in who has come, making room by cutting off the client who has waited longest.
-    pub fn let_in(&mut self, now: f64, registry: &Registry) {
+    pub fn accept(&mut self, now: f64, registry: &Registry) {
         loop {
             let mut sock = match self.listener.accept() {
                 Ok((sock, _)) => sock,
@@ -224,8 +224,9 @@
 
     /// Cuts off clients who said nothing whole in time, and those who do not close after the answer.
     pub fn sweep(&mut self, now: f64, registry: &Registry) {
-        let late =
-            |c: &AdminConnection| now - c.since >= if c.out.is_empty() { CALL_S } else { CALL_S + LEAVE_S };
+        let late = |c: &AdminConnection| {
+            now - c.since >= if c.out.is_empty() { CALL_TIMEOUT_S } else { CALL_TIMEOUT_S + LINGER_TIMEOUT_S }
+        };
         let late: Vec<_> =
             self.connections.iter().filter(|(_, c)| late(c)).map(|(k, c)| (k, c.out.is_empty())).collect();
         for (key, silent) in late {
--- a/crates/sidecar/proxy/src/body_relay.rs
+++ b/crates/sidecar/proxy/src/body_relay.rs
@@ -8,11 +8,11 @@
 //! client can tell from the length or the missing last chunk.
 
 use crate::buffer_pool::Buffer;
-use crate::http::{BodyReader, LONGEST_ANSWER};
+use crate::http::{BodyReader, MAX_RELAYED_BYTES};
 use std::io::{self, IoSlice, Read, Write};
 
 /// Bytes that are read of one answer at one go.
-const AT_ONE_GO: usize = 256 << 10;
+const MAX_READ_PER_TURN: usize = 256 << 10;
 
 /// How a body relay goes on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -91,7 +91,10 @@
                     [IoSlice::new(&self.prefix[self.written.min(prefix)..]), IoSlice::new(&data[done..])];
                 match client.write_vectored(&slices) {
                     Ok(0) => return Flow::ClientGone,
-                    Ok(n) => (self.written, self.moved_at) = (self.written + n, now),
+                    Ok(n) => {
+                        self.written = self.written + n;
+                        self.moved_at = now;
+                    }
                     Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                     Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Flow::Going,
                     Err(_) => return Flow::ClientGone,
@@ -100,11 +103,13 @@
             }
             body.consume(buffer, self.piece);
             self.passed += self.piece as u64;
-            if self.passed > LONGEST_ANSWER as u64 {
+            if self.passed > MAX_RELAYED_BYTES as u64 {
                 // Guards against an answer without end; one that tells its length is never as long.
                 return Flow::NodeBroke;
             }
-            (self.prefix, self.piece, self.written) = (Vec::new(), 0, 0);
+            self.prefix = Vec::new();
+            self.piece = 0;
+            self.written = 0;
             if self.last {
                 return Flow::Done { reusable: body.raw == buffer.bytes().len() && !body.until_close() };
             }
@@ -131,7 +136,7 @@
                 return Flow::NodeBroke;
             }
             // Guards against a long answer between two fast sides that keeps the loop to itself.
-            if read >= AT_ONE_GO {
+            if read >= MAX_READ_PER_TURN {
                 return Flow::More;
             }
             let ended = match buffer.fill_from(node) {
--- a/crates/sidecar/proxy/src/buffer_pool.rs
+++ b/crates/sidecar/proxy/src/buffer_pool.rs
@@ -3,13 +3,13 @@
 use std::io::{self, Read, Write};
 
 /// Room for the head of a message.
-pub const HEAD_ROOM: usize = 16 * 1024;
+pub const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// The longest body.
-pub const BODY_ROOM: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 /// Room for what a head grows by on its way to a node.
 const GROWTH: usize = 1024;
 /// The size of every buffer.
-const BUFFER_SIZE: usize = HEAD_ROOM + BODY_ROOM + GROWTH;
+const BUFFER_SIZE: usize = MAX_HEAD_BYTES + MAX_BODY_BYTES + GROWTH;
 /// Unused buffers that are kept.
 const SPARE: usize = 128;
 
@@ -37,7 +37,7 @@
     }
 
     /// Moves the bytes `from..to` down to `at`.
-    pub fn shift(&mut self, from: usize, to: usize, at: usize) {
+    pub fn shutdown_phase(&mut self, from: usize, to: usize, at: usize) {
         self.buf.copy_within(from..to, at);
     }
 
--- a/crates/sidecar/proxy/src/client_connection.rs
+++ b/crates/sidecar/proxy/src/client_connection.rs
@@ -1,7 +1,7 @@
 //! The connection of one client. It brings one request at a time and takes its answer back.
 
 use crate::buffer_pool::{Buffer, BufferPool};
-use crate::http::{BodyReader, Fault, Head};
+use crate::http::{BodyReader, Head, MessageError};
 use mio::net::TcpStream;
 use passrelay_load_balancing::RequestId;
 use std::io::{self, IoSlice, Read, Write};
@@ -9,18 +9,18 @@
 use std::ops::Range;
 
 /// Reads of unwanted bytes at one go.
-const MOUTHFULS: usize = 16;
+const MAX_DRAIN_READS: usize = 16;
 
 /// What a client has brought.
-pub enum Brought {
-    /// Nothing that is whole yet.
-    Nothing,
+pub enum Received {
+    /// No complete request yet.
+    Partial,
     /// Unwanted bytes, and there may be more of them: others first, then again.
     More,
     /// A whole request.
     Request(Head),
     /// Something that is no request.
-    Bad(Fault),
+    Invalid(MessageError),
     /// The client has gone.
     Closed,
 }
@@ -40,7 +40,7 @@
     Relaying(usize),
     /// The last answer is out; what the client still sends is thrown away until it closes. Guards against
     /// a reset that would take the answer from a client who has not read it yet.
-    Leaving,
+    Lingering,
 }
 
 /// One client's connection.
@@ -93,10 +93,10 @@
     }
 
     /// Whether closing it now takes nothing from its client: no whole request is there, read or unread.
-    pub fn is_quiet(&self) -> bool {
+    pub fn has_no_unread_input(&self) -> bool {
         match self.stage {
             Stage::Idle => !matches!(self.sock.peek(&mut [0]), Ok(n) if n > 0),
-            Stage::Leaving | Stage::Reading => true,
+            Stage::Lingering | Stage::Reading => true,
             Stage::Waiting(_) | Stage::Writing | Stage::Relaying(_) => false,
         }
     }
@@ -112,29 +112,31 @@
     }
 
     /// Callback: bytes may have come. Called again until it brings nothing.
-    pub fn on_readable(&mut self, now: f64, buffers: &mut BufferPool) -> Brought {
+    pub fn on_readable(&mut self, now: f64, buffers: &mut BufferPool) -> Received {
         match self.stage {
-            Stage::Waiting(_) | Stage::Writing | Stage::Relaying(_) => return self.watch_waiting(),
-            Stage::Leaving => return self.read_off(),
+            Stage::Waiting(_) | Stage::Writing | Stage::Relaying(_) => return self.poll_while_waiting(),
+            Stage::Lingering => return self.drain_input(),
             Stage::Idle | Stage::Reading => {}
         }
         loop {
-            match self.take_in() {
+            match self.parse_buffered() {
                 Ok(Some(head)) => {
                     self.new_since = None;
-                    return Brought::Request(head);
+                    return Received::Request(head);
                 }
                 Ok(None) => {}
-                Err(fault) => return Brought::Bad(fault),
+                Err(fault) => return Received::Invalid(fault),
             }
             let buffer = self.buffer.get_or_insert_with(|| buffers.take());
             if buffer.is_full() {
-                return Brought::Bad(Fault(413));
+                return Received::Invalid(MessageError(413));
             }
             match buffer.fill_from(&mut self.sock) {
-                Ok(0) => return Brought::Closed,
+                Ok(0) => return Received::Closed,
                 Ok(_) if self.stage == Stage::Idle => {
-                    (self.stage, self.since, self.progress) = (Stage::Reading, now, now)
+                    self.stage = Stage::Reading;
+                    self.since = now;
+                    self.progress = now;
                 }
                 Ok(_) => self.progress = now,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
@@ -143,34 +145,34 @@
                     if self.stage == Stage::Idle {
                         self.buffer.take().into_iter().for_each(|t| buffers.give_back(t));
                     }
-                    return Brought::Nothing;
+                    return Received::Partial;
                 }
-                Err(_) => return Brought::Closed,
+                Err(_) => return Received::Closed,
             }
         }
     }
 
     /// While a request waits only the client's going is looked for; early bytes stay for later. Guards against an
     /// end behind more early bytes than a buffer takes, which could not be read.
-    fn watch_waiting(&mut self) -> Brought {
+    fn poll_while_waiting(&mut self) -> Received {
         if self.peer_closed && matches!(self.stage, Stage::Waiting(_)) {
-            return Brought::Closed;
+            return Received::Closed;
         }
-        let Some(buffer) = self.buffer.as_mut() else { return Brought::Nothing };
+        let Some(buffer) = self.buffer.as_mut() else { return Received::Partial };
         while !buffer.is_full() {
             match buffer.fill_from(&mut self.sock) {
-                Ok(0) => return Brought::Closed,
+                Ok(0) => return Received::Closed,
                 Ok(_) => {}
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Brought::Nothing,
-                Err(_) => return Brought::Closed,
+                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Received::Partial,
+                Err(_) => return Received::Closed,
             }
         }
-        Brought::Nothing
+        Received::Partial
     }
 
     /// Looks for a whole request in what has been read.
-    fn take_in(&mut self) -> Result<Option<Head>, Fault> {
+    fn parse_buffered(&mut self) -> Result<Option<Head>, MessageError> {
         let Some(buffer) = self.buffer.as_mut().filter(|t| !t.bytes().is_empty()) else { return Ok(None) };
         if self.reading.is_none() {
             let Some(head) = Head::of_request(buffer.bytes())? else { return Ok(None) };
@@ -180,7 +182,8 @@
         }
         let Some((_, body)) = self.reading.as_mut() else { return Ok(None) };
         if body.read(buffer, false)? {
-            (self.body, self.rest) = (body.start..body.end, body.raw);
+            self.body = body.start..body.end;
+            self.rest = body.raw;
             return Ok(self.reading.take().map(|(head, _)| head));
         }
         if !self.continued {
@@ -193,8 +196,11 @@
 
     /// Puts an answer in place; it goes out by [`ClientConnection::on_writable`].
     pub fn reply(&mut self, now: f64, head: Vec<u8>, body: Option<(Buffer, Range<usize>)>) {
-        (self.out_head, self.out_body, self.written) = (head, body, 0);
-        (self.stage, self.since) = (Stage::Writing, now);
+        self.out_head = head;
+        self.out_body = body;
+        self.written = 0;
+        self.stage = Stage::Writing;
+        self.since = now;
     }
 
     /// Callback: writes what is left of an answer; true when it is out.
@@ -231,29 +237,32 @@
         if !early {
             self.buffer.take().into_iter().for_each(|t| buffers.give_back(t));
         }
-        (self.rest, self.body) = (0, 0..0);
-        (self.stage, self.since) = (if early { Stage::Reading } else { Stage::Idle }, now);
+        self.rest = 0;
+        self.body = 0..0;
+        self.stage = if early { Stage::Reading } else { Stage::Idle };
+        self.since = now;
     }
 
     /// The last answer is out: says so to the client.
     pub fn leave(&mut self, now: f64) {
         let _ = self.sock.shutdown(Shutdown::Write);
-        (self.stage, self.since) = (Stage::Leaving, now);
+        self.stage = Stage::Lingering;
+        self.since = now;
     }
 
     /// Reads on what the client still sends after the last answer, as far as that may go at one go. Guards against
     /// bytes that would reset the connection under that answer, and against a flood that keeps the loop to itself.
-    pub fn read_off(&mut self) -> Brought {
+    pub fn drain_input(&mut self) -> Received {
         let mut sink = [0; 4096];
-        for _ in 0..MOUTHFULS {
+        for _ in 0..MAX_DRAIN_READS {
             match self.sock.read(&mut sink) {
                 Ok(n) if n > 0 => {}
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Brought::Nothing,
-                _ => return Brought::Closed,
+                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Received::Partial,
+                _ => return Received::Closed,
             }
         }
-        Brought::More
+        Received::More
     }
 
     /// Gives the buffers back.
--- a/crates/sidecar/proxy/src/connections.rs
+++ b/crates/sidecar/proxy/src/connections.rs
@@ -5,7 +5,7 @@
 use crate::discovery_client::DiscoveryClient;
 use crate::http::{answer_head, Head};
 use crate::log::Log;
-use crate::pool::{Attempt, Load, Pools, Return, UpstreamConnection};
+use crate::pool::{Attempt, AttemptResult, Pools, ResponseBody, UpstreamConnection};
 use crate::timer_wheel::TimerWheel;
 use mio::Registry;
 use passrelay_load_balancing::dispatcher::{self, Answer, Transport};
@@ -23,7 +23,7 @@
 pub use tokens::{generation, owner, Owner, DISCOVERY, LISTENER, SIGNALS};
 
 /// A node closes idle connections; ours are closed before, at this part of that time.
-const IDLE_PART: f64 = 0.8;
+const IDLE_TIMEOUT_FRACTION: f64 = 0.8;
 
 /// What fires on the timer wheel.
 #[derive(Clone, Copy)]
@@ -56,36 +56,36 @@
 }
 
 /// What has happened on the connections and the dispatcher has not been told yet.
-pub enum News {
-    Attempt {
+pub enum ConnectionEvent {
+    AttemptOutcome {
         id: RequestId,
         number: u32,
         ending: Ending,
     },
-    Probe {
+    ProbeOutcome {
         node: UpstreamId,
         ending: Ending,
     },
-    ListFailed,
+    DiscoveryFailed,
     /// A call to discovery goes out on a connection that is up.
-    Asked,
+    DiscoveryRequested,
     /// The attempt of this upstream ended while it was set out.
-    Back {
+    AttemptEnded {
         upstream: usize,
         attempt: Attempt,
-        end: Return,
+        end: AttemptResult,
     },
     /// This client has had its answer and may already hold the next request.
-    Free {
+    ClientReady {
         client: usize,
     },
 }
 
 /// What goes on in the next turn without an event: a key, and the number that tells its connection from a later one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Again {
+pub enum Continuation {
     /// A client's connection after its last answer, with bytes that lie unread.
-    ReadOff(usize, u64),
+    DrainInput(usize, u64),
     /// The relay of a node's connection.
     Pump(usize, u64),
 }
@@ -112,11 +112,11 @@
     pub pools: Pools,
     pub discovery: DiscoveryClient,
     pub log: Log,
-    pub news: VecDeque<News>,
-    pub again: BTreeSet<Again>,
+    pub events: VecDeque<ConnectionEvent>,
+    pub continuations: BTreeSet<Continuation>,
     pub now: f64,
     /// Clients let in so far.
-    let_in: u64,
+    accept: u64,
     /// Connections to nodes begun so far.
     dialed: u64,
     /// Answers say that the connection closes: after SIGTERM's last call, or in standby.
@@ -128,7 +128,7 @@
     /// Where each attempt is.
     out: HashMap<(RequestId, u32), usize>,
     /// The body of the answer that is about to be given.
-    pub load: Option<Load>,
+    pub load: Option<ResponseBody>,
     /// The upstream whose served answer is about to be passed on while it comes.
     pub stream: Option<usize>,
     max_upstreams: usize,
@@ -161,10 +161,10 @@
             pools: Pools::default(),
             discovery,
             log,
-            news: VecDeque::new(),
-            again: BTreeSet::new(),
+            events: VecDeque::new(),
+            continuations: BTreeSet::new(),
             now: 0.0,
-            let_in: 0,
+            accept: 0,
             dialed: 0,
             closing: false,
             name: name.to_owned(),
@@ -175,24 +175,24 @@
             stream: None,
             max_upstreams: bounds.max_upstreams,
             connect_timeout: bounds.connect_timeout,
-            conn_idle: bounds.conn_idle * IDLE_PART,
+            conn_idle: bounds.conn_idle * IDLE_TIMEOUT_FRACTION,
         }
     }
 
-    pub fn say(&mut self, level: &str, event: &str, values: &[(&str, &dyn Display)]) {
+    pub fn log_event(&mut self, level: &str, event: &str, values: &[(&str, &dyn Display)]) {
         self.log.line(self.now, level, event, values);
     }
 
     /// Goes on with what was left for this turn.
-    pub fn go_on(&mut self) {
-        for again in std::mem::take(&mut self.again) {
-            match again {
-                Again::ReadOff(key, number) => {
+    pub fn run_continuations(&mut self) {
+        for continuations in std::mem::take(&mut self.continuations) {
+            match continuations {
+                Continuation::DrainInput(key, number) => {
                     if self.clients.get(key).is_some_and(|k| k.number == number) {
-                        self.read_off(key);
+                        self.drain_input(key);
                     }
                 }
-                Again::Pump(upstream, number) => {
+                Continuation::Pump(upstream, number) => {
                     if self.upstreams.get(upstream).is_some_and(|b| b.number == number) {
                         self.pump(upstream);
                     }
@@ -204,7 +204,7 @@
 
 impl Transport for Connections {
     fn send(&mut self, id: RequestId, number: u32, to: UpstreamId) {
-        self.set_out(to, Attempt::Request { id, number });
+        self.start_attempt(to, Attempt::Request { id, number });
     }
 
     fn withdraw(&mut self, id: RequestId, number: u32) {
@@ -215,14 +215,14 @@
 
     fn answer(&mut self, id: RequestId, answer: Answer) {
         let load = self.load.take();
-        let Some(key) = self.unseat(id) else { return };
+        let Some(key) = self.untrack_request(id) else { return };
         if let (Answer::Served { .. }, Some(upstream)) = (answer, self.stream) {
             self.stream = None;
             load.into_iter().for_each(|l| self.buffers.give_back(l.buffer));
             return self.open_relay(key, upstream);
         }
         match (answer, load) {
-            (Answer::Served { .. }, Some(Load { buffer, body, media })) => {
+            (Answer::Served { .. }, Some(ResponseBody { buffer, body, media })) => {
                 let Some(client) = self.clients.get_mut(key) else { return self.buffers.give_back(buffer) };
                 client.close |= self.closing;
                 let fields: Vec<(&str, &dyn Display)> =
@@ -232,21 +232,21 @@
                 self.write_out(key);
             }
             (Answer::Refused { retry_after: Some(wait) }, _) => {
-                self.word(key, 503, "refused, come again later\n", &[("Retry-After", &wait)]);
+                self.respond(key, 503, "refused, come again later\n", &[("Retry-After", &wait)]);
             }
             (Answer::Refused { retry_after: None }, _) => {
-                self.word(key, 503, "refused, come again later\n", &[]);
+                self.respond(key, 503, "refused, come again later\n", &[]);
             }
-            (Answer::Faulty, _) => self.word(key, 400, "the node finds the request at fault\n", &[]),
-            (Answer::Failed { late: true }, _) => self.word(key, 504, "no answer in time\n", &[]),
+            (Answer::Faulty, _) => self.respond(key, 400, "the node finds the request at fault\n", &[]),
+            (Answer::Failed { late: true }, _) => self.respond(key, 504, "no answer in time\n", &[]),
             (Answer::Failed { late: false } | Answer::Served { .. }, _) => {
-                self.word(key, 502, "failed\n", &[]);
+                self.respond(key, 502, "failed\n", &[]);
             }
         }
     }
 
     fn probe(&mut self, node: UpstreamId) {
-        self.set_out(node, Attempt::Probe { sent: self.now });
+        self.start_attempt(node, Attempt::Probe { sent: self.now });
     }
 
     fn watch(&mut self) {
--- a/crates/sidecar/proxy/src/connections/clients.rs
+++ b/crates/sidecar/proxy/src/connections/clients.rs
@@ -1,8 +1,8 @@
 //! The clients' side of the connections.
 
 use super::tokens::client_token;
-use super::{call_id, Again, Connections, News, Pending};
-use crate::client_connection::{Brought, ClientConnection, Stage};
+use super::{call_id, ConnectionEvent, Connections, Continuation, Pending};
+use crate::client_connection::{ClientConnection, Received, Stage};
 use crate::http::{answer_head, Head};
 use mio::net::TcpStream;
 use mio::Interest;
@@ -11,44 +11,44 @@
 use std::io;
 
 /// A request has to be in so long after its first byte, and a client's first one after it was let in.
-const REQUEST_S: f64 = 2.5;
+const REQUEST_HEAD_TIMEOUT_S: f64 = 2.5;
 /// A body that comes in has to bring a byte so often.
-const STALL_S: f64 = 2.5;
+const BODY_STALL_TIMEOUT_S: f64 = 2.5;
 /// A client has this long to take its answer.
-const TAKE_S: f64 = 5.0;
+const RESPONSE_STALL_TIMEOUT_S: f64 = 5.0;
 /// A client that has had an answer may stand idle for so long.
-const IDLE_S: f64 = 10.0;
+const IDLE_TIMEOUT_S: f64 = 10.0;
 /// Where there is no room, a request that has not come in whole after this makes it.
-const SQUEEZE_S: f64 = 0.5;
+const EVICTABLE_READING_AFTER_S: f64 = 0.5;
 /// A client that has just been let in is not sent off for others before this: its request is on its way.
-const NEW_S: f64 = 0.1;
+const NEW_CLIENT_GRACE_S: f64 = 0.1;
 /// A client has this long to close after the last answer.
-const LEAVE_S: f64 = 1.0;
+const LINGER_TIMEOUT_S: f64 = 1.0;
 
 /// Whether a client connection may make room for another.
 fn is_idle(client: &ClientConnection, now: f64) -> bool {
     match client.stage {
-        Stage::Idle => client.new_since.is_none_or(|since| now - since >= NEW_S),
-        Stage::Leaving => true,
+        Stage::Idle => client.new_since.is_none_or(|since| now - since >= NEW_CLIENT_GRACE_S),
+        Stage::Lingering => true,
         _ => false,
     }
 }
 
 impl Connections {
     /// Lets a client in.
-    pub fn let_in(&mut self, mut sock: TcpStream) -> io::Result<()> {
+    pub fn accept(&mut self, mut sock: TcpStream) -> io::Result<()> {
         let _ = sock.set_nodelay(true);
         let entry = self.clients.vacant_entry();
         let key = entry.key();
-        self.let_in += 1;
-        let token = client_token(key, self.let_in);
+        self.accept += 1;
+        let token = client_token(key, self.accept);
         self.registry.register(&mut sock, token, Interest::READABLE | Interest::WRITABLE)?;
-        entry.insert(ClientConnection::new(sock, self.now, self.let_in));
+        entry.insert(ClientConnection::new(sock, self.now, self.accept));
         Ok(())
     }
 
     /// Closes a client's connection.
-    pub fn send_off(&mut self, key: usize) {
+    pub fn close_client(&mut self, key: usize) {
         if let Some(Stage::Relaying(upstream)) = self.clients.get(key).map(|k| k.stage) {
             self.close_upstream(upstream);
         }
@@ -60,10 +60,10 @@
 
     /// Ends a connection on which nothing more is owed: says so, and reads what the client sends meanwhile, of
     /// which nothing goes on. Guards against a reset over unread bytes, which takes the last answer with it.
-    pub fn say_goodbye(&mut self, key: usize) {
+    pub fn close_gracefully(&mut self, key: usize) {
         if let Some(client) = self.clients.get_mut(key) {
             client.leave(self.now);
-            self.read_off(key);
+            self.drain_input(key);
         }
     }
 
@@ -75,45 +75,46 @@
     }
 
     /// Connections on which a request has come in only in part.
-    pub fn half_read(&self) -> Vec<usize> {
+    pub fn partially_received(&self) -> Vec<usize> {
         self.clients.iter().filter(|(_, k)| k.stage == Stage::Reading).map(|(key, _)| key).collect()
     }
 
     /// Closes the client's connection that has been idle longest, or else the one that has been at its
     /// request longest. Guards against a client cut off whose request lies unread, against one just let in
     /// who falls to the crowd behind it, and against a crowd with half a request each that shuts others out.
-    pub fn send_off_idlest(&mut self) -> bool {
+    pub fn evict_idle_client(&mut self) -> bool {
         let now = self.now;
-        self.send_off_first(|k| is_idle(k, now))
-            || self.send_off_first(|k| k.stage == Stage::Reading && now - k.since >= SQUEEZE_S)
+        self.evict_oldest(|k| is_idle(k, now))
+            || self.evict_oldest(|k| k.stage == Stage::Reading && now - k.since >= EVICTABLE_READING_AFTER_S)
     }
 
     /// Whether a newcomer can be let in, if need be in the place of one who is idle.
-    pub fn has_room(&self, most: usize) -> bool {
+    pub fn can_accept(&self, most: usize) -> bool {
         self.clients.len() < most || self.clients.iter().any(|(_, k)| is_idle(k, self.now))
     }
 
     /// Closes every client connection on which nothing is: in standby they are to move elsewhere.
-    pub fn send_off_all_idle(&mut self) {
-        let idle = self.clients.iter().filter(|(_, k)| k.stage == Stage::Idle && k.is_quiet());
+    pub fn close_idle_clients(&mut self) {
+        let idle = self.clients.iter().filter(|(_, k)| k.stage == Stage::Idle && k.has_no_unread_input());
         let idle: Vec<_> = idle.map(|(key, _)| key).collect();
-        idle.into_iter().for_each(|key| self.say_goodbye(key));
+        idle.into_iter().for_each(|key| self.close_gracefully(key));
     }
 
     /// Of those who may go, closes the one that has been as it is for longest and loses nothing unread.
-    fn send_off_first(&mut self, may_go: impl Fn(&ClientConnection) -> bool) -> bool {
+    fn evict_oldest(&mut self, may_go: impl Fn(&ClientConnection) -> bool) -> bool {
         let idle = self.clients.iter().filter(|(_, k)| may_go(k));
         let mut idle: Vec<_> = idle.map(|(key, k)| (k.since, k.number, key)).collect();
         idle.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
-        let oldest = idle.into_iter().map(|(_, _, key)| key).find(|key| self.clients[*key].is_quiet());
+        let oldest =
+            idle.into_iter().map(|(_, _, key)| key).find(|key| self.clients[*key].has_no_unread_input());
         oldest.is_some_and(|key| {
-            self.send_off(key);
+            self.close_client(key);
             true
         })
     }
 
     /// Notes a request before the dispatcher takes it.
-    pub fn seat(&mut self, id: RequestId, client: usize, head: Head, budget: f64) {
+    pub fn track_request(&mut self, id: RequestId, client: usize, head: Head, budget: f64) {
         self.clients[client].stage = Stage::Waiting(id);
         self.clients[client].close |= head.close;
         self.call_ids.insert(call_id(&head).to_owned());
@@ -121,19 +122,19 @@
     }
 
     /// Whether a request with the client's id of this one waits for its answer.
-    pub fn is_seated(&self, head: &Head) -> bool {
+    pub fn is_duplicate(&self, head: &Head) -> bool {
         self.call_ids.contains(call_id(head))
     }
 
     /// Forgets a request whose client has gone or gets its answer.
-    pub fn unseat(&mut self, id: RequestId) -> Option<usize> {
+    pub fn untrack_request(&mut self, id: RequestId) -> Option<usize> {
         let pending = self.pending.remove(&id)?;
         self.call_ids.remove(call_id(&pending.head));
         Some(pending.client)
     }
 
     /// Answers a client with a few words of the sidecar's own.
-    pub fn word(&mut self, key: usize, status: u16, text: &str, more: &[(&str, &dyn Display)]) {
+    pub fn respond(&mut self, key: usize, status: u16, text: &str, more: &[(&str, &dyn Display)]) {
         let Some(client) = self.clients.get_mut(key) else { return };
         client.close |= self.closing;
         let mut fields: Vec<(&str, &dyn Display)> = vec![("Content-Type", &"text/plain")];
@@ -151,22 +152,22 @@
             return self.pump(upstream);
         }
         match client.on_writable(self.now, &mut self.buffers) {
-            Ok(true) if client.close => self.say_goodbye(key),
+            Ok(true) if client.close => self.close_gracefully(key),
             // Guards against a request that waits unseen: its edge may have come during the answer.
-            Ok(true) => self.news.push_back(News::Free { client: key }),
+            Ok(true) => self.events.push_back(ConnectionEvent::ClientReady { client: key }),
             Ok(false) => {}
-            Err(_) => self.send_off(key),
+            Err(_) => self.close_client(key),
         }
     }
 
     /// Reads off what a client sends after its last answer.
-    pub(super) fn read_off(&mut self, key: usize) {
+    pub(super) fn drain_input(&mut self, key: usize) {
         let Some(client) = self.clients.get_mut(key) else { return };
-        match client.read_off() {
-            Brought::More => {
-                self.again.insert(Again::ReadOff(key, client.number));
+        match client.drain_input() {
+            Received::More => {
+                self.continuations.insert(Continuation::DrainInput(key, client.number));
             }
-            Brought::Closed => self.send_off(key),
+            Received::Closed => self.close_client(key),
             _ => {}
         }
     }
@@ -175,44 +176,46 @@
     pub fn sweep_clients(&mut self) {
         let now = self.now;
         let late = |k: &ClientConnection| match k.stage {
-            Stage::Leaving => now - k.since >= LEAVE_S,
-            Stage::Writing => now - k.since >= TAKE_S,
+            Stage::Lingering => now - k.since >= LINGER_TIMEOUT_S,
+            Stage::Writing => now - k.since >= RESPONSE_STALL_TIMEOUT_S,
             // Guards against those who connect and say nothing; no client of ours waits before it asks.
-            Stage::Idle => now - k.since >= if k.new_since.is_some() { REQUEST_S } else { IDLE_S },
+            Stage::Idle => {
+                now - k.since >= if k.new_since.is_some() { REQUEST_HEAD_TIMEOUT_S } else { IDLE_TIMEOUT_S }
+            }
             Stage::Relaying(upstream) => self
                 .upstreams
                 .get(upstream)
                 .and_then(|b| b.relay.as_ref())
-                .is_none_or(|p| now - p.moved_at >= TAKE_S),
+                .is_none_or(|p| now - p.moved_at >= RESPONSE_STALL_TIMEOUT_S),
             Stage::Reading | Stage::Waiting(_) => false,
         };
         let late: Vec<_> = self.clients.iter().filter(|(_, k)| late(k)).map(|(key, _)| key).collect();
         for key in late {
             match self.clients[key].stage {
-                Stage::Idle if self.clients[key].is_quiet() => self.say_goodbye(key),
+                Stage::Idle if self.clients[key].has_no_unread_input() => self.close_gracefully(key),
                 // Its request has just come in.
                 Stage::Idle => {}
-                Stage::Leaving => {
+                Stage::Lingering => {
                     // What lies unread would reset the connection under its last answer.
-                    let _ = self.clients[key].read_off();
-                    self.send_off(key);
+                    let _ = self.clients[key].drain_input();
+                    self.close_client(key);
                 }
-                _ => self.send_off(key),
+                _ => self.close_client(key),
             }
         }
         // A head has to be whole in time; a body only has to keep coming: it may be large and its client slow.
         let slow = |k: &ClientConnection| {
             k.stage == Stage::Reading
                 && if k.has_head() {
-                    now - k.progress >= STALL_S
+                    now - k.progress >= BODY_STALL_TIMEOUT_S
                 } else {
-                    now - k.new_since.unwrap_or(k.since) >= REQUEST_S
+                    now - k.new_since.unwrap_or(k.since) >= REQUEST_HEAD_TIMEOUT_S
                 }
         };
         let slow: Vec<_> = self.clients.iter().filter(|(_, k)| slow(k)).map(|(k, _)| k).collect();
         for key in slow {
             self.clients[key].close = true;
-            self.word(key, 408, "the request did not come in whole\n", &[]);
+            self.respond(key, 408, "the request did not come in whole\n", &[]);
         }
     }
 }
--- a/crates/sidecar/proxy/src/connections/discovery.rs
+++ b/crates/sidecar/proxy/src/connections/discovery.rs
@@ -1,7 +1,7 @@
 //! The connection to discovery.
 
 use super::tokens::DISCOVERY;
-use super::{Connections, News, Timer};
+use super::{ConnectionEvent, Connections, Timer};
 use mio::Interest;
 use std::net::SocketAddr;
 
@@ -23,14 +23,14 @@
                 self.timers.set(self.now + patience, Timer::Overdue(self.discovery.call));
                 // Guards against a call that is never written: a connection that has long been writable
                 // gives no new event.
-                self.news.push_back(News::Asked);
+                self.events.push_back(ConnectionEvent::DiscoveryRequested);
             }
-            Err(e) => self.list_failed(&e.to_string()),
+            Err(e) => self.discovery_failed(&e.to_string()),
         }
     }
 
     /// Leaves discovery where it was and asks it where it is now.
-    pub fn find_list_at(&mut self, address: SocketAddr) {
+    pub fn move_discovery(&mut self, address: SocketAddr) {
         if address != self.discovery.address() {
             self.discovery.move_to(address, &mut self.buffers);
             // Also where a failure has it left alone for now: that was the old address's.
@@ -39,10 +39,10 @@
         }
     }
 
-    pub fn list_failed(&mut self, problem: &str) {
-        self.say("warn", "list_failed", &[("problem", &problem)]);
+    pub fn discovery_failed(&mut self, problem: &str) {
+        self.log_event("warn", "discovery_failed", &[("problem", &problem)]);
         self.discovery.fail(&mut self.buffers);
         self.discovery.wanted = false;
-        self.news.push_back(News::ListFailed);
+        self.events.push_back(ConnectionEvent::DiscoveryFailed);
     }
 }
--- a/crates/sidecar/proxy/src/connections/relays.rs
+++ b/crates/sidecar/proxy/src/connections/relays.rs
@@ -1,6 +1,6 @@
 //! Body relays on their two connections.
 
-use super::{Again, Connections, News};
+use super::{ConnectionEvent, Connections, Continuation};
 use crate::body_relay::Flow;
 use crate::client_connection::Stage;
 
@@ -11,7 +11,8 @@
             return self.close_upstream(upstream);
         };
         k.close |= self.closing;
-        (k.stage, k.since) = (Stage::Relaying(upstream), self.now);
+        k.stage = Stage::Relaying(upstream);
+        k.since = self.now;
         b.open_relay(client, k.close, self.now);
         self.pump(upstream);
     }
@@ -24,19 +25,19 @@
         match b.relay_on(self.now, &mut k.sock) {
             Flow::Going => {}
             Flow::More => {
-                self.again.insert(Again::Pump(upstream, b.number));
+                self.continuations.insert(Continuation::Pump(upstream, b.number));
             }
             Flow::Done { reusable } => {
                 // Guards against an idle connection that keeps its buffer after a body relay.
                 b.take_buffer().into_iter().for_each(|t| self.buffers.give_back(t));
                 k.answered(self.now, &mut self.buffers);
                 if k.close {
-                    self.say_goodbye(client);
+                    self.close_gracefully(client);
                 } else {
-                    self.news.push_back(News::Free { client });
+                    self.events.push_back(ConnectionEvent::ClientReady { client });
                 }
                 if reusable {
-                    self.put_back(upstream);
+                    self.return_to_pool(upstream);
                 } else {
                     self.close_upstream(upstream);
                 }
@@ -50,7 +51,7 @@
         let Some(b) = self.upstreams.get(upstream) else { return };
         let host = self.pools.host(b.node).to_owned();
         let client = b.relay.as_ref().map(|p| p.client);
-        self.say("warn", "passage_broken", &[("node", &host)]);
-        client.into_iter().for_each(|key| self.send_off(key));
+        self.log_event("warn", "relay_aborted", &[("node", &host)]);
+        client.into_iter().for_each(|key| self.close_client(key));
     }
 }
--- a/crates/sidecar/proxy/src/connections/tests.rs
+++ b/crates/sidecar/proxy/src/connections/tests.rs
@@ -37,14 +37,14 @@
     let poll = mio::Poll::new().unwrap();
     let mut connections = connections(&poll);
     let (near, mut far) = pair(2 * FLOOD);
-    connections.let_in(near).unwrap();
+    connections.accept(near).unwrap();
     let flood = std::thread::spawn(move || far.write_all(&vec![b'z'; FLOOD]).map(|()| far));
     until_unread(&connections, 0, FLOOD);
     connections.clients[0].close = true;
-    connections.word(0, 413, "too long\n", &[]);
+    connections.respond(0, 413, "too long\n", &[]);
     let mut turns = 0;
-    while !connections.again.is_empty() {
-        connections.go_on();
+    while !connections.continuations.is_empty() {
+        connections.run_continuations();
         turns += 1;
     }
     assert!(turns >= 5, "{turns} turns");
--- a/crates/sidecar/proxy/src/connections/upstreams.rs
+++ b/crates/sidecar/proxy/src/connections/upstreams.rs
@@ -1,9 +1,9 @@
 //! The nodes' side of the connections: attempts and probes on their way there and back.
 
 use super::tokens::upstream_token;
-use super::{Connections, News, Timer};
+use super::{ConnectionEvent, Connections, Timer};
 use crate::buffer_pool::Buffer;
-use crate::pool::{Attempt, ConnectionPool, Phase, UpstreamConnection, Verdict};
+use crate::pool::{Attempt, Blame, ConnectionPool, Phase, UpstreamConnection};
 use mio::net::TcpStream;
 use mio::Interest;
 use passrelay_load_balancing::{Ending, RequestId, UpstreamId};
@@ -12,20 +12,20 @@
 use std::net::SocketAddr;
 
 /// A probe is given up after this.
-const PROBE_S: f64 = 1.0;
+const PROBE_TIMEOUT_S: f64 = 1.0;
 /// A connection that is not up in time is waited for so much longer, without an attempt: it serves the next.
-const LATE_S: f64 = 2.0;
+const LATE_CONNECT_TIMEOUT_S: f64 = 2.0;
 /// Such connections to one node at a time.
-const MOST_LATE: usize = 2;
+const MAX_LATE_CONNECTIONS: usize = 2;
 /// A connection rests for this long after an answer before the next attempt is whole on it: three times what second
 /// answers were measured to be late (1 to 4 ms) ...
-const REST_S: f64 = 0.012;
+const MIN_REST_S: f64 = 0.012;
 /// ... unless so many rest at one node: then a new one is opened.
-const MOST_RESTING: usize = 4;
+const MAX_RESTING_CONNECTIONS: usize = 4;
 /// A kept connection idle for this long is tried with all but the last byte of what must not run twice ...
-const TRY_IDLE_S: f64 = 0.05;
+const PROBE_AFTER_IDLE_S: f64 = 0.05;
 /// ... for this long: a round trip inside the data centre takes well under a millisecond.
-const TRY_S: f64 = 0.002;
+const LAST_BYTE_DELAY_S: f64 = 0.002;
 
 impl Connections {
     /// The request as it goes to a node; `None` once its client has left.
@@ -81,14 +81,16 @@
     fn pick_idle(&mut self, node: UpstreamId) -> Option<usize> {
         loop {
             let idle = &self.pools.by_node.get(&node)?.idle;
-            let rested = |key: &usize| self.upstreams.get(*key).is_none_or(|b| self.now - b.since >= REST_S);
+            let rested =
+                |key: &usize| self.upstreams.get(*key).is_none_or(|b| self.now - b.since >= MIN_REST_S);
             let at = idle.iter().rposition(rested);
-            let at =
-                at.or((idle.len() < MOST_RESTING || self.upstreams.len() >= self.max_upstreams).then_some(0));
+            let at = at
+                .or((idle.len() < MAX_RESTING_CONNECTIONS || self.upstreams.len() >= self.max_upstreams)
+                    .then_some(0));
             let at = at.filter(|at| *at < idle.len())?;
             let key = self.pools.by_node.get_mut(&node)?.idle.remove(at);
             // Guards against a send on a connection that the node has just ended.
-            if self.upstreams.get_mut(key).is_some_and(UpstreamConnection::is_quiet) {
+            if self.upstreams.get_mut(key).is_some_and(UpstreamConnection::has_no_unread_input) {
                 return Some(key);
             }
             self.close_upstream(key);
@@ -96,39 +98,40 @@
     }
 
     /// Sends an attempt to a node: over an idle connection, or over a new one.
-    pub(super) fn set_out(&mut self, node: UpstreamId, attempt: Attempt) {
+    pub(super) fn start_attempt(&mut self, node: UpstreamId, attempt: Attempt) {
         if let Some(key) = self.pick_idle(node) {
             let idle = self.now - self.upstreams[key].since;
-            self.note(attempt, key);
+            self.track_attempt(attempt, key);
             if !self.load_upstream(key, attempt) {
-                self.put_back(key);
-                return self.came_to(node, attempt, Ending::Unused);
+                self.return_to_pool(key);
+                return self.report_outcome(node, attempt, Ending::Unused);
             }
-            let wait = if idle < REST_S { REST_S - idle } else { TRY_S };
-            self.upstreams[key].held = idle < REST_S || idle >= TRY_IDLE_S && self.runs_once(attempt);
+            let wait = if idle < MIN_REST_S { MIN_REST_S - idle } else { LAST_BYTE_DELAY_S };
+            self.upstreams[key].held =
+                idle < MIN_REST_S || idle >= PROBE_AFTER_IDLE_S && self.must_not_repeat(attempt);
             if self.upstreams[key].held {
                 self.timers.set(self.now + wait, Timer::LastByte(key, attempt));
             }
             if let Some(end) = self.upstreams[key].on_ready() {
-                self.news.push_back(News::Back { upstream: key, attempt, end });
+                self.events.push_back(ConnectionEvent::AttemptEnded { upstream: key, attempt, end });
             }
             return;
         }
         let Some(dial) = self.pools.by_node.get(&node).map(|l| l.dial) else {
-            return self.came_to(node, attempt, Ending::Unused);
+            return self.report_outcome(node, attempt, Ending::Unused);
         };
         if self.upstreams.len() >= self.max_upstreams && !self.close_idlest_upstream() {
-            self.say("warn", "bays_full", &[("bays", &self.upstreams.len())]);
-            return self.came_to(node, attempt, Ending::Unused);
+            self.log_event("warn", "node_connections_full", &[("node_connections", &self.upstreams.len())]);
+            return self.report_outcome(node, attempt, Ending::Unused);
         }
         let sock = match TcpStream::connect(dial) {
             Err(e) if matches!(e.raw_os_error(), Some(24 | 23)) => {
                 // Guards against an end for want of descriptors: an idle connection makes room.
-                self.say("warn", "no_descriptor", &[("for", &"bay")]);
-                if self.close_idlest_upstream() || self.send_off_idlest() {
+                self.log_event("warn", "descriptors_exhausted", &[("for", &"node")]);
+                if self.close_idlest_upstream() || self.evict_idle_client() {
                     TcpStream::connect(dial)
                 } else {
-                    return self.came_to(node, attempt, Ending::Unused);
+                    return self.report_outcome(node, attempt, Ending::Unused);
                 }
             }
             other => other,
@@ -145,43 +148,44 @@
         match ready {
             Ok(sock) => {
                 entry.insert(UpstreamConnection::new(sock, node, dial, attempt, self.now, self.dialed));
-                self.note(attempt, key);
+                self.track_attempt(attempt, key);
                 self.timers.set(self.now + self.connect_timeout, Timer::Dial(key, attempt));
             }
-            Err(_) => self.came_to(node, attempt, Ending::DialFailed),
+            Err(_) => self.report_outcome(node, attempt, Ending::DialFailed),
         }
     }
 
     /// Whether an attempt must not run twice.
-    fn runs_once(&self, attempt: Attempt) -> bool {
+    fn must_not_repeat(&self, attempt: Attempt) -> bool {
         let Attempt::Request { id, .. } = attempt else { return false };
         self.pending.get(&id).is_some_and(|r| r.head.method != "GET")
     }
 
-    fn note(&mut self, attempt: Attempt, key: usize) {
+    fn track_attempt(&mut self, attempt: Attempt, key: usize) {
         if let Attempt::Request { id, number } = attempt {
             self.out.insert((id, number), key);
         } else {
-            self.timers.set(self.now + PROBE_S, Timer::Probe(key, attempt));
+            self.timers.set(self.now + PROBE_TIMEOUT_S, Timer::Probe(key, attempt));
         }
     }
 
     /// A connection is not up in time: its attempt goes another way. The connection may come up yet. Guards against a
     /// node that is slow to connect and otherwise well: each new attempt would wait for a new connection in vain.
-    pub fn late(&mut self, key: usize) {
+    pub fn connect_timed_out(&mut self, key: usize) {
         let Some(upstream) = self.upstreams.get_mut(key) else { return };
         let (node, number) = (upstream.node, upstream.number);
         let Some(attempt) = upstream.attempt.take() else { return };
         let to_node = || self.upstreams.iter().map(|(_, b)| b).filter(|b| b.node == node);
         let late = to_node().filter(|b| b.is_late()).count();
         let serves = to_node().any(|b| matches!(b.phase, Phase::Busy | Phase::Idle | Phase::Relaying));
-        if late > MOST_LATE {
+        if late > MAX_LATE_CONNECTIONS {
             self.close_upstream(key);
         } else {
-            self.timers.set(self.now + LATE_S, Timer::Late(key, number));
+            self.timers.set(self.now + LATE_CONNECT_TIMEOUT_S, Timer::Late(key, number));
         }
-        let ending = if serves { self.weigh(node, Ending::DialFailed) } else { Ending::DialFailed };
-        self.came_to(node, attempt, ending);
+        let ending =
+            if serves { self.attribute_failure(node, Ending::DialFailed) } else { Ending::DialFailed };
+        self.report_outcome(node, attempt, ending);
     }
 
     /// The client of a request has left: what of it is not wholly on its way to a node is taken back, and has never
@@ -191,7 +195,7 @@
         for key in out {
             let unsent = |b: &UpstreamConnection| b.phase == Phase::Busy && !b.is_sent();
             if self.upstreams.get(key).is_some_and(unsent) {
-                self.take_back(key);
+                self.withdraw_unsent(key);
             }
         }
     }
@@ -208,12 +212,12 @@
     /// Ends an attempt together with its connection.
     pub fn end_attempt(&mut self, key: usize, ending: Ending) {
         if let Some((node, attempt)) = self.free_upstream(key, false) {
-            self.came_to(node, attempt, ending);
+            self.report_outcome(node, attempt, ending);
         }
     }
 
     /// Ends an attempt of which not every byte is out, so that it cannot run any more.
-    pub fn take_back(&mut self, key: usize) {
+    pub fn withdraw_unsent(&mut self, key: usize) {
         self.end_attempt(key, Ending::Unused);
     }
 
@@ -224,12 +228,12 @@
 
     /// How the dispatcher is told of an end on a connection that was up. Guards against taking a node that drops
     /// one connection for a node that is down: its attempt was not sent. The second time it is.
-    pub fn weigh(&mut self, node: UpstreamId, ending: Ending) -> Ending {
+    pub fn attribute_failure(&mut self, node: UpstreamId, ending: Ending) -> Ending {
         let Some(pool) = self.pools.by_node.get_mut(&node) else { return ending };
         match ending {
-            Ending::DialFailed if !std::mem::replace(&mut pool.hung_up, true) => Ending::Unused,
+            Ending::DialFailed if !std::mem::replace(&mut pool.closed_unused, true) => Ending::Unused,
             Ending::Delivered | Ending::AppError | Ending::Shed => {
-                pool.hung_up = false;
+                pool.closed_unused = false;
                 ending
             }
             _ => ending,
@@ -237,26 +241,26 @@
     }
 
     /// Logs an attempt that the connection itself has ended.
-    pub fn say_lost(&mut self, node: UpstreamId, ending: Ending, verdict: Verdict) {
+    pub fn log_failed_attempt(&mut self, node: UpstreamId, ending: Ending, verdict: Blame) {
         let event = match ending {
-            _ if verdict == Verdict::Spoilt => "answer_spoilt",
+            _ if verdict == Blame::InvalidResponse => "invalid_response",
             Ending::DialFailed => "node_unreachable",
-            Ending::Dropped => "node_broke_off",
+            Ending::Dropped => "node_disconnected",
             _ => return,
         };
         let host = self.pools.host(node).to_owned();
-        self.say("warn", event, &[("node", &host)]);
+        self.log_event("warn", event, &[("node", &host)]);
     }
 
     /// Queues how an attempt ended, for the dispatcher.
-    pub fn came_to(&mut self, node: UpstreamId, attempt: Attempt, ending: Ending) {
-        self.say_lost(node, ending, Verdict::Plain);
+    pub fn report_outcome(&mut self, node: UpstreamId, attempt: Attempt, ending: Ending) {
+        self.log_failed_attempt(node, ending, Blame::None);
         match attempt {
             Attempt::Request { id, number } => {
                 self.out.remove(&(id, number));
-                self.news.push_back(News::Attempt { id, number, ending });
+                self.events.push_back(ConnectionEvent::AttemptOutcome { id, number, ending });
             }
-            Attempt::Probe { .. } => self.news.push_back(News::Probe { node, ending }),
+            Attempt::Probe { .. } => self.events.push_back(ConnectionEvent::ProbeOutcome { node, ending }),
         }
     }
 
@@ -275,7 +279,7 @@
     pub fn free_upstream(&mut self, key: usize, reusable: bool) -> Option<(UpstreamId, Attempt)> {
         let held = self.hold_upstream(key)?;
         if reusable {
-            self.put_back(key);
+            self.return_to_pool(key);
         } else {
             self.close_upstream(key);
         }
@@ -283,9 +287,11 @@
     }
 
     /// Puts a connection among the idle ones of its pool.
-    pub fn put_back(&mut self, key: usize) {
+    pub fn return_to_pool(&mut self, key: usize) {
         let Some(upstream) = self.upstreams.get_mut(key) else { return };
-        (upstream.phase, upstream.attempt, upstream.since) = (Phase::Idle, None, self.now);
+        upstream.phase = Phase::Idle;
+        upstream.attempt = None;
+        upstream.since = self.now;
         let pool = self.pools.by_node.get_mut(&upstream.node).filter(|l| l.open && l.dial == upstream.dial);
         match pool {
             Some(pool) => pool.idle.push(key),
@@ -322,15 +328,16 @@
     }
 
     /// Brings the pools in line with one list line.
-    pub fn learn_node(&mut self, node: UpstreamId, dial: SocketAddr, open: bool) {
+    pub fn update_node(&mut self, node: UpstreamId, dial: SocketAddr, open: bool) {
         let pool = self.pools.by_node.entry(node).or_insert(ConnectionPool {
             dial,
             open,
             idle: Vec::new(),
-            hung_up: false,
+            closed_unused: false,
         });
         let moved = pool.dial != dial;
-        (pool.dial, pool.open) = (dial, open);
+        pool.dial = dial;
+        pool.open = open;
         if moved || !open {
             let idle = std::mem::take(&mut pool.idle);
             idle.into_iter().for_each(|k| self.close_upstream(k));
--- a/crates/sidecar/proxy/src/discovery_client.rs
+++ b/crates/sidecar/proxy/src/discovery_client.rs
@@ -9,24 +9,24 @@
 
 /// How long discovery may hold a watch open. Guards against a watch that falls silent: the copy goes on with a
 /// list of nodes that have been replaced until the wait is over. News counts as told 2 s after the wait.
-const WATCH_S: f64 = 2.5;
+const WATCH_TIMEOUT_S: f64 = 2.5;
 /// How much longer than that an answer may take: a call may wait 1 s for its turn.
 const WATCH_SLACK_S: f64 = 1.5;
 /// How long a call for the whole list may take.
-const WHOLE_S: f64 = 3.0;
+const FULL_LIST_TIMEOUT_S: f64 = 3.0;
 /// The pause after an answer, well under the 200 ms after which a watch would end.
-pub const PAUSE_S: f64 = 0.05;
+pub const REQUEST_PAUSE_S: f64 = 0.05;
 /// An answer to a watch that comes sooner than this and tells nothing is out of order ...
-const HASTY_S: f64 = 1.0;
+const MIN_EMPTY_ANSWER_S: f64 = 1.0;
 /// ... and so many of them in a row are a failure: guards against a storm of calls.
-const MAX_HASTY: u32 = 3;
+const MAX_EMPTY_ANSWERS: u32 = 3;
 
 /// What discovery said.
-pub enum Word {
-    /// Nothing whole yet.
-    Nothing,
-    /// News; the next call is to follow after [`PAUSE_S`].
-    News(NodeListUpdate),
+pub enum DiscoveryResult {
+    /// The answer is not complete yet.
+    Pending,
+    /// News; the next call is to follow after [`REQUEST_PAUSE_S`].
+    Update(NodeListUpdate),
     /// The call failed; discovery is to be left alone until the module asks again.
     Failed(String),
 }
@@ -49,7 +49,7 @@
     request: Vec<u8>,
     written: usize,
     answer: Option<(Head, BodyReader)>,
-    hasty: u32,
+    empty_answers: u32,
 }
 
 impl DiscoveryClient {
@@ -67,7 +67,7 @@
             request: Vec::new(),
             written: 0,
             answer: None,
-            hasty: 0,
+            empty_answers: 0,
         }
     }
 
@@ -75,10 +75,10 @@
     pub fn ask(&mut self, now: f64, name: &str) -> io::Result<(bool, f64)> {
         let (target, patience) = match self.seq {
             Some(seq) => {
-                let wait_ms = (WATCH_S * 1000.0) as u64;
-                (format!("/v1/endpoints?since={seq}&timeout_ms={wait_ms}"), WATCH_S + WATCH_SLACK_S)
+                let wait_ms = (WATCH_TIMEOUT_S * 1000.0) as u64;
+                (format!("/v1/endpoints?since={seq}&timeout_ms={wait_ms}"), WATCH_TIMEOUT_S + WATCH_SLACK_S)
             }
-            None => ("/v1/endpoints".to_owned(), WHOLE_S),
+            None => ("/v1/endpoints".to_owned(), FULL_LIST_TIMEOUT_S),
         };
         let fresh = self.sock.is_none();
         if fresh {
@@ -90,7 +90,10 @@
             self.address
         )
         .into_bytes();
-        (self.asking, self.asked_at, self.written, self.answer) = (true, now, 0, None);
+        self.asking = true;
+        self.asked_at = now;
+        self.written = 0;
+        self.answer = None;
         self.call += 1;
         Ok((fresh, patience))
     }
@@ -99,7 +102,8 @@
     /// watch goes on there from the version held.
     pub fn move_to(&mut self, address: SocketAddr, buffers: &mut BufferPool) {
         self.fail(buffers);
-        (self.address, self.hasty) = (address, 0);
+        self.address = address;
+        self.empty_answers = 0;
     }
 
     /// Where discovery is asked.
@@ -115,32 +119,32 @@
     }
 
     /// Callback: writes and reads what can be.
-    pub fn on_ready(&mut self, now: f64, buffers: &mut BufferPool) -> Word {
+    pub fn on_ready(&mut self, now: f64, buffers: &mut BufferPool) -> DiscoveryResult {
         if !self.asking {
             // Bytes or an end between calls: the next call opens a new connection.
             let quiet = |s: &mut TcpStream| matches!(s.read(&mut [0]), Err(e) if e.kind() == io::ErrorKind::WouldBlock);
             if !self.sock.as_mut().is_some_and(quiet) {
                 self.sock = None;
             }
-            return Word::Nothing;
+            return DiscoveryResult::Pending;
         }
         match self.advance(now, buffers) {
             Ok(word) => word,
             Err(problem) => {
                 self.fail(buffers);
-                Word::Failed(problem)
+                DiscoveryResult::Failed(problem)
             }
         }
     }
 
-    fn advance(&mut self, now: f64, buffers: &mut BufferPool) -> Result<Word, String> {
+    fn advance(&mut self, now: f64, buffers: &mut BufferPool) -> Result<DiscoveryResult, String> {
         let Some(sock) = self.sock.as_mut() else { return Err("no connection".to_owned()) };
         if !self.up {
             if let Some(e) = sock.take_error().map_err(|e| e.to_string())? {
                 return Err(e.to_string());
             }
             if sock.peer_addr().is_err() {
-                return Ok(Word::Nothing);
+                return Ok(DiscoveryResult::Pending);
             }
             self.up = true;
         }
@@ -149,7 +153,7 @@
                 Ok(n) if n > 0 => self.written += n,
                 Ok(_) => return Err("cannot write".to_owned()),
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Ok(Word::Nothing),
+                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Ok(DiscoveryResult::Pending),
                 Err(e) => return Err(e.to_string()),
             }
         }
@@ -165,7 +169,7 @@
                     if buffer.bytes().is_empty() {
                         self.buffer.take().into_iter().for_each(|t| buffers.give_back(t));
                     }
-                    return Ok(Word::Nothing);
+                    return Ok(DiscoveryResult::Pending);
                 }
                 Err(e) => return Err(e.to_string()),
             };
@@ -192,24 +196,24 @@
             let value = serde_json::from_slice(&buffer.bytes()[body.start..body.end]);
             let update = NodeListUpdate::parse(&value.map_err(|e| format!("not JSON: {e}"))?)?;
             let close = head.close || ended;
-            return self.news(now, update, close, buffers);
+            return self.accept_update(now, update, close, buffers);
         }
     }
 
-    fn news(
+    fn accept_update(
         &mut self,
         now: f64,
         update: NodeListUpdate,
         close: bool,
         buffers: &mut BufferPool,
-    ) -> Result<Word, String> {
+    ) -> Result<DiscoveryResult, String> {
         if self.seq.is_none() && !update.whole {
             return Err("changes to a list that was never sent".to_owned());
         }
-        let idle = self.seq == Some(update.seq) && now - self.asked_at < HASTY_S;
-        self.hasty = if idle { self.hasty + 1 } else { 0 };
-        if self.hasty > MAX_HASTY {
-            self.hasty = 0;
+        let idle = self.seq == Some(update.seq) && now - self.asked_at < MIN_EMPTY_ANSWER_S;
+        self.empty_answers = if idle { self.empty_answers + 1 } else { 0 };
+        if self.empty_answers > MAX_EMPTY_ANSWERS {
+            self.empty_answers = 0;
             return Err("answers that tell nothing come too fast".to_owned());
         }
         self.seq = Some(update.seq);
@@ -219,6 +223,6 @@
         if close {
             self.sock = None;
         }
-        Ok(Word::News(update))
+        Ok(DiscoveryResult::Update(update))
     }
 }
--- a/crates/sidecar/proxy/src/http.rs
+++ b/crates/sidecar/proxy/src/http.rs
@@ -1,6 +1,6 @@
 //! HTTP/1.1 framing: heads by httparse, bodies by length, in chunks or up to the end of the connection.
 
-use crate::buffer_pool::{Buffer, BODY_ROOM, HEAD_ROOM};
+use crate::buffer_pool::{Buffer, MAX_BODY_BYTES, MAX_HEAD_BYTES};
 use std::fmt::Display;
 use std::io::Write;
 
@@ -14,11 +14,11 @@
 const MAX_FRAMING: usize = 512 * 1024;
 
 /// The longest answer that is passed on: twice the largest that clients are promised (32 MB).
-pub const LONGEST_ANSWER: usize = 64 << 20;
+pub const MAX_RELAYED_BYTES: usize = 64 << 20;
 
 /// What is wrong with a message, as the status that says so.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Fault(pub u16);
+pub struct MessageError(pub u16);
 
 /// How far a body's end is known from its head.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -70,56 +70,57 @@
     }
 
     /// Reads the head of a request; `None`: more bytes are needed.
-    pub fn of_request(bytes: &[u8]) -> Result<Option<Head>, Fault> {
+    pub fn of_request(bytes: &[u8]) -> Result<Option<Head>, MessageError> {
         let mut slots = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut parsed = httparse::Request::new(&mut slots);
         let status = match parsed.parse(bytes) {
             Ok(status) => status,
-            Err(httparse::Error::TooManyHeaders) => return Err(Fault(431)),
-            Err(_) => return Err(Fault(400)),
+            Err(httparse::Error::TooManyHeaders) => return Err(MessageError(431)),
+            Err(_) => return Err(MessageError(400)),
         };
         let httparse::Status::Complete(len) = status else {
-            return if bytes.len() >= HEAD_ROOM { Err(Fault(431)) } else { Ok(None) };
+            return if bytes.len() >= MAX_HEAD_BYTES { Err(MessageError(431)) } else { Ok(None) };
         };
         let mut head = Head::new(len, parsed.version, parsed.headers)?;
         head.method = parsed.method.unwrap_or("").to_owned();
         head.target = parsed.path.unwrap_or("").to_owned();
         head.framing = match head.stated_framing()? {
-            Some(Framing::Length(n)) if n > BODY_ROOM => return Err(Fault(413)),
+            Some(Framing::Length(n)) if n > MAX_BODY_BYTES => return Err(MessageError(413)),
             Some(framing) => framing,
             None => Framing::Length(0),
         };
-        if !head.target.starts_with('/') || len > HEAD_ROOM {
-            return Err(Fault(if len > HEAD_ROOM { 431 } else { 400 }));
+        if !head.target.starts_with('/') || len > MAX_HEAD_BYTES {
+            return Err(MessageError(if len > MAX_HEAD_BYTES { 431 } else { 400 }));
         }
         Ok(Some(head))
     }
 
     /// Reads the head of an answer; `None`: more bytes are needed.
-    pub fn of_answer(bytes: &[u8]) -> Result<Option<Head>, Fault> {
+    pub fn of_answer(bytes: &[u8]) -> Result<Option<Head>, MessageError> {
         let mut slots = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut parsed = httparse::Response::new(&mut slots);
-        let httparse::Status::Complete(len) = parsed.parse(bytes).map_err(|_| Fault(502))? else {
-            return if bytes.len() >= HEAD_ROOM { Err(Fault(502)) } else { Ok(None) };
+        let httparse::Status::Complete(len) = parsed.parse(bytes).map_err(|_| MessageError(502))? else {
+            return if bytes.len() >= MAX_HEAD_BYTES { Err(MessageError(502)) } else { Ok(None) };
         };
-        let mut head = Head::new(len, parsed.version, parsed.headers).map_err(|_| Fault(502))?;
+        let mut head = Head::new(len, parsed.version, parsed.headers).map_err(|_| MessageError(502))?;
         head.status = parsed.code.unwrap_or(0);
-        let stated = head.stated_framing().map_err(|_| Fault(502))?;
+        let stated = head.stated_framing().map_err(|_| MessageError(502))?;
         head.framing = match head.status {
             100..=199 | 204 | 304 => Framing::Length(0),
             _ => stated.unwrap_or(Framing::UntilClose),
         };
         // A length over a buffer is no fault here: an answer to serve is passed on while it comes.
         match head.framing {
-            Framing::Length(n) if n > LONGEST_ANSWER => return Err(Fault(502)),
+            Framing::Length(n) if n > MAX_RELAYED_BYTES => return Err(MessageError(502)),
             Framing::UntilClose => head.close = true,
             _ => {}
         }
         Ok(Some(head))
     }
 
-    fn new(len: usize, version: Option<u8>, headers: &[httparse::Header]) -> Result<Head, Fault> {
-        let text = |v: &[u8]| std::str::from_utf8(v).map(|v| v.trim().to_owned()).map_err(|_| Fault(400));
+    fn new(len: usize, version: Option<u8>, headers: &[httparse::Header]) -> Result<Head, MessageError> {
+        let text =
+            |v: &[u8]| std::str::from_utf8(v).map(|v| v.trim().to_owned()).map_err(|_| MessageError(400));
         let headers = headers.iter().map(|h| Ok((h.name.to_ascii_lowercase(), text(h.value)?)));
         let (method, target) = (String::new(), String::new());
         let framing = Framing::Length(0);
@@ -131,7 +132,7 @@
     }
 
     /// Guards against two readings of one message: a length beside chunks, or two lengths, are refused.
-    fn stated_framing(&self) -> Result<Option<Framing>, Fault> {
+    fn stated_framing(&self) -> Result<Option<Framing>, MessageError> {
         let mut codings = self.all("transfer-encoding");
         let mut lengths = self.all("content-length");
         match (codings.next(), lengths.next()) {
@@ -143,21 +144,21 @@
                 let digits = !length.is_empty() && length.bytes().all(|b| b.is_ascii_digit());
                 let same = lengths.all(|l| l == length);
                 let Ok(n) = length.parse::<usize>() else {
-                    return Err(Fault(if digits { 413 } else { 400 }));
+                    return Err(MessageError(if digits { 413 } else { 400 }));
                 };
                 if digits && same {
                     Ok(Some(Framing::Length(n)))
                 } else {
-                    Err(Fault(400))
+                    Err(MessageError(400))
                 }
             }
-            _ => Err(Fault(400)),
+            _ => Err(MessageError(400)),
         }
     }
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Step {
+enum ChunkStep {
     Size,
     Data(usize),
     DataEnd,
@@ -168,7 +169,7 @@
 #[derive(Debug)]
 pub struct BodyReader {
     framing: Framing,
-    step: Step,
+    step: ChunkStep,
     /// Bytes of chunked framing so far.
     spent: usize,
     /// Where the body stands in the buffer.
@@ -188,7 +189,7 @@
         let (streaming, taken) = (false, 0);
         BodyReader {
             framing: head.framing,
-            step: Step::Size,
+            step: ChunkStep::Size,
             spent: 0,
             start,
             end: start,
@@ -215,17 +216,22 @@
     pub fn consume(&mut self, buffer: &mut Buffer, n: usize) {
         let n = n.min(self.end - self.start);
         buffer.cut(self.start, self.start + n);
-        (self.end, self.raw, self.taken, self.spent) = (self.end - n, self.raw - n, self.taken + n, 0);
+        self.end = self.end - n;
+        self.raw = self.raw - n;
+        self.taken = self.taken + n;
+        self.spent = 0;
     }
 
     /// Cuts what stands before the body out of the buffer.
     pub fn drop_head(&mut self, buffer: &mut Buffer) {
         buffer.cut(0, self.start);
-        (self.end, self.raw, self.start) = (self.end - self.start, self.raw - self.start, 0);
+        self.end = self.end - self.start;
+        self.raw = self.raw - self.start;
+        self.start = 0;
     }
 
     /// Takes in what the buffer holds by now; true when the body is whole.
-    pub fn read(&mut self, buffer: &mut Buffer, ended: bool) -> Result<bool, Fault> {
+    pub fn read(&mut self, buffer: &mut Buffer, ended: bool) -> Result<bool, MessageError> {
         let filled = buffer.bytes().len();
         match self.framing {
             Framing::Length(n) => {
@@ -234,9 +240,10 @@
                 Ok(self.taken + self.end - self.start == n)
             }
             Framing::UntilClose => {
-                (self.end, self.raw) = (filled, filled);
-                if self.end - self.start > BODY_ROOM && !self.streaming {
-                    Err(Fault(413))
+                self.end = filled;
+                self.raw = filled;
+                if self.end - self.start > MAX_BODY_BYTES && !self.streaming {
+                    Err(MessageError(413))
                 } else {
                     Ok(ended)
                 }
@@ -253,54 +260,55 @@
     }
 
     /// Passes over bytes of the framing.
-    fn skip(&mut self, bytes: usize) -> Result<(), Fault> {
+    fn skip(&mut self, bytes: usize) -> Result<(), MessageError> {
         self.raw += bytes;
         self.spent += bytes;
         if self.spent > MAX_FRAMING {
-            return Err(Fault(400));
+            return Err(MessageError(400));
         }
         Ok(())
     }
 
-    fn chunks(&mut self, buffer: &mut Buffer) -> Result<bool, Fault> {
+    fn chunks(&mut self, buffer: &mut Buffer) -> Result<bool, MessageError> {
         loop {
             let filled = buffer.bytes().len();
             let rest = &buffer.bytes()[self.raw..];
             match self.step {
-                Step::Size => match httparse::parse_chunk_size(rest) {
+                ChunkStep::Size => match httparse::parse_chunk_size(rest) {
                     Ok(httparse::Status::Complete((used, size))) => {
-                        if !self.streaming && size > (BODY_ROOM - (self.end - self.start)) as u64 {
-                            return Err(Fault(413));
+                        if !self.streaming && size > (MAX_BODY_BYTES - (self.end - self.start)) as u64 {
+                            return Err(MessageError(413));
                         }
                         self.skip(used)?;
-                        self.step = if size == 0 { Step::Trailer } else { Step::Data(size as usize) };
+                        self.step =
+                            if size == 0 { ChunkStep::Trailer } else { ChunkStep::Data(size as usize) };
                     }
                     Ok(httparse::Status::Partial) if rest.len() <= MAX_LINE => return Ok(false),
-                    _ => return Err(Fault(400)),
+                    _ => return Err(MessageError(400)),
                 },
-                Step::Data(left) => {
+                ChunkStep::Data(left) => {
                     let n = left.min(filled - self.raw);
-                    buffer.shift(self.raw, self.raw + n, self.end);
+                    buffer.shutdown_phase(self.raw, self.raw + n, self.end);
                     self.end += n;
                     self.raw += n;
-                    self.step = if n == left { Step::DataEnd } else { Step::Data(left - n) };
+                    self.step = if n == left { ChunkStep::DataEnd } else { ChunkStep::Data(left - n) };
                     if n < left {
                         return Ok(false);
                     }
                 }
-                Step::DataEnd => {
+                ChunkStep::DataEnd => {
                     if rest.len() < 2 {
                         return Ok(false);
                     }
                     if &rest[..2] != b"\r\n" {
-                        return Err(Fault(400));
+                        return Err(MessageError(400));
                     }
                     self.skip(2)?;
-                    self.step = Step::Size;
+                    self.step = ChunkStep::Size;
                 }
-                Step::Trailer => {
+                ChunkStep::Trailer => {
                     let Some(at) = rest.windows(2).position(|w| w == b"\r\n") else {
-                        return if rest.len() > MAX_LINE { Err(Fault(400)) } else { Ok(false) };
+                        return if rest.len() > MAX_LINE { Err(MessageError(400)) } else { Ok(false) };
                     };
                     self.skip(at + 2)?;
                     if at == 0 {
--- a/crates/sidecar/proxy/src/log.rs
+++ b/crates/sidecar/proxy/src/log.rs
@@ -26,7 +26,8 @@
     pub fn line(&mut self, now: f64, level: &str, event: &str, values: &[(&str, &dyn Display)]) {
         let second = now as u64;
         if second != self.second {
-            (self.second, self.lines) = (second, 0);
+            self.second = second;
+            self.lines = 0;
         }
         if self.lines >= LINES_PER_S {
             self.muted += 1;
--- a/crates/sidecar/proxy/src/pool.rs
+++ b/crates/sidecar/proxy/src/pool.rs
@@ -34,31 +34,31 @@
 }
 
 /// How an attempt ended.
-pub struct Return {
+pub struct AttemptResult {
     pub ending: Ending,
     pub report: Option<Report>,
     /// The body of an answer to serve, and its media type.
-    pub load: Option<Load>,
+    pub load: Option<ResponseBody>,
     /// The connection can carry another attempt.
     pub reusable: bool,
-    pub verdict: Verdict,
+    pub verdict: Blame,
     /// The answer is served but larger than a buffer: the rest comes on this connection, by a body relay.
     pub stream: bool,
 }
 
 /// Who is to blame for what came back.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Verdict {
+pub enum Blame {
     /// Nobody, or the node as its ending says.
-    Plain,
+    None,
     /// The node: what came back is no answer.
-    Spoilt,
+    InvalidResponse,
     /// The client: the node finds the request itself at fault.
-    Faulty,
+    RejectedRequest,
 }
 
 /// An answer to serve.
-pub struct Load {
+pub struct ResponseBody {
     pub buffer: Buffer,
     pub body: Range<usize>,
     pub media: Option<String>,
@@ -129,8 +129,13 @@
 
     /// Puts a whole request in place; it goes out by [`UpstreamConnection::on_ready`].
     pub fn load(&mut self, now: f64, attempt: Attempt, buffer: Buffer) {
-        (self.phase, self.since, self.attempt) = (Phase::Busy, now, Some(attempt));
-        (self.buffer, self.written, self.sent, self.answer) = (Some(buffer), 0, false, None);
+        self.phase = Phase::Busy;
+        self.since = now;
+        self.attempt = Some(attempt);
+        self.buffer = Some(buffer);
+        self.written = 0;
+        self.sent = false;
+        self.answer = None;
     }
 
     /// Whether it was not up in time for its attempt and may come up yet.
@@ -144,12 +149,12 @@
     }
 
     /// Whether an idle connection is still good: open and with nothing to read.
-    pub fn is_quiet(&mut self) -> bool {
+    pub fn has_no_unread_input(&mut self) -> bool {
         matches!(self.sock.read(&mut [0]), Err(e) if e.kind() == io::ErrorKind::WouldBlock)
     }
 
     /// Callback: writes and reads what can be; the end of the attempt, if it has come.
-    pub fn on_ready(&mut self) -> Option<Return> {
+    pub fn on_ready(&mut self) -> Option<AttemptResult> {
         if self.phase != Phase::Busy {
             return None;
         }
@@ -157,7 +162,7 @@
             let Some(buffer) = self.buffer.as_mut() else { return Some(self.broken()) };
             let end = buffer.bytes().len() - usize::from(self.held);
             if self.written == end {
-                return (!self.is_quiet()).then(|| self.broken());
+                return (!self.has_no_unread_input()).then(|| self.broken());
             }
             match self.sock.write(&buffer.bytes()[self.written..end]) {
                 Ok(0) => return Some(self.broken()),
@@ -175,7 +180,7 @@
             let Some(buffer) = self.buffer.as_mut() else { return Some(self.broken()) };
             if buffer.is_full() {
                 let served = self.answer.as_ref().is_some_and(|(_, body)| body.streaming);
-                return Some(if served { self.stream_start() } else { self.spoilt() });
+                return Some(if served { self.stream_start() } else { self.invalid_response() });
             }
             let ended = match buffer.fill_from(&mut self.sock) {
                 Ok(n) => n == 0,
@@ -183,18 +188,18 @@
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return None,
                 Err(_) => return Some(self.broken()),
             };
-            match self.take_in(ended) {
+            match self.parse_buffered(ended) {
                 Ok(true) => return Some(self.finished(ended)),
                 Ok(false) if !ended => {}
                 // The end before a whole answer.
                 Ok(false) => return Some(self.broken()),
-                Err(()) => return Some(self.spoilt()),
+                Err(()) => return Some(self.invalid_response()),
             }
         }
     }
 
     /// Looks for a whole answer in what has been read; `Err` for bytes that are none.
-    fn take_in(&mut self, ended: bool) -> Result<bool, ()> {
+    fn parse_buffered(&mut self, ended: bool) -> Result<bool, ()> {
         let buffer = self.buffer.as_mut().ok_or(())?;
         while self.answer.is_none() {
             let Some(head) = Head::of_answer(buffer.bytes()).map_err(|_| ())? else { return Ok(false) };
@@ -215,15 +220,22 @@
     }
 
     /// The connection has broken: the request has not run only if its last byte was never written.
-    pub fn broken(&mut self) -> Return {
+    pub fn broken(&mut self) -> AttemptResult {
         let ending = if self.sent { Ending::Dropped } else { Ending::DialFailed };
-        Return { ending, report: None, load: None, reusable: false, verdict: Verdict::Plain, stream: false }
+        AttemptResult {
+            ending,
+            report: None,
+            load: None,
+            reusable: false,
+            verdict: Blame::None,
+            stream: false,
+        }
     }
 
     /// A served answer fills the buffer: it is the client's, and the rest follows by a body relay.
-    fn stream_start(&mut self) -> Return {
+    fn stream_start(&mut self) -> AttemptResult {
         let report = self.answer.as_ref().and_then(|(head, _)| report_of(head.header("x-load-report")));
-        Return { ending: Ending::Delivered, report, stream: true, ..self.broken() }
+        AttemptResult { ending: Ending::Delivered, report, stream: true, ..self.broken() }
     }
 
     /// Opens the relay of a served answer to the client at `client`.
@@ -233,7 +245,8 @@
         let media = head.header("content-type");
         let out = relay_head(body.length(), close, media);
         self.relay = Some(BodyRelay::new(client, out, body.length().is_none(), now));
-        (self.phase, self.since) = (Phase::Relaying, now);
+        self.phase = Phase::Relaying;
+        self.since = now;
     }
 
     /// The buffer of an ended relay, to go back to the pool: an idle connection holds none.
@@ -251,7 +264,8 @@
         match relay.pump(now, buffer, body, &mut self.sock, client) {
             Flow::Done { reusable } => {
                 let reusable = reusable && !head.close;
-                (self.answer, self.relay) = (None, None);
+                self.answer = None;
+                self.relay = None;
                 Flow::Done { reusable }
             }
             other => other,
@@ -260,11 +274,11 @@
 
     /// Bytes that are no answer: it has run, or may have. Guards against taking a node that works, and that
     /// may answer others well, for one that is down; of no further use is only this connection.
-    fn spoilt(&mut self) -> Return {
-        Return { ending: Ending::AppError, verdict: Verdict::Spoilt, ..self.broken() }
+    fn invalid_response(&mut self) -> AttemptResult {
+        AttemptResult { ending: Ending::AppError, verdict: Blame::InvalidResponse, ..self.broken() }
     }
 
-    fn finished(&mut self, ended: bool) -> Return {
+    fn finished(&mut self, ended: bool) -> AttemptResult {
         let (Some((head, body)), Some(buffer)) = (self.answer.take(), self.buffer.take()) else {
             return self.broken();
         };
@@ -281,14 +295,14 @@
         // Bytes behind the answer belong to no request: the connection is not used again.
         let reusable = !head.close && !ended && body.raw == buffer.bytes().len();
         let media = head.header("content-type").map(str::to_owned);
-        let load = Some(Load { buffer, body: body.start..body.end, media });
+        let load = Some(ResponseBody { buffer, body: body.start..body.end, media });
         let verdict = match head.status {
             // About the node or the moment, not about the request.
-            408 | 421 | 425 | 429 => Verdict::Plain,
-            400..=499 if !probe => Verdict::Faulty,
-            _ => Verdict::Plain,
+            408 | 421 | 425 | 429 => Blame::None,
+            400..=499 if !probe => Blame::RejectedRequest,
+            _ => Blame::None,
         };
-        Return { ending, report, load, reusable, verdict, stream: false }
+        AttemptResult { ending, report, load, reusable, verdict, stream: false }
     }
 
     /// Gives the buffer back.
@@ -311,7 +325,7 @@
     /// Upstream connections without an attempt, the warmest last.
     pub idle: Vec<usize>,
     /// A connection that was up broke before its attempt was out, and nothing whole has come back since.
-    pub hung_up: bool,
+    pub closed_unused: bool,
 }
 
 /// All pools, and names as numbers.
--- a/crates/sidecar/proxy/src/sidecar.rs
+++ b/crates/sidecar/proxy/src/sidecar.rs
@@ -1,7 +1,9 @@
 //! The loop: what the poller, the timers and the connections report goes to the dispatcher.
 
 use crate::admin::{AdminListener, ADMIN, ADMIN_BASE};
-use crate::connections::{owner, Bounds, Connections, News, Owner, Timer, DISCOVERY, LISTENER, SIGNALS};
+use crate::connections::{
+    owner, Bounds, ConnectionEvent, Connections, Owner, Timer, DISCOVERY, LISTENER, SIGNALS,
+};
 use crate::discovery_client::DiscoveryClient;
 use crate::listener::Listener;
 use crate::log::Log;
@@ -26,22 +28,22 @@
 mod upstreams;
 
 /// How often idle and slow connections are looked through.
-const SWEEP_S: f64 = 0.25;
+const SWEEP_INTERVAL_S: f64 = 0.25;
 /// How often the figures go to the log.
-const FIGURES_S: f64 = 10.0;
+const FIGURES_INTERVAL_S: f64 = 10.0;
 /// The longest wait for events.
-const MAX_WAIT_S: f64 = 0.5;
+const MAX_POLL_TIMEOUT_S: f64 = 0.5;
 
 /// Where the module expects news unasked, discovery is asked again so long after a failure.
-const ASK_AGAIN_S: f64 = 2.0;
+const DISCOVERY_RETRY_S: f64 = 2.0;
 
 /// How far a planned end has come.
 #[derive(Clone, Copy, PartialEq)]
-enum Shift {
+enum ShutdownPhase {
     /// Serving.
-    On,
+    Serving,
     /// Told to end; arrivals go on.
-    Ending,
+    Draining,
     /// Nothing more is taken; what was taken is answered.
     Closed,
 }
@@ -70,13 +72,13 @@
     began: Instant,
     /// Unix time at 0 of the module's clock.
     epoch: f64,
-    shift: Shift,
+    shutdown_phase: ShutdownPhase,
     /// When it was told to end, and how the end goes from then on.
-    told_at: f64,
+    shutdown_requested_at: f64,
     end: PlannedEnd,
     listener_full: bool,
     /// More clients may stand at the listener than one round lets in.
-    crowd: bool,
+    accept_backlog: bool,
 }
 
 impl Sidecar {
@@ -119,14 +121,14 @@
         let registry = poll.registry().try_clone()?;
         let mut connections = Connections::new(registry, s.tick, client, Log::new(&name), &name, &bounds);
         let dispatcher = Dispatcher::new(&service.settings, seed)?;
-        connections.timers.set(SWEEP_S, Timer::Sweep);
-        connections.timers.set(FIGURES_S, Timer::Figures);
+        connections.timers.set(SWEEP_INTERVAL_S, Timer::Sweep);
+        connections.timers.set(FIGURES_INTERVAL_S, Timer::Figures);
         let admin_at =
             admin.as_ref().and_then(|d| d.address().ok()).map_or_else(|| "-".to_owned(), |a| a.to_string());
         let started: [(&str, &dyn Display); 4] =
             [("tier", &service.tier), ("listen", &listen), ("operator", &admin_at), ("rank", &s.rank)];
-        connections.say("info", "started", &started);
-        let (listener, shift) = (Some(listener), Shift::On);
+        connections.log_event("info", "started", &started);
+        let (listener, shutdown_phase) = (Some(listener), ShutdownPhase::Serving);
         let mut sidecar = Sidecar {
             poll,
             signals,
@@ -144,23 +146,23 @@
             max_clients,
             began,
             epoch,
-            shift,
-            told_at: f64::INFINITY,
+            shutdown_phase,
+            shutdown_requested_at: f64::INFINITY,
             end: PlannedEnd::of(std::iter::empty()),
             listener_full: false,
-            crowd: false,
+            accept_backlog: false,
         };
-        sidecar.learn(known.unwrap_or(NodeListUpdate { whole: true, ..NodeListUpdate::default() }));
+        sidecar.apply_node_list(known.unwrap_or(NodeListUpdate { whole: true, ..NodeListUpdate::default() }));
         if !sidecar.connections.discovery.wanted {
             // The list is asked for also where changes come unasked in the simulator: here they never do.
             passrelay_load_balancing::dispatcher::Transport::watch(&mut sidecar.connections);
         }
-        sidecar.settle();
+        sidecar.dispatch_events();
         Ok(sidecar)
     }
 
     /// Gives `/status` something to say of the fleet. It is called in the loop, so it must not wait.
-    pub fn tell_of_fleet(&mut self, fleet: Box<dyn Fn() -> serde_json::Value>) {
+    pub fn set_fleet_status(&mut self, fleet: Box<dyn Fn() -> serde_json::Value>) {
         self.fleet = Some(fleet);
     }
 
@@ -173,12 +175,14 @@
         let mut events = Events::with_capacity(1024);
         while !self.is_done() {
             let now = self.began.elapsed().as_secs_f64();
-            let wait = (self.connections.timers.next_look() - now).clamp(0.0, MAX_WAIT_S);
-            let wait = match (self.crowd || !self.connections.again.is_empty(), self.listener_full) {
-                (true, _) => 0.0,
-                (_, true) => wait.min(SWEEP_S),
-                _ => wait,
-            };
+            let wait = (self.connections.timers.next_look() - now).clamp(0.0, MAX_POLL_TIMEOUT_S);
+            let wait =
+                match (self.accept_backlog || !self.connections.continuations.is_empty(), self.listener_full)
+                {
+                    (true, _) => 0.0,
+                    (_, true) => wait.min(SWEEP_INTERVAL_S),
+                    _ => wait,
+                };
             match self.poll.poll(&mut events, Some(Duration::from_secs_f64(wait))) {
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => continue,
                 other => other?,
@@ -187,8 +191,8 @@
             for event in &events {
                 match event.token() {
                     LISTENER => self.listener_ready(),
-                    SIGNALS => self.signalled(),
-                    DISCOVERY => self.list_ready(),
+                    SIGNALS => self.handle_signals(),
+                    DISCOVERY => self.discovery_ready(),
                     ADMIN => self.admin_ready(),
                     token if token.0 >= ADMIN_BASE => self.admin_connection_ready(token),
                     token => match owner(token) {
@@ -198,18 +202,18 @@
                         Owner::Upstream(key, generation) => self.upstream_event(key, generation),
                     },
                 }
-                self.settle();
+                self.dispatch_events();
             }
             while let Some(timer) = self.connections.timers.pop_due(self.connections.now) {
                 self.timer_fired(timer);
-                self.settle();
+                self.dispatch_events();
             }
-            self.connections.go_on();
-            self.settle();
+            self.connections.run_continuations();
+            self.dispatch_events();
             // Where there was no room an answer may have made some: nobody waits outside for the next sweep.
-            if self.crowd || self.listener_full && self.connections.has_room(self.max_clients) {
+            if self.accept_backlog || self.listener_full && self.connections.can_accept(self.max_clients) {
                 self.listener_ready();
-                self.settle();
+                self.dispatch_events();
             }
         }
         self.figures("ended");
@@ -224,37 +228,39 @@
     /// Whether a planned end is over: all is answered, and the clients have taken it or had the time to.
     /// Guards against an exit over unread bytes, which would reset the connection under its last answer.
     fn is_done(&self) -> bool {
-        let late = self.connections.now - self.told_at >= self.end.exits_by;
-        self.shift == Shift::Closed
+        let late = self.connections.now - self.shutdown_requested_at >= self.end.exits_by;
+        self.shutdown_phase == ShutdownPhase::Closed
             && (late || self.dispatcher.owed() == 0 && self.connections.clients.is_empty())
     }
 
     /// Tells the dispatcher what has come up on the connections meanwhile.
-    fn settle(&mut self) {
-        while let Some(news) = self.connections.news.pop_front() {
+    fn dispatch_events(&mut self) {
+        while let Some(events) = self.connections.events.pop_front() {
             let now = self.connections.now;
-            match news {
-                News::Attempt { id, number, ending } => {
+            match events {
+                ConnectionEvent::AttemptOutcome { id, number, ending } => {
                     self.dispatcher.outcome(now, id, number, ending, None, &mut self.connections);
                 }
-                News::Probe { node, ending } => {
+                ConnectionEvent::ProbeOutcome { node, ending } => {
                     self.dispatcher.probed(now, node, ending, 0.0, None, &mut self.connections);
                 }
-                News::ListFailed => {
+                ConnectionEvent::DiscoveryFailed => {
                     if !self.service.settings.ask_for_list {
                         // Such a module never asks by itself.
                         self.connections.discovery.wanted = true;
-                        self.connections.timers.set(now + ASK_AGAIN_S, Timer::Ask);
+                        self.connections.timers.set(now + DISCOVERY_RETRY_S, Timer::Ask);
                     }
                     self.dispatcher.untold(now, &mut self.connections);
                 }
-                News::Asked => self.list_ready(),
+                ConnectionEvent::DiscoveryRequested => self.discovery_ready(),
                 // Guards against an end that has been overtaken: the slot may have a new attempt by now.
-                News::Back { upstream, attempt, end } => match self.connections.upstreams.get(upstream) {
-                    Some(b) if b.attempt == Some(attempt) => self.returned(upstream, end),
-                    _ => end.load.into_iter().for_each(|l| self.connections.buffers.give_back(l.buffer)),
-                },
-                News::Free { client } => self.client_ready(client),
+                ConnectionEvent::AttemptEnded { upstream, attempt, end } => {
+                    match self.connections.upstreams.get(upstream) {
+                        Some(b) if b.attempt == Some(attempt) => self.returned(upstream, end),
+                        _ => end.load.into_iter().for_each(|l| self.connections.buffers.give_back(l.buffer)),
+                    }
+                }
+                ConnectionEvent::ClientReady { client } => self.client_ready(client),
             }
         }
     }
@@ -265,7 +271,7 @@
             Timer::Dispatcher(timer) => self.dispatcher.timer_fired(now, timer, &mut self.connections),
             Timer::Dial(key, attempt) => {
                 if self.connections.is_at(key, Phase::Dialing, attempt) {
-                    self.connections.late(key);
+                    self.connections.connect_timed_out(key);
                 }
             }
             Timer::Late(key, number) => {
@@ -278,34 +284,34 @@
                     self.connections.end_attempt(key, Ending::Expired);
                 }
             }
-            Timer::LastByte(key, attempt) => self.last_byte_due(key, attempt),
+            Timer::LastByte(key, attempt) => self.send_held_byte(key, attempt),
             Timer::Ask => self.connections.ask(),
             Timer::Overdue(call) => {
                 if self.connections.discovery.asking && self.connections.discovery.call == call {
-                    self.connections.list_failed("no answer");
+                    self.connections.discovery_failed("no answer");
                 }
             }
             Timer::Sweep => {
                 self.connections.sweep_upstreams();
                 self.connections.sweep_clients();
                 if self.lifecycle.sends_idle_away() {
-                    self.connections.send_off_all_idle();
+                    self.connections.close_idle_clients();
                 }
                 if let Some(admin) = self.admin.as_mut() {
                     admin.sweep(now, self.poll.registry());
                 }
-                self.connections.timers.set(now + SWEEP_S, Timer::Sweep);
+                self.connections.timers.set(now + SWEEP_INTERVAL_S, Timer::Sweep);
                 if self.listener_full {
                     self.listener_ready();
                 }
             }
             Timer::Figures => {
                 self.figures("figures");
-                self.connections.timers.set(now + FIGURES_S, Timer::Figures);
+                self.connections.timers.set(now + FIGURES_INTERVAL_S, Timer::Figures);
             }
             Timer::CloseListener => self.close_listener(),
-            Timer::LastCall => self.last_call(),
-            Timer::AnswersDue => self.answer_all(),
+            Timer::LastCall => self.close_idle_and_drain(),
+            Timer::AnswersDue => self.answer_all_pending(),
             // Only wakes the loop, which then sees that it is time.
             Timer::Exit => {}
         }
@@ -320,14 +326,14 @@
             ("served", &c.served),
             ("refused", &c.refused),
             ("failed", &c.failed),
-            ("gone", &c.gone),
+            ("disconnected", &c.gone),
             ("forced", &c.forced),
-            ("passes", &c.attempts),
-            ("turned", &c.turned),
-            ("owed", &owed),
-            ("kiosks", &clients),
-            ("bays", &upstreams),
+            ("attempts", &c.attempts),
+            ("unserved_attempts", &c.turned),
+            ("pending", &owed),
+            ("client_connections", &clients),
+            ("node_connections", &upstreams),
         ];
-        self.connections.say("info", event, &figures);
+        self.connections.log_event("info", event, &figures);
     }
 }
--- a/crates/sidecar/proxy/src/sidecar/clients.rs
+++ b/crates/sidecar/proxy/src/sidecar/clients.rs
@@ -1,8 +1,8 @@
 //! Clients and their requests.
 
-use super::{Shift, Sidecar};
-use crate::client_connection::{Brought, Stage};
-use crate::connections::{generation, Again};
+use super::{ShutdownPhase, Sidecar};
+use crate::client_connection::{Received, Stage};
+use crate::connections::{generation, Continuation};
 use crate::http::Head;
 use crate::listener::Accepted;
 use passrelay_load_balancing::admission::Admission;
@@ -10,42 +10,47 @@
 use passrelay_load_balancing::{Effect, RequestId};
 
 /// Clients let in at one go, so that a crowd at the listener does not hold up answers.
-const ACCEPTS: usize = 64;
+const MAX_ACCEPTS_PER_TURN: usize = 64;
 /// More work than any call is for: a guess above it is none.
-const MOST_WORK_S: f64 = 3600.0;
+const MAX_WORK_S: f64 = 3600.0;
 
 impl Sidecar {
     pub(super) fn listener_ready(&mut self) {
-        (self.listener_full, self.crowd) = (false, false);
-        for _ in 0..ACCEPTS {
+        self.listener_full = false;
+        self.accept_backlog = false;
+        for _ in 0..MAX_ACCEPTS_PER_TURN {
             let Some(listener) = &self.listener else { return };
-            if self.connections.clients.len() >= self.max_clients && !self.connections.send_off_idlest() {
+            if self.connections.clients.len() >= self.max_clients && !self.connections.evict_idle_client() {
                 self.listener_full = true;
-                self.connections.say("warn", "kiosks_full", &[("kiosks", &self.max_clients)]);
+                self.connections.log_event(
+                    "warn",
+                    "client_connections_full",
+                    &[("client_connections", &self.max_clients)],
+                );
                 return;
             }
             match listener.on_readable() {
-                Accepted::Connection(sock) => match self.connections.let_in(sock) {
+                Accepted::Connection(sock) => match self.connections.accept(sock) {
                     // Its request may have come along: the poller tells of it.
                     Ok(()) => {}
-                    Err(e) => self.connections.say("warn", "caller_lost", &[("problem", &e)]),
+                    Err(e) => self.connections.log_event("warn", "client_setup_failed", &[("problem", &e)]),
                 },
                 Accepted::Nothing => return,
                 Accepted::NoRoom => {
-                    self.connections.say("warn", "no_descriptor", &[("for", &"kiosk")]);
-                    if !self.connections.send_off_idlest() && !self.connections.close_idlest_upstream() {
+                    self.connections.log_event("warn", "descriptors_exhausted", &[("for", &"client")]);
+                    if !self.connections.evict_idle_client() && !self.connections.close_idlest_upstream() {
                         self.listener_full = true;
                         return;
                     }
                 }
                 Accepted::Broken(e) => {
                     self.listener_full = true;
-                    return self.connections.say("error", "gate_broken", &[("problem", &e)]);
+                    return self.connections.log_event("error", "listener_failed", &[("problem", &e)]);
                 }
             }
         }
         // Guards against a crowd whose last ones would wait for the next newcomer to be let in.
-        self.crowd = true;
+        self.accept_backlog = true;
     }
 
     /// The poller tells of a client's connection, or of one that had its slot before.
@@ -60,24 +65,24 @@
         self.connections.write_out(key);
         while let Some(client) = self.connections.clients.get_mut(key) {
             match client.on_readable(self.connections.now, &mut self.connections.buffers) {
-                Brought::Nothing => return,
-                Brought::More => {
-                    self.connections.again.insert(Again::ReadOff(key, client.number));
+                Received::Partial => return,
+                Received::More => {
+                    self.connections.continuations.insert(Continuation::DrainInput(key, client.number));
                     return;
                 }
-                Brought::Request(head) => {
+                Received::Request(head) => {
                     client.close |= head.close;
                     self.admit(key, head);
                 }
-                Brought::Bad(fault) => {
+                Received::Invalid(fault) => {
                     client.close = true;
-                    return self.connections.word(key, fault.0, "not a request that can be read\n", &[]);
+                    return self.connections.respond(key, fault.0, "not a request that can be read\n", &[]);
                 }
-                Brought::Closed => {
+                Received::Closed => {
                     let stage = client.stage;
-                    self.connections.send_off(key);
+                    self.connections.close_client(key);
                     if let Stage::Waiting(id) = stage {
-                        self.connections.unseat(id);
+                        self.connections.untrack_request(id);
                         self.connections.abandon(id);
                         self.dispatcher.gone(self.connections.now, id, &mut self.connections);
                     }
@@ -92,38 +97,40 @@
         let path = head.target.split('?').next().unwrap_or("");
         if path == "/ready" {
             if head.method != "GET" {
-                return self.connections.word(key, 405, "use GET\n", &[("Allow", &"GET")]);
+                return self.connections.respond(key, 405, "use GET\n", &[("Allow", &"GET")]);
             }
-            let ready = self.lifecycle.is_ready(self.dispatcher.is_ready(), self.shift != Shift::On);
+            let ready = self
+                .lifecycle
+                .is_ready(self.dispatcher.is_ready(), self.shutdown_phase != ShutdownPhase::Serving);
             let (status, text) = if ready { (200, "ready\n") } else { (503, "not ready\n") };
-            return self.connections.word(key, status, text, &[]);
+            return self.connections.respond(key, status, text, &[]);
         }
         let arrival = match self.read_arrival(&head, path) {
             Ok(arrival) => arrival,
             Err((405, method)) => {
-                return self.connections.word(key, 405, "another method\n", &[("Allow", &method)])
+                return self.connections.respond(key, 405, "another method\n", &[("Allow", &method)])
             }
             Err((status, problem)) => {
-                return self.connections.word(key, status, &format!("{problem}\n"), &[])
+                return self.connections.respond(key, status, &format!("{problem}\n"), &[])
             }
         };
         let admission = Admission::new(self.max_clients, self.service.max_open);
         if !admission.takes(self.dispatcher.owed(), self.service.settings.worth_part(arrival.class)) {
             let wait = self.dispatcher.retry_after().unwrap_or(1.0);
-            return self.connections.word(key, 503, "too many at once\n", &[("Retry-After", &wait)]);
+            return self.connections.respond(key, 503, "too many at once\n", &[("Retry-After", &wait)]);
         }
         // Guards against a request that SIGKILL would find unanswered.
-        let left = self.told_at + self.end.answers_by - self.connections.now;
+        let left = self.shutdown_requested_at + self.end.answers_by - self.connections.now;
         if left <= 0.0 {
-            return self.connections.word(key, 503, "ending\n", &[]);
+            return self.connections.respond(key, 503, "ending\n", &[]);
         }
         let arrival = Arrival { budget: arrival.budget.min(left), ..arrival };
         // Guards against a request sent on of which it is known already that nobody waits for it.
         if self.connections.clients[key].peer_closed {
-            return self.connections.send_off(key);
+            return self.connections.close_client(key);
         }
         let id: RequestId = self.dispatcher.next_id();
-        self.connections.seat(id, key, head, arrival.budget);
+        self.connections.track_request(id, key, head, arrival.budget);
         self.dispatcher.arrive(self.connections.now, id, arrival, &mut self.connections);
     }
 
@@ -153,14 +160,14 @@
         if budget > self.service.give_up[class].max(0.1) * 2.0 {
             return Err((400, "X-Budget is far more than this class may take"));
         }
-        if self.connections.is_seated(head) {
+        if self.connections.is_duplicate(head) {
             // Guards the one who waits: a second request under its id would be taken for a copy of it.
             return Err((409, "X-Call-Id is that of a request that waits"));
         }
         let repeat = head.header("x-again") == Some("1");
         // Only a hint: one that cannot be read, or that no call can take, costs no request its answer.
         let cost = head.header("x-call-cost").filter(digits).and_then(|c| c.parse::<f64>().ok());
-        let work = cost.map(|micros| micros / 1e6).filter(|w| (1e-6..=MOST_WORK_S).contains(w));
+        let work = cost.map(|micros| micros / 1e6).filter(|w| (1e-6..=MAX_WORK_S).contains(w));
         Ok(Arrival { class: passrelay_load_balancing::ClassId(class), tenant, budget, work, repeat })
     }
 }
--- a/crates/sidecar/proxy/src/sidecar/discovery.rs
+++ b/crates/sidecar/proxy/src/sidecar/discovery.rs
@@ -2,25 +2,25 @@
 
 use super::Sidecar;
 use crate::connections::Timer;
-use crate::discovery_client::{Word, PAUSE_S};
+use crate::discovery_client::{DiscoveryResult, REQUEST_PAUSE_S};
 use passrelay_load_balancing::{Condition, Entry, ZoneId};
 use passrelay_sidecar_settings::{Item, NodeListUpdate};
 use std::fmt::Display;
 
 impl Sidecar {
-    pub(super) fn list_ready(&mut self) {
+    pub(super) fn discovery_ready(&mut self) {
         match self.connections.discovery.on_ready(self.connections.now, &mut self.connections.buffers) {
-            Word::Nothing => {}
-            Word::News(update) => {
-                self.learn(update);
-                self.connections.timers.set(self.connections.now + PAUSE_S, Timer::Ask);
+            DiscoveryResult::Pending => {}
+            DiscoveryResult::Update(update) => {
+                self.apply_node_list(update);
+                self.connections.timers.set(self.connections.now + REQUEST_PAUSE_S, Timer::Ask);
             }
-            Word::Failed(problem) => self.connections.list_failed(&problem),
+            DiscoveryResult::Failed(problem) => self.connections.discovery_failed(&problem),
         }
     }
 
     /// Takes in a list or its changes.
-    pub(super) fn learn(&mut self, update: NodeListUpdate) {
+    pub(super) fn apply_node_list(&mut self, update: NodeListUpdate) {
         let now = self.connections.now;
         let (mut items, mut open) = (Vec::new(), Vec::new());
         for line in &update.nodes {
@@ -29,12 +29,12 @@
             let (zone, condition) = (ZoneId(0), line.condition);
             let entry = Entry { upstream: node, zone, cell: line.block, condition, started };
             items.push(Item { entry, zone: line.site.clone() });
-            self.connections.learn_node(node, line.dial, condition == Condition::On);
+            self.connections.update_node(node, line.dial, condition == Condition::On);
             if condition == Condition::On {
                 open.push(node);
             } else {
                 let host: &str = &line.host;
-                self.connections.log.line(now, "info", "node_shut", &[("node", &host)]);
+                self.connections.log.line(now, "info", "node_draining", &[("node", &host)]);
             }
         }
         if update.whole {
@@ -46,14 +46,14 @@
                 .collect();
             for (node, dial) in absent {
                 let host = self.connections.pools.host(node).to_owned();
-                self.connections.say("info", "node_gone", &[("node", &host)]);
-                self.connections.learn_node(node, dial, false);
+                self.connections.log_event("info", "node_removed", &[("node", &host)]);
+                self.connections.update_node(node, dial, false);
             }
         }
         if update.whole || !update.nodes.is_empty() {
             let figures: [(&str, &dyn Display); 3] =
                 [("seq", &update.seq), ("whole", &update.whole), ("nodes", &update.nodes.len())];
-            self.connections.say("info", "list", &figures);
+            self.connections.log_event("info", "node_list", &figures);
         }
         let entries = self.service.names.entries(&items);
         self.dispatcher.told(now, update.whole, entries, &mut self.connections);
--- a/crates/sidecar/proxy/src/sidecar/operators.rs
+++ b/crates/sidecar/proxy/src/sidecar/operators.rs
@@ -1,18 +1,19 @@
 //! What operators call for.
 
-use super::{Shift, Sidecar};
+use super::{ShutdownPhase, Sidecar};
 use crate::admin::Call;
 use passrelay_load_balancing::lifecycle::Turn;
 
 impl Sidecar {
     /// Tells the connections whether answers end their connections, as the lifecycle and the shift say.
     pub(super) fn set_closing(&mut self) {
-        self.connections.closing = self.lifecycle.closes_after_answer(self.shift == Shift::Closed);
+        self.connections.closing =
+            self.lifecycle.closes_after_answer(self.shutdown_phase == ShutdownPhase::Closed);
     }
 
     pub(super) fn admin_ready(&mut self) {
         if let Some(admin) = self.admin.as_mut() {
-            admin.let_in(self.connections.now, self.poll.registry());
+            admin.accept(self.connections.now, self.poll.registry());
         }
     }
 
@@ -22,13 +23,16 @@
         let now = self.connections.now;
         let (status, body) = match call {
             Call::Status => {
-                let serving =
-                    self.listener.is_some() && self.shift == Shift::On && self.dispatcher.is_ready();
-                let ready = self.lifecycle.is_ready(self.dispatcher.is_ready(), self.shift != Shift::On);
+                let serving = self.listener.is_some()
+                    && self.shutdown_phase == ShutdownPhase::Serving
+                    && self.dispatcher.is_ready();
+                let ready = self
+                    .lifecycle
+                    .is_ready(self.dispatcher.is_ready(), self.shutdown_phase != ShutdownPhase::Serving);
                 let c = self.dispatcher.counts();
                 let mut body = serde_json::json!({
                     "name": self.name, "serving": serving, "ready": ready,
-                    "standby": self.lifecycle.standby_since().is_some(), "ending": self.shift != Shift::On,
+                    "standby": self.lifecycle.standby_since().is_some(), "ending": self.shutdown_phase != ShutdownPhase::Serving,
                     "owed": self.dispatcher.owed(), "clients": self.connections.clients.len(), "node_connections": self.connections.upstreams.len(), "buffers": self.connections.buffers.out,
                     "taken": c.taken, "served": c.served, "refused": c.refused, "failed": c.failed,
                     "standbys": self.lifecycle.standbys, "operator_cut_off": admin.cut_off, "generation": self.generation,
@@ -41,11 +45,11 @@
             Call::Standby => {
                 if self.lifecycle.standby(now) == Turn::Changed {
                     self.set_closing();
-                    self.connections.send_off_all_idle();
-                    self.connections.say(
+                    self.connections.close_idle_clients();
+                    self.connections.log_event(
                         "info",
                         "standby",
-                        &[("owed", &self.dispatcher.owed()), ("clients", &self.connections.clients.len())],
+                        &[("pending", &self.dispatcher.owed()), ("clients", &self.connections.clients.len())],
                     );
                 }
                 (200, "{\"standby\":true}\n".to_owned())
@@ -53,7 +57,7 @@
             Call::Active => {
                 if self.lifecycle.active() == Turn::Changed {
                     self.set_closing();
-                    self.connections.say("info", "active", &[("owed", &self.dispatcher.owed())]);
+                    self.connections.log_event("info", "active", &[("pending", &self.dispatcher.owed())]);
                 }
                 (200, "{\"standby\":false}\n".to_owned())
             }
--- a/crates/sidecar/proxy/src/sidecar/signals.rs
+++ b/crates/sidecar/proxy/src/sidecar/signals.rs
@@ -1,6 +1,6 @@
 //! Signals: a new configuration, and the planned end.
 
-use super::{Shift, Sidecar};
+use super::{ShutdownPhase, Sidecar};
 use crate::client_connection::Stage;
 use crate::connections::Timer;
 use passrelay_load_balancing::dispatcher;
@@ -10,26 +10,27 @@
 use std::fmt::Display;
 
 /// Rounds of accepts before the listener closes for good.
-const LAST_ROUNDS: usize = 16;
+const MAX_FINAL_ACCEPT_ROUNDS: usize = 16;
 
 impl Sidecar {
-    pub(super) fn signalled(&mut self) {
+    pub(super) fn handle_signals(&mut self) {
         let signals: Vec<_> = self.signals.pending().collect();
         for signal in signals {
             if signal == SIGHUP {
                 self.reload();
-            } else if self.shift == Shift::On {
+            } else if self.shutdown_phase == ShutdownPhase::Serving {
                 let now = self.connections.now;
-                (self.shift, self.told_at) = (Shift::Ending, now);
+                self.shutdown_phase = ShutdownPhase::Draining;
+                self.shutdown_requested_at = now;
                 self.end = PlannedEnd::of(self.service.deadlines());
                 self.connections.timers.set(now + self.end.listener_closes, Timer::CloseListener);
                 self.connections.timers.set(now + self.end.idle_closes, Timer::LastCall);
                 self.connections.timers.set(now + self.end.answers_by, Timer::AnswersDue);
                 self.connections.timers.set(now + self.end.exits_by, Timer::Exit);
-                self.connections.say(
+                self.connections.log_event(
                     "info",
                     "ending",
-                    &[("signal", &signal), ("owed", &self.dispatcher.owed())],
+                    &[("signal", &signal), ("pending", &self.dispatcher.owed())],
                 );
             }
         }
@@ -50,13 +51,13 @@
                 let line = passrelay_sidecar_settings::line_of(&file, &e);
                 let values: [(&str, &dyn Display); 4] =
                     [("file", &file), ("key", &e.key), ("line", &line), ("problem", &e.problem)];
-                return self.connections.say("warn", "reload_failed", &values);
+                return self.connections.log_event("warn", "reload_failed", &values);
             }
         };
         if let Err(e) = self.dispatcher.retune(&service.settings) {
             let values: [(&str, &dyn Display); 3] =
                 [("file", &file), ("key", &e.name), ("problem", &e.problem)];
-            return self.connections.say("warn", "reload_failed", &values);
+            return self.connections.log_event("warn", "reload_failed", &values);
         }
         self.generation += 1;
         self.service = service;
@@ -67,15 +68,15 @@
             ("attempts", &self.service.settings.max_attempts),
             ("discovery", &discovery),
         ];
-        self.connections.say("info", "reloaded", &values);
-        self.connections.find_list_at(discovery);
+        self.connections.log_event("info", "reloaded", &values);
+        self.connections.move_discovery(discovery);
     }
 
     /// Arrivals have ended: lets in who already stands at the listener, then closes it.
     pub(super) fn close_listener(&mut self) {
-        for _ in 0..LAST_ROUNDS {
+        for _ in 0..MAX_FINAL_ACCEPT_ROUNDS {
             self.listener_ready();
-            if !self.crowd {
+            if !self.accept_backlog {
                 break;
             }
         }
@@ -85,31 +86,31 @@
     }
 
     /// Closes the resting client connections; the others close with their answer.
-    pub(super) fn last_call(&mut self) {
-        self.shift = Shift::Closed;
+    pub(super) fn close_idle_and_drain(&mut self) {
+        self.shutdown_phase = ShutdownPhase::Closed;
         self.set_closing();
         let keys: Vec<_> = self.connections.clients.iter().map(|(key, _)| key).collect();
         for key in keys {
             self.client_ready(key);
-            self.settle();
+            self.dispatch_events();
             if self.connections.clients.get(key).is_some_and(|k| k.stage == Stage::Idle) {
-                self.connections.say_goodbye(key);
+                self.connections.close_gracefully(key);
             }
         }
     }
 
     /// Whatever is owed is answered now: SIGKILL is near. Half a request will not become a whole one in time.
-    pub(super) fn answer_all(&mut self) {
+    pub(super) fn answer_all_pending(&mut self) {
         for id in self.connections.owed() {
             self.dispatcher.timer_fired(
                 self.connections.now,
                 dispatcher::Timer::Deadline(id),
                 &mut self.connections,
             );
-            self.settle();
+            self.dispatch_events();
         }
-        for key in self.connections.half_read() {
-            self.connections.word(key, 503, "ending\n", &[]);
+        for key in self.connections.partially_received() {
+            self.connections.respond(key, 503, "ending\n", &[]);
         }
     }
 }
--- a/crates/sidecar/proxy/src/sidecar/upstreams.rs
+++ b/crates/sidecar/proxy/src/sidecar/upstreams.rs
@@ -2,7 +2,7 @@
 
 use super::Sidecar;
 use crate::connections::generation;
-use crate::pool::{Attempt, Phase, Return, UpstreamConnection, Verdict};
+use crate::pool::{Attempt, AttemptResult, Blame, Phase, UpstreamConnection};
 use passrelay_load_balancing::Ending;
 
 impl Sidecar {
@@ -28,7 +28,7 @@
                 }
             }
             Phase::Idle => {
-                if !upstream.is_quiet() {
+                if !upstream.has_no_unread_input() {
                     self.connections.close_upstream(key);
                 }
             }
@@ -37,12 +37,12 @@
     }
 
     /// The last byte of a held attempt may go out, if the attempt still may and its connection has shown no fault.
-    pub(super) fn last_byte_due(&mut self, key: usize, attempt: Attempt) {
+    pub(super) fn send_held_byte(&mut self, key: usize, attempt: Attempt) {
         let held = |b: &UpstreamConnection| b.held && b.attempt == Some(attempt);
         if self.connections.upstreams.get(key).is_some_and(held) {
             // Meanwhile its client may have left, or the node been told to drain.
             if !self.is_wanted(attempt) {
-                return self.connections.take_back(key);
+                return self.connections.withdraw_unsent(key);
             }
             let Some(upstream) = self.connections.upstreams.get_mut(key) else { return };
             // The check comes before the byte; what breaks after it may have run.
@@ -68,25 +68,25 @@
     fn dialed(&mut self, key: usize) {
         // Late, and good for the next attempt.
         let Some(attempt) = self.connections.upstreams[key].attempt else {
-            return self.connections.put_back(key);
+            return self.connections.return_to_pool(key);
         };
         // Guards against a send to where the node no longer is.
         if self.connections.has_moved(key) {
-            return self.connections.take_back(key);
+            return self.connections.withdraw_unsent(key);
         }
         if self.is_wanted(attempt) && self.connections.load_upstream(key, attempt) {
             if let Some(end) = self.connections.upstreams[key].on_ready() {
                 self.returned(key, end);
             }
         } else if let Some((node, attempt)) = self.connections.free_upstream(key, true) {
-            self.connections.came_to(node, attempt, Ending::Unused);
+            self.connections.report_outcome(node, attempt, Ending::Unused);
         }
     }
 
     /// An attempt has come back from its node.
-    pub(super) fn returned(&mut self, key: usize, end: Return) {
+    pub(super) fn returned(&mut self, key: usize, end: AttemptResult) {
         let now = self.connections.now;
-        let Return { ending, report, load, reusable, verdict, stream } = end;
+        let AttemptResult { ending, report, load, reusable, verdict, stream } = end;
         if stream {
             // Served, and larger than a buffer: the upstream stays up to pass the rest on, if the dispatcher serves it.
             if let Some((_, Attempt::Request { id, number })) = self.connections.hold_upstream(key) {
@@ -101,10 +101,10 @@
         let Some((node, attempt)) = self.connections.free_upstream(key, reusable) else {
             return load.into_iter().for_each(|l| self.connections.buffers.give_back(l.buffer));
         };
-        self.connections.say_lost(node, ending, verdict);
-        let ending = self.connections.weigh(node, ending);
+        self.connections.log_failed_attempt(node, ending, verdict);
+        let ending = self.connections.attribute_failure(node, ending);
         match attempt {
-            Attempt::Request { id, number } if verdict == Verdict::Faulty => {
+            Attempt::Request { id, number } if verdict == Blame::RejectedRequest => {
                 load.into_iter().for_each(|l| self.connections.buffers.give_back(l.buffer));
                 self.dispatcher.turn_back(now, id, number, &mut self.connections);
             }
