--- /dev/null
+++ b/crates/fleet/tests/sample_data.rs
@@ -0,0 +1,91 @@
+//! Sample data written by version 0.2.0 before the renaming: every frame of the lease protocol, every entry that voters
+//! agree on and every write of a voter's journal, in `data/frames.hex`, one `name hex` a line.
+//!
+//! Each is read and written again and has to come out byte for byte. On the wire a variant is its position, not its name;
+//! that all are there is checked against the number of variants that each type says it has.
+
+use passrelay_fleet::lease_table::{Entry, Op, Refusal, Reply};
+use passrelay_fleet::membership::{Change, NoChange};
+use passrelay_fleet::replica::Write;
+use passrelay_fleet::wire::{decode, encode, fleet_number, Answer, Frame, Say, FRAME_HEAD};
+use serde::de::value::{Error, StrDeserializer};
+use serde::de::DeserializeOwned;
+use serde::{Deserialize, Serialize};
+use std::collections::BTreeSet;
+
+const SAMPLES: &str = include_str!("data/frames.hex");
+/// Lines of the file.
+const LINES: usize = 64;
+/// The fleet whose frames these are.
+const FLEET: &str = "sample";
+/// The number that its name stands for.
+const FLEET_NUMBER: u64 = 0xf10b_76c3_0000_0006;
+
+/// The samples of a kind, or all for an empty one.
+fn samples(kind: &str) -> Vec<(&'static str, Vec<u8>)> {
+    let line = |line: &'static str| {
+        let (name, hex) = line.split_once(' ').expect("a name and bytes");
+        let byte = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("hexadecimal digits");
+        (name, (0..hex.len()).step_by(2).map(byte).collect())
+    };
+    SAMPLES.lines().map(line).filter(|(name, _): &(&str, _)| name.starts_with(kind)).collect()
+}
+
+/// The number of variants of an enum: it names all in place of an unknown one.
+fn variants<'a, T: Deserialize<'a>>() -> u8 {
+    let unknown = StrDeserializer::<Error>::new("?");
+    let problem = T::deserialize(unknown).err().expect("no variant has this name").to_string();
+    let (_, expected) = problem.split_once("expected").expect("it says what it expects");
+    (expected.matches('`').count() / 2) as u8
+}
+
+#[test]
+fn there_is_no_sample_of_an_unknown_kind() {
+    assert_eq!(samples("").len(), LINES);
+    let kinds: BTreeSet<&str> =
+        samples("").iter().map(|(name, _)| name.split_once('/').expect("a kind").0).collect();
+    let known = ["frame", "op", "reply", "refusal", "change", "no-change", "entry", "write"];
+    assert_eq!(kinds, BTreeSet::from(known));
+}
+
+#[test]
+fn frames_are_read_and_written_as_before() {
+    assert_eq!(fleet_number(FLEET), FLEET_NUMBER);
+    let (mut all, mut says, mut answers) = (BTreeSet::new(), BTreeSet::new(), BTreeSet::new());
+    for (name, bytes) in samples("frame/") {
+        let (frame, length) = decode(FLEET_NUMBER, &bytes).expect("it can be read").expect("it is whole");
+        assert_eq!(length, bytes.len(), "{name}");
+        assert_eq!(encode(FLEET_NUMBER, &frame), bytes, "{name}");
+        all.insert(bytes[FRAME_HEAD]);
+        match frame {
+            Frame::Client(_) => drop(says.insert(bytes[FRAME_HEAD + 1])),
+            Frame::Answer(_) => drop(answers.insert(bytes[FRAME_HEAD + 1])),
+            _ => {}
+        }
+    }
+    assert_eq!(all, (0..variants::<Frame>()).collect());
+    assert_eq!(says, (0..variants::<Say>()).collect());
+    assert_eq!(answers, (0..variants::<Answer>()).collect());
+}
+
+/// Reads and writes the samples of a kind; each variant has to be there.
+fn same<T: Serialize + DeserializeOwned>(kind: &str) {
+    let mut sampled = BTreeSet::new();
+    for (name, bytes) in samples(&format!("{kind}/")) {
+        let value: T = postcard::from_bytes(&bytes).expect("it can be read");
+        assert_eq!(postcard::to_stdvec(&value).expect("it can be written"), bytes, "{name}");
+        sampled.insert(bytes[0]);
+    }
+    assert_eq!(sampled, (0..variants::<T>()).collect(), "{kind}");
+}
+
+#[test]
+fn what_frames_and_journals_hold_is_read_and_written_as_before() {
+    same::<Op>("op");
+    same::<Reply>("reply");
+    same::<Refusal>("refusal");
+    same::<Change>("change");
+    same::<NoChange>("no-change");
+    same::<Entry>("entry");
+    same::<Write>("write");
+}
--- /dev/null
+++ b/crates/links/tests/sample_data.rs
@@ -0,0 +1,74 @@
+//! Sample data written by version 0.2.0 before the renaming: a voter's journal as it had grown in a fleet of three, and
+//! the same one as a rewrite leaves it.
+//!
+//! Two sessions were opened; one holds a lease that the other waits for, an effect was noted under it, and the other's
+//! lease is being taken from it. In the end a fourth voter was added.
+
+use passrelay_fleet::voter::VoterIdentity;
+use passrelay_fleet::wire::LeaseRow;
+use passrelay_links::durable_voter::DurableVoter;
+use passrelay_store::{Disk, Journal, MemoryDisk};
+use std::time::Duration;
+
+const GROWN: (&str, &[u8]) = ("voter.1", include_bytes!("data/grown.voter.1"));
+const REWRITTEN: (&str, &[u8]) = ("voter.2", include_bytes!("data/rewritten.voter.2"));
+
+/// A disk that holds this file.
+fn disk((name, bytes): (&str, &[u8])) -> MemoryDisk {
+    let mut disk = MemoryDisk::default();
+    disk.append(name, bytes).unwrap();
+    disk.sync(name).unwrap();
+    disk.sync_names().unwrap();
+    disk
+}
+
+/// The voter whose journal this is, in another life of its process.
+fn voter(file: (&str, &[u8])) -> DurableVoter<MemoryDisk> {
+    let disk = disk(file);
+    let identity = VoterIdentity {
+        voter: 1,
+        voters: vec![1, 2, 3],
+        joins: false,
+        lock_delay: Duration::from_secs(3),
+        new_disk: 1,
+        life: 99,
+    };
+    DurableVoter::open(identity, Box::new(move || Ok(disk.clone())), Duration::from_secs(9)).unwrap()
+}
+
+#[test]
+fn a_journal_of_before_holds_what_the_voters_agreed_on() {
+    for file in [GROWN, REWRITTEN] {
+        let voter = voter(file);
+        let status = voter.status();
+        assert_eq!(status.disk, 0xd15c_0001);
+        let added = Some("10.1.2.4:7500".to_owned());
+        assert_eq!(status.voters, [(1, None), (2, None), (3, None), (4, added)]);
+        assert_eq!((status.sessions, status.leases), (2, 2));
+
+        let table = voter.voter().unwrap().table();
+        let sessions: Vec<_> =
+            table.sessions().values().map(|s| (s.name.as_str(), s.ttl_ms, s.renewals)).collect();
+        assert_eq!(sessions, [("worker-1", 600_000, 1), ("worker-2", 600_000, 0)]);
+        let row = |lease: &str, state: &str, holder: &str, token, waiting, effect| LeaseRow {
+            lease: lease.to_owned(),
+            state: state.to_owned(),
+            holder: Some(holder.to_owned()),
+            token,
+            ttl_ms: 500_000,
+            waiting,
+            effect,
+        };
+        assert_eq!(LeaseRow::of(table, "compact"), row("compact", "held", "worker-1", 1, 1, 1));
+        assert_eq!(LeaseRow::of(table, "report"), row("report", "leaving", "worker-2", 2, 0, 0));
+        assert_eq!(table.leases()["compact"].note, "page 17");
+    }
+}
+
+#[test]
+fn a_rewrite_of_the_journal_is_the_same_as_before() {
+    for file in [GROWN, REWRITTEN] {
+        let (_, records) = Journal::open(disk(REWRITTEN), "voter").unwrap();
+        assert_eq!(records, [voter(file).voter().unwrap().whole()]);
+    }
+}
