--- a/crates/passrelay/tests/fleet/main.rs
+++ b/crates/passrelay/tests/fleet/main.rs
@@ -1,5 +1,6 @@
 //! The router fleet as processes on loopback: requests, streams, the operators' calls, the planned end.
 
+mod account;
 mod answers;
 
 use passrelay_standin::fleet::{read_all, Fleet, Sidecar};
