--- /dev/null
+++ b/crates/simulation/tests/traces.rs
@@ -0,0 +1,338 @@
+//! What simulated clusters showed in version 0.2.0 before the renaming: digests over random histories, which a program
+//! that behaves the same has to bring about again.
+//!
+//! Into the digests go numbers and what stands on the wire, never a name out of the source. A table holds two digests a
+//! row, over the first 20 seeds and over 100; only the former are played unless `TRACE_SEEDS=100` is set.
+
+use passrelay_control_plane::orders::{Order, OrderKind};
+use passrelay_control_plane::quota::{QuotaMessage, TenantKey};
+use passrelay_control_plane::OperatorRequest;
+use passrelay_dissemination::{EndpointRecord, EndpointState, Heartbeat};
+use passrelay_simulation::cluster::{Cluster, ClusterSettings, Seen, HEARTBEAT};
+use passrelay_simulation::failover::{time_to_acknowledge, PrimaryLoss};
+use passrelay_simulation::faults::FaultInjector;
+use passrelay_simulation::history::{self, HistorySettings, Scenario};
+use passrelay_simulation::limits::{self, LimitSettings};
+use rand::Rng;
+use rstest::rstest;
+use serde_json::json;
+use std::time::Duration;
+
+/// Seeds of the first digest, and of the second.
+const FEW: u64 = 20;
+const MANY: u64 = 100;
+
+/// FNV-1a, 64 bits.
+struct Digest(u64);
+
+impl Digest {
+    fn new() -> Self {
+        Digest(0xcbf2_9ce4_8422_2325)
+    }
+
+    fn bytes(&mut self, bytes: &[u8]) {
+        self.number(bytes.len() as u64);
+        for byte in bytes {
+            self.0 = (self.0 ^ u64::from(*byte)).wrapping_mul(0x100_0000_01b3);
+        }
+    }
+
+    fn number(&mut self, number: u64) {
+        for byte in number.to_le_bytes() {
+            self.0 = (self.0 ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3);
+        }
+    }
+
+    fn time(&mut self, time: Duration) {
+        self.number(time.as_nanos() as u64);
+    }
+
+    /// The form that a value has on the wire.
+    fn encoded<T: serde::Serialize>(&mut self, value: &T) {
+        let mut bytes = Vec::new();
+        ciborium::into_writer(value, &mut bytes).expect("it can be written");
+        self.bytes(&bytes);
+    }
+}
+
+/// Plays the seeds one after the other and compares the digest after the first few, and after many if asked for.
+fn same_as_before(expected: [u64; 2], mut play: impl FnMut(u64, &mut Digest)) {
+    let many = std::env::var("TRACE_SEEDS").is_ok_and(|seeds| seeds == MANY.to_string());
+    let mut digest = Digest::new();
+    let mut found = Vec::new();
+    for seed in 0..if many { MANY } else { FEW } {
+        play(seed, &mut digest);
+        if [FEW, MANY].contains(&(seed + 1)) {
+            found.push(digest.0);
+        }
+    }
+    assert_eq!(found, expected[..found.len()], "found {found:#x?}");
+}
+
+/// Random histories as the tests of the promises play them: whether promises were kept, how many orders were
+/// acknowledged, and the longest wait to the nanosecond.
+#[rstest]
+#[case::mixed_3_of_12(Scenario::Mixed, 3, 12, [0x3e68_658c_b1e0_c2f0, 0x7a15_65b1_ede4_d07f])]
+#[case::mixed_5_of_12(Scenario::Mixed, 5, 12, [0x59d0_8358_3f97_a853, 0x3469_c811_1121_c6ea])]
+#[case::mixed_8_of_20(Scenario::Mixed, 8, 20, [0xa897_7b20_899d_b69f, 0x9b30_ff35_e063_9faa])]
+#[case::long_cuts_3_of_6(Scenario::LongCuts, 3, 6, [0x4e1b_1e37_a555_2e1c, 0x1b9b_59eb_e7aa_f64e])]
+#[case::long_cuts_5_of_8(Scenario::LongCuts, 5, 8, [0xa8e3_8ffa_9f0b_0d9f, 0x9731_8890_a3af_9715])]
+#[case::long_cuts_8_of_12(Scenario::LongCuts, 8, 12, [0xca13_075e_fece_5b04, 0x4ad8_086b_3693_d5a2])]
+#[case::races_3_of_6(Scenario::Races, 3, 6, [0x1777_f14a_a682_a682, 0xa2a0_c2c2_f645_8203])]
+#[case::races_5_of_8(Scenario::Races, 5, 8, [0x02ee_e393_036e_83dd, 0xb122_61b4_f16f_065b])]
+#[case::races_8_of_12(Scenario::Races, 8, 12, [0x6cad_4bae_ea79_1745, 0xf259_54e7_81d6_3962])]
+#[case::repairs_3_of_6(Scenario::Repairs, 3, 6, [0x3fe3_0300_596e_30d0, 0x2e0a_5a24_9f34_561b])]
+#[case::repairs_5_of_8(Scenario::Repairs, 5, 8, [0xfbb4_1259_4a45_929b, 0x8033_45ab_aa12_5e78])]
+#[case::repairs_8_of_12(Scenario::Repairs, 8, 12, [0xbd89_4165_634c_76c1, 0xeadc_0a58_42b2_7573])]
+#[case::founding_3_of_6(Scenario::Founding, 3, 6, [0x0867_4282_da1b_0763, 0xdbf5_17d5_ad5e_6001])]
+#[case::founding_5_of_8(Scenario::Founding, 5, 8, [0x8dda_7b24_671c_782a, 0x1919_61d8_7183_01b3])]
+#[case::founding_8_of_12(Scenario::Founding, 8, 12, [0x52ca_7b8d_0779_c3e3, 0xd700_fe07_ba3d_5a2f])]
+fn histories_end_as_before(
+    #[case] scenario: Scenario,
+    #[case] counted: usize,
+    #[case] machines: usize,
+    #[case] expected: [u64; 2],
+) {
+    same_as_before(expected, |seed, digest| {
+        let settings = HistorySettings {
+            cluster: ClusterSettings::new(counted, machines, seed),
+            scenario,
+            catch_up: Duration::from_secs(4),
+            length: Duration::from_secs(20),
+            padding: 0,
+        };
+        history_into(&settings, digest);
+    });
+}
+
+fn history_into(settings: &HistorySettings, digest: &mut Digest) {
+    let outcome = history::play(settings);
+    digest.number(outcome.violations.len() as u64);
+    digest.number(outcome.acknowledged as u64);
+    digest.time(outcome.slowest);
+}
+
+/// Hundreds of changes over narrow links; these take long, so there are few.
+#[rstest]
+#[case(3, 4, 0xdb69_5085_aa7d_2e68)]
+#[case(5, 6, 0x6bbf_f707_1cce_fc1a)]
+fn histories_of_many_changes_end_as_before(
+    #[case] counted: usize,
+    #[case] machines: usize,
+    #[case] expected: u64,
+) {
+    let mut digest = Digest::new();
+    for seed in 1..4 {
+        let mut settings = HistorySettings {
+            cluster: ClusterSettings::new(counted, machines, seed),
+            scenario: Scenario::ManyChanges,
+            catch_up: Duration::from_secs(4),
+            length: Duration::from_secs(5),
+            padding: 20_000,
+        };
+        settings.cluster.link_bytes_per_s = 1_250_000;
+        history_into(&settings, &mut digest);
+    }
+    assert_eq!(digest.0, expected, "found {:#x}", digest.0);
+}
+
+/// Histories of the limits that bind the whole fleet: what was sent and refused of each tenant, keys taken away,
+/// endpoints drained.
+#[rstest]
+#[case::three_of_twelve(3, 12, [0x96fd_492f_1b19_43dd, 0x299e_ba15_edb5_ed45])]
+#[case::five_of_twelve(5, 12, [0xe696_26c0_8bd1_1f0a, 0x847d_e3e3_7060_a93d])]
+fn limits_are_kept_as_before(#[case] counted: usize, #[case] machines: usize, #[case] expected: [u64; 2]) {
+    same_as_before(expected, |seed, digest| {
+        let cluster = ClusterSettings::new(counted, machines, seed);
+        let outcome = limits::play(&LimitSettings { cluster, calm: false, mutant: None });
+        digest.number(outcome.violations.len() as u64);
+        for by_tenant in [&outcome.sent, &outcome.refused] {
+            for (tenant, requests) in by_tenant {
+                digest.bytes(tenant.as_bytes());
+                digest.number(*requests as u64);
+            }
+        }
+        digest.number(outcome.revoked as u64);
+        digest.number(outcome.drained as u64);
+    });
+}
+
+/// The time that operators wait after the primary was lost.
+#[rstest]
+#[case::crash(PrimaryLoss::Crash, [0x7905_e993_e163_5851, 0xfafd_208b_3482_3513])]
+#[case::wipe(PrimaryLoss::Wipe, [0x8f82_6e72_8da9_8a44, 0xfa5c_a282_0f8c_4bb8])]
+#[case::cut(PrimaryLoss::Cut, [0x9d56_c354_f8cc_4c29, 0x14bb_a852_5eb1_5b60])]
+#[case::freeze(PrimaryLoss::Freeze, [0x715e_0eb7_e426_6127, 0xc2da_12ae_993a_1819])]
+#[case::disk_stall(PrimaryLoss::DiskStall, [0x0c10_b324_8b95_ec40, 0x105d_c010_52a6_a779])]
+#[case::crash_of_all(PrimaryLoss::CrashOfAll, [0xfa87_b40a_2fa7_fad3, 0x180c_6742_1e6e_000f])]
+fn a_lost_primary_is_replaced_as_before(#[case] loss: PrimaryLoss, #[case] expected: [u64; 2]) {
+    same_as_before(expected, |seed, digest| {
+        let settings = ClusterSettings { loss: 0.0, ..ClusterSettings::new(3, 12, seed) };
+        let time = time_to_acknowledge(&settings, loss);
+        digest.number(u64::from(time.is_some()));
+        digest.time(time.unwrap_or_default());
+    });
+}
+
+/// A cluster with orders, reads, endpoints, questions for tokens and faults, all of it watched: each thing seen from
+/// outside and when, the messages and bytes of each machine, and what each knows in the end.
+struct Watched<'a> {
+    cluster: Cluster,
+    faults: FaultInjector,
+    digest: &'a mut Digest,
+    /// How often each kind of thing was seen, so that none goes without comparison.
+    seen: &'a mut [usize; 4],
+    generation: u64,
+    questions: u64,
+}
+
+/// How long a watched cluster is played, and the pause between happenings of its outside.
+const LENGTH: Duration = Duration::from_secs(15);
+const PAUSE: Duration = Duration::from_millis(50);
+const WATCHED_ENDPOINTS: u64 = 5;
+
+impl Watched<'_> {
+    fn play(&mut self) {
+        self.cluster.counts_bytes = true;
+        let mut at = Duration::ZERO;
+        while at < LENGTH {
+            at += PAUSE;
+            while let Some(seen) = self.cluster.step(at) {
+                self.take(seen);
+            }
+            self.faults.heal(&mut self.cluster);
+            if at > LENGTH / 5 {
+                self.act();
+            }
+        }
+        for machine in 0..self.cluster.len() {
+            self.digest.number(self.cluster.messages[machine]);
+            self.digest.number(self.cluster.bytes[machine]);
+            self.digest.time(self.cluster.fresh_at(machine).unwrap_or_default());
+            let now = self.cluster.local_now(machine);
+            let Some(process) = self.cluster.process(machine) else { continue };
+            self.digest.encoded(&process.status(now));
+            if let Some(replica) = process.replica() {
+                self.digest.encoded(replica.state());
+            }
+        }
+    }
+
+    /// Something from outside, at a machine drawn at random.
+    fn act(&mut self) {
+        let machine = self.cluster.rng.random_range(0..self.cluster.len());
+        let seen = match self.cluster.rng.random_range(0..10) {
+            0 => self.cluster.call(machine, OperatorRequest::Read).map(|(_, seen)| seen),
+            1 | 2 => self.order(machine),
+            3..=5 => self.beat(machine),
+            6..=8 => self.want_tokens(machine),
+            _ => {
+                if self.cluster.rng.random_bool(0.5) {
+                    self.faults.inject(&mut self.cluster);
+                }
+                None
+            }
+        };
+        self.digest.number(u64::from(seen.is_some()));
+        self.take(seen.unwrap_or_default());
+    }
+
+    fn order(&mut self, machine: usize) -> Option<Vec<Seen>> {
+        let base = self.generation;
+        let document = json!({
+            "generation": base + 1,
+            "routes": [],
+            "services": [{ "name": "s" }],
+            "tenants": [{ "name": "t", "api-keys": ["k"], "unit": "requests", "rate-per-s": 100.0, "burst": 50.0 }],
+        });
+        let order = Order { kind: OrderKind::Replace, base, body: document.to_string().into() };
+        Some(self.cluster.call(machine, OperatorRequest::Change(order))?.1)
+    }
+
+    fn beat(&mut self, machine: usize) -> Option<Vec<Seen>> {
+        let number = self.cluster.rng.random_range(0..WATCHED_ENDPOINTS);
+        let draining = self.cluster.rng.random_bool(0.1);
+        let sequence = (self.cluster.now().as_millis() / HEARTBEAT.as_millis()) as u64;
+        let id = format!("e{number}");
+        let record = EndpointRecord {
+            id: id.clone(),
+            service: "s".to_owned(),
+            address: format!("10.9.0.{}:80", number + 1).parse().expect("an address"),
+            zone: format!("z{}", number % 2),
+            capacity: 4,
+            state: if draining { EndpointState::Draining } else { EndpointState::Ready },
+            sequence,
+        };
+        let mut seen = self.cluster.heartbeat(machine, &Heartbeat { record })?;
+        if draining {
+            let (announcement, more) = self.cluster.announce(machine, &id)?;
+            self.digest.number(announcement.0);
+            seen.extend(more);
+        }
+        Some(seen)
+    }
+
+    fn want_tokens(&mut self, machine: usize) -> Option<Vec<Seen>> {
+        self.questions += 1;
+        let wanted = vec![(TenantKey::of("t"), self.cluster.rng.random_range(1..40))];
+        let question = QuotaMessage::Want { nonce: self.questions, wanted, overdrawn: Vec::new() };
+        self.cluster.want_tokens(machine, question)
+    }
+
+    fn saw(&mut self, kind: usize) {
+        self.digest.number(kind as u64);
+        self.seen[kind - 1] += 1;
+    }
+
+    fn take(&mut self, seen: Vec<Seen>) {
+        for one in seen {
+            self.digest.time(self.cluster.now());
+            match one {
+                Seen::Configured { machine, incarnation, configuration } => {
+                    self.saw(1);
+                    self.digest.number(machine as u64);
+                    self.digest.number(incarnation);
+                    self.digest.encoded(&configuration);
+                    self.generation = self.generation.max(configuration.generation);
+                }
+                Seen::Answered { call, answer } => {
+                    self.saw(2);
+                    self.digest.number(call.machine as u64);
+                    self.digest.number(call.incarnation);
+                    self.digest.number(call.call.0);
+                    self.digest.encoded(&answer);
+                }
+                Seen::Confirmed { machine, incarnation, announcement } => {
+                    self.saw(3);
+                    self.digest.number(machine as u64);
+                    self.digest.number(incarnation);
+                    self.digest.number(announcement.0);
+                }
+                Seen::Granted { machine, incarnation, grant } => {
+                    self.saw(4);
+                    self.digest.number(machine as u64);
+                    self.digest.number(incarnation);
+                    self.digest.encoded(&grant);
+                }
+            }
+        }
+    }
+}
+
+#[rstest]
+#[case::three_of_six(3, 6, [0x7ef6_56bf_c261_962e, 0x5129_090e_ba51_fc07])]
+#[case::five_of_twelve(5, 12, [0x5a90_898e_bee0_e451, 0x93f7_ad35_054c_9893])]
+fn everything_seen_of_a_cluster_is_as_before(
+    #[case] counted: usize,
+    #[case] machines: usize,
+    #[case] expected: [u64; 2],
+) {
+    let mut seen = [0; 4];
+    same_as_before(expected, |seed, digest| {
+        let settings = ClusterSettings::new(counted, machines, seed);
+        let faults = FaultInjector::new(settings.tolerated_losses, Duration::from_secs(4));
+        let cluster = Cluster::new(settings);
+        Watched { cluster, faults, digest, seen: &mut seen, generation: 0, questions: 0 }.play();
+    });
+    assert!(seen.iter().all(|times| *times >= 100), "{seen:?}");
+}
