--- /dev/null
+++ b/crates/core/tests/trace.rs
@@ -0,0 +1,351 @@
+//! The balancer's decisions as version 0.2.0 made them before the renaming: a long pseudo-random series of events, and a
+//! digest of every action that came of it.
+//!
+//! Only numbers go into the digest, no names. It holds exact fractions, so it is good for one mathematical library.
+
+use passrelay_core::*;
+use std::cmp::Reverse;
+use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
+
+/// Events in each series.
+const EVENTS: usize = 20_000;
+/// Seed, and the digest of the actions: of a balancer with everything allowed, and of a plain one.
+const EXPECTED: [(u64, u64, u64); 3] = [
+    (1, 0x9287_fc92_b6a3_8411, 0xf7b1_112e_e451_ffe3),
+    (2, 0x69f8_5184_6801_e9fc, 0xed11_4340_2807_bfa0),
+    (3, 0xe18a_4929_88a0_1da8, 0x8c1d_140b_ef0f_25e3),
+];
+
+/// FNV-1a, 64 bits.
+struct Digest(u64);
+
+impl Digest {
+    fn number(&mut self, number: u64) {
+        for byte in number.to_le_bytes() {
+            self.0 = (self.0 ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3);
+        }
+    }
+
+    fn real(&mut self, real: f64) {
+        self.number(real.to_bits());
+    }
+
+    fn optional(&mut self, real: Option<f64>) {
+        self.number(u64::from(real.is_some()));
+        self.real(real.unwrap_or(0.0));
+    }
+
+    /// Takes an action in, and gives a number for its kind.
+    fn action(&mut self, action: &Action) -> u64 {
+        let kind = match action {
+            Action::Send { .. } => 1,
+            Action::Cancel { .. } => 2,
+            Action::Refuse { .. } => 3,
+            Action::Fail { .. } => 4,
+            Action::Wake { .. } => 5,
+            Action::Probe(_) => 6,
+            Action::Watch => 7,
+        };
+        self.number(kind);
+        match *action {
+            Action::Send { id, upstream, patience } => {
+                self.number(id.0);
+                self.number(upstream.0);
+                self.optional(patience);
+            }
+            Action::Cancel { id, attempt } => {
+                self.number(id.0);
+                self.number(u64::from(attempt));
+            }
+            Action::Refuse { id, retry_after } => {
+                self.number(id.0);
+                self.optional(retry_after);
+            }
+            Action::Fail { id } => self.number(id.0),
+            Action::Wake { after, token } => {
+                self.real(after);
+                self.number(token);
+            }
+            Action::Probe(upstream) => self.number(upstream.0),
+            Action::Watch => {}
+        }
+        kind
+    }
+}
+
+/// A small generator of its own (splitmix64), so that no library's version changes the series.
+struct Chance(u64);
+
+impl Chance {
+    fn next(&mut self) -> u64 {
+        self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        let mut mixed = self.0;
+        mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+        mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+        mixed ^ (mixed >> 31)
+    }
+
+    fn below(&mut self, bound: u64) -> u64 {
+        self.next() % bound
+    }
+
+    /// From 0 to 1.
+    fn part(&mut self) -> f64 {
+        self.below(1 << 20) as f64 / (1 << 20) as f64
+    }
+
+    fn happens(&mut self, part: f64) -> bool {
+        self.part() < part
+    }
+}
+
+/// Servers, callers and discovery around one balancer.
+struct World {
+    balancer: Balancer,
+    chance: Chance,
+    digest: Digest,
+    /// In microseconds.
+    now: u64,
+    /// What is going to happen: when, a running number, and the event's place in `events`.
+    queue: BinaryHeap<Reverse<(u64, usize)>>,
+    events: Vec<Option<Event>>,
+    /// Attempts sent so far, by request.
+    attempts: BTreeMap<u64, u32>,
+    /// The places in `events` of the outcomes that are to come, by request and attempt.
+    outcomes: BTreeMap<(u64, u32), usize>,
+    upstreams: Vec<Entry>,
+    classes: u64,
+    tenants: u64,
+    next_request: u64,
+    next_upstream: u64,
+}
+
+impl World {
+    fn new(settings: Settings, seed: u64) -> World {
+        let (classes, tenants) = (settings.classes.len() as u64, settings.tenants.len() as u64);
+        let mut world = World {
+            balancer: Balancer::new(settings, seed, 0.0).expect("the settings make sense"),
+            chance: Chance(seed),
+            digest: Digest(0xcbf2_9ce4_8422_2325),
+            now: 0,
+            queue: BinaryHeap::new(),
+            events: Vec::new(),
+            attempts: BTreeMap::new(),
+            outcomes: BTreeMap::new(),
+            upstreams: Vec::new(),
+            classes,
+            tenants,
+            next_request: 0,
+            next_upstream: 0,
+        };
+        world.upstreams = (0..8).map(|_| world.upstream()).collect();
+        let list = world.upstreams.clone();
+        world.schedule(0.0, Event::FullList(list));
+        world
+    }
+
+    /// An upstream that has just started.
+    fn upstream(&mut self) -> Entry {
+        self.next_upstream += 1;
+        let number = self.next_upstream;
+        let started = self.chance.happens(0.5).then_some(self.now as f64 / 1e6);
+        let zone = ZoneId((number % 2) as usize);
+        Entry { upstream: UpstreamId(number), zone, cell: number % 3, condition: Condition::On, started }
+    }
+
+    fn schedule(&mut self, after: f64, event: Event) {
+        let at = self.now + (after.max(0.0) * 1e6) as u64;
+        self.queue.push(Reverse((at, self.events.len())));
+        self.events.push(Some(event));
+    }
+
+    /// Plays so many events and gives the digest of all actions, and which kinds there were.
+    fn play(mut self, events: usize) -> (u64, BTreeSet<u64>) {
+        let mut kinds = BTreeSet::new();
+        for _ in 0..events {
+            if self.queue.is_empty() || self.chance.happens(0.3) {
+                self.now += self.chance.below(20_000);
+                let event = self.surprise();
+                self.schedule(0.0, event);
+            }
+            let Some(Reverse((at, number))) = self.queue.pop() else { continue };
+            let Some(event) = self.events[number].take() else { continue };
+            self.now = self.now.max(at);
+            let mut actions = Vec::new();
+            self.balancer.handle(self.now as f64 / 1e6, event, &mut actions);
+            self.digest.number(actions.len() as u64);
+            for action in &actions {
+                kinds.insert(self.digest.action(action));
+                self.carry_out(action);
+            }
+        }
+        (self.digest.0, kinds)
+    }
+
+    /// Something from outside: mostly a request.
+    fn surprise(&mut self) -> Event {
+        match self.chance.below(100) {
+            0 => Event::ListFailed,
+            1 => {
+                let list = self.upstreams.clone();
+                Event::FullList(list)
+            }
+            2 | 3 => self.change_of_the_list(),
+            4 if self.next_request > 0 => {
+                Event::Gone(RequestId(self.next_request - self.chance.below(self.next_request.min(20))))
+            }
+            _ => self.request(),
+        }
+    }
+
+    fn change_of_the_list(&mut self) -> Event {
+        let at = self.chance.below(self.upstreams.len() as u64) as usize;
+        let changed = match self.chance.below(4) {
+            0 => {
+                // A replacement stands at its place.
+                let fresh = self.upstream();
+                let gone = Entry { condition: Condition::Off, ..self.upstreams[at] };
+                self.upstreams[at] = fresh;
+                return Event::ListChanges(vec![gone, fresh]);
+            }
+            1 => Condition::Fading,
+            _ => Condition::On,
+        };
+        let started = self.chance.happens(0.3).then_some(self.now as f64 / 1e6);
+        self.upstreams[at] = Entry { condition: changed, started, ..self.upstreams[at] };
+        Event::ListChanges(vec![self.upstreams[at]])
+    }
+
+    fn request(&mut self) -> Event {
+        self.next_request += 1;
+        let tenant = match self.chance.below(self.tenants + 1) {
+            0 => None,
+            number => Some(TenantId(number as usize - 1)),
+        };
+        Event::Request {
+            id: RequestId(self.next_request),
+            class: ClassId(self.chance.below(self.classes) as usize),
+            tenant,
+            ttl: 0.2 + 4.0 * self.chance.part(),
+            work_hint: self.chance.happens(0.4).then_some(0.01 + 0.2 * self.chance.part()),
+            repeat: self.chance.happens(0.1),
+        }
+    }
+
+    fn report(&mut self) -> Option<Report> {
+        if self.chance.happens(0.3) {
+            return None;
+        }
+        let queue = self.chance.happens(0.5);
+        Some(Report {
+            active: Some(self.chance.below(12) as f64),
+            waiting: queue.then_some(self.chance.below(6) as f64),
+            cpu: Some(self.chance.part()),
+            avg_ms: Some(5.0 + 100.0 * self.chance.part()),
+            rps: Some(200.0 * self.chance.part()),
+            err_rps: queue.then_some(3.0 * self.chance.part()),
+        })
+    }
+
+    /// How an attempt or a probe ends; some upstreams are worse than others.
+    fn ending(&mut self, upstream: UpstreamId) -> Ending {
+        let bad = if upstream.0 % 5 == 0 { 20 } else { 3 };
+        if self.chance.below(100) >= bad {
+            return Ending::Delivered;
+        }
+        let endings = [
+            Ending::AppError,
+            Ending::Shed,
+            Ending::Expired,
+            Ending::DialFailed,
+            Ending::Dropped,
+            Ending::Unused,
+        ];
+        endings[self.chance.below(endings.len() as u64) as usize]
+    }
+
+    fn carry_out(&mut self, action: &Action) {
+        match *action {
+            Action::Send { id, upstream, patience } => {
+                let attempts = self.attempts.entry(id.0).or_default();
+                let attempt = *attempts;
+                *attempts += 1;
+                // Some upstreams stand still now and then, for three seconds.
+                let stuck = upstream.0 % 3 == 0 && self.now / 3_000_000 % 3 == 0;
+                let ending = if stuck { Ending::Expired } else { self.ending(upstream) };
+                let elapsed = if stuck { 3.0 } else { 0.01 + 0.3 * self.chance.part() };
+                let elapsed = elapsed.min(patience.unwrap_or(f64::INFINITY));
+                let (last, report) = (ending == Ending::Delivered, self.report());
+                if last && self.chance.happens(0.1) {
+                    self.schedule(elapsed / 2.0, Event::StreamBegan { id, attempt });
+                }
+                self.outcomes.insert((id.0, attempt), self.events.len());
+                let outcome = Outcome { id, attempt, upstream, ending, elapsed, last, report };
+                self.schedule(elapsed, Event::Outcome(outcome));
+            }
+            Action::Cancel { id, attempt } => {
+                let number = self.outcomes[&(id.0, attempt)];
+                if let Some(Event::Outcome(outcome)) = self.events[number].take() {
+                    let revoked = Outcome { ending: Ending::Revoked, report: None, ..outcome };
+                    self.schedule(0.0, Event::Outcome(revoked));
+                }
+            }
+            Action::Wake { after, token } => self.schedule(after, Event::Wake(token)),
+            Action::Probe(upstream) => {
+                let (ending, report) = (self.ending(upstream), self.report());
+                let elapsed = 0.002 + 0.02 * self.chance.part();
+                self.schedule(elapsed, Event::Probed { upstream, ending, elapsed, report });
+            }
+            Action::Watch => {
+                let list = self.upstreams.clone();
+                self.schedule(0.05, Event::FullList(list));
+            }
+            Action::Refuse { .. } | Action::Fail { .. } => {}
+        }
+    }
+}
+
+/// Classes of every kind, tenants, and everything allowed that may be.
+fn rich() -> Settings {
+    let keyed = |scope| Effect::Keyed { scope, window: 0.4 };
+    let class = |aim, gain, effect| Class { aim, aim_stretch: 0.5, gain, late_value: 0.2, effect };
+    Settings {
+        balancers: 3,
+        rank: 1,
+        classes: vec![
+            class(0.3, 1.0, Effect::Safe),
+            class(0.5, 4.0, Effect::Unsafe),
+            class(0.8, 2.0, keyed(DedupScope::All)),
+            class(0.8, 2.0, keyed(DedupScope::Zone)),
+            class(0.8, 0.5, keyed(DedupScope::Cell)),
+        ],
+        tenants: vec![Tenant { allowance_per_s: 20.0 }, Tenant { allowance_per_s: f64::INFINITY }],
+        over_share_worth: 0.5,
+        worth_by_work: true,
+        price_cross_zone: 0.05,
+        price_probe: 0.01,
+        ask_for_list: true,
+        ask_every: 1.0,
+        reports_held: true,
+        reports_queue: true,
+        probes: true,
+        cancel: true,
+        duplicates: true,
+        retry_after: true,
+        max_retry_after: 2.0,
+        ..Settings::default()
+    }
+}
+
+/// All kinds of actions.
+const KINDS: usize = 7;
+
+#[test]
+fn the_same_events_bring_the_same_actions_as_before() {
+    let played = EXPECTED.map(|(seed, ..)| {
+        let (with_all, kinds) = World::new(rich(), seed).play(EVENTS);
+        assert_eq!(kinds.len(), KINDS, "{kinds:?}: an action that never comes is not compared");
+        (seed, with_all, World::new(Settings::default(), seed).play(EVENTS).0)
+    });
+    assert_eq!(played, EXPECTED, "found {played:#x?}");
+}
