--- a/crates/router/dissemination/src/gossip.rs
+++ b/crates/router/dissemination/src/gossip.rs
@@ -1,8 +1,8 @@
 //! The decider of dissemination: rumours for news, digests for whatever a rumour missed.
 
+use crate::partial_view::{PartialView, PeerDescriptor};
 use crate::peer::{Incarnation, Peer};
 use crate::registry::{bucket_of, EndpointRecord, Heartbeat, Registry, RegistryDigest};
-use crate::view::{PartialView, PeerDescriptor};
 use rand::seq::IndexedRandom;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
--- a/crates/router/dissemination/src/lib.rs
+++ b/crates/router/dissemination/src/lib.rs
@@ -4,15 +4,15 @@
 
 mod gossip;
 mod load;
+mod partial_view;
 mod peer;
 mod registry;
-mod view;
 
 pub use gossip::{
     Announcement, CommittedConfiguration, CoreHint, Digest, Gossip, GossipAction, GossipMessage,
     GossipMutation, GossipSettings,
 };
 pub use load::{EndpointLoad, Outcomes};
+pub use partial_view::{PartialView, PeerDescriptor};
 pub use peer::{Incarnation, Peer};
 pub use registry::{EndpointRecord, EndpointState, Heartbeat, Registry, RegistryDigest};
-pub use view::{PartialView, PeerDescriptor};
