--- a/crates/router/control-plane/src/coordinator.rs
+++ b/crates/router/control-plane/src/coordinator.rs
@@ -232,7 +232,7 @@
     /// An endpoint has ended as planned.
     pub fn leave(&mut self, now: Duration, id: &str, actions: &mut Vec<Action>) {
         let mut gossip_actions = Vec::new();
-        self.gossip.leave(now, id, &mut gossip_actions);
+        self.gossip.deregister(now, id, &mut gossip_actions);
         self.carry_gossip(gossip_actions, actions);
     }
 
@@ -423,7 +423,12 @@
         });
         let before = self.gossip.configuration().map_or(0, |c| c.index);
         let mut gossip_actions = Vec::new();
-        self.gossip.committed(now, configuration.as_ref(), replica.confirmed_at(), &mut gossip_actions);
+        self.gossip.observe_committed(
+            now,
+            configuration.as_ref(),
+            replica.confirmed_at(),
+            &mut gossip_actions,
+        );
         let term = committed.version.term;
         let current = self.grantor.as_ref().is_some_and(|g| g.term() == term);
         if !current {
--- a/crates/router/control-plane/src/load.rs
+++ b/crates/router/control-plane/src/load.rs
@@ -4,7 +4,7 @@
 //! Sums are a help for placing requests, nothing rests on them: they may be late, or missing while no primary leads.
 //! Failures of an endpoint count only where two sidecars have told of some: one alone may be cut off itself.
 
-use passrelay_dissemination::{EndpointLoad, Outcomes};
+use passrelay_dissemination::{EndpointLoad, OutcomeCounts, Outcomes};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -64,7 +64,7 @@
     /// Answered and failed requests, as far as they count now.
     fn counted(&mut self, now: Duration) -> (u32, u32) {
         self.witnesses.retain(|_, at| now.saturating_sub(*at) < WITNESS_LASTS);
-        let (answered, failed) = self.outcomes.at_time(now);
+        let OutcomeCounts { answered, failed } = self.outcomes.decayed(now);
         let failed = if self.witnesses.len() >= WITNESSES { failed } else { 0.0 };
         (answered.round() as u32, failed.round() as u32)
     }
--- a/crates/router/data-plane/src/balancer.rs
+++ b/crates/router/data-plane/src/balancer.rs
@@ -5,7 +5,7 @@
 //! which the prompt would be read soonest: least tokens ahead of it, and shared parts that are kept there already.
 
 use crate::prompt::Prompt;
-use passrelay_dissemination::{EndpointLoad, EndpointRecord, EndpointState, Outcomes};
+use passrelay_dissemination::{EndpointLoad, EndpointRecord, EndpointState, OutcomeCounts, Outcomes};
 use passrelay_load_balancing::turns::{take_turn, Candidate};
 use rustc_hash::FxHasher;
 use std::collections::{BTreeMap, HashMap};
@@ -197,7 +197,7 @@
         let many = |answered: f64, failed: f64| {
             failed >= SUSPECTED_FROM && failed >= SUSPECTED_PART * (answered + failed)
         };
-        let (answered, failed) = self.outcomes.at_time(now);
+        let OutcomeCounts { answered, failed } = self.outcomes.decayed(now);
         let told = self.others(now).map(|o| (f64::from(o.answered), f64::from(o.failed)));
         many(answered, failed) || told.is_some_and(|(answered, failed)| many(answered, failed))
     }
--- /dev/null
+++ b/crates/router/dissemination/src/gossip/exchange.rs
@@ -0,0 +1,130 @@
+//! Anti-entropy: digest request and response, which repair whatever broadcasts missed.
+//!
+//! The requester sends its digest; the responder sends the records of buckets that differ and its own digest; the requester then
+//! sends the records of buckets that still differ. Both sides merge what they get, so one exchange reconciles both registries,
+//! and a newer configuration is fetched by whichever side lacks it.
+
+use super::actions::Context;
+use super::freshness::FreshnessReport;
+use super::{Gossip, BROADCAST_FANOUT};
+use crate::messages::{Digest, GossipMessage};
+use crate::peer::Peer;
+use crate::registry::{EndpointRecord, RegistryDigest};
+use std::net::SocketAddrV4;
+
+/// Descriptors of other sidecars in a digest.
+const PEER_SAMPLE_SIZE: usize = 6;
+/// With fewer known peers than this, seeds and members of the core are contacted as well.
+const MIN_KNOWN_PEERS: usize = 3;
+
+impl Gossip {
+    /// Sends digest requests to a random peer and, while few are known, to the seeds and the core.
+    pub(super) fn start_exchange(&mut self, context: &mut Context) {
+        let mut peers = self.view.select(context.now, 1, &mut self.rng);
+        if self.view.len() < MIN_KNOWN_PEERS {
+            let members = self.core.iter().flat_map(|core| core.members.iter());
+            peers.extend(self.seeds.iter().chain(members).copied());
+            peers.sort_unstable();
+            peers.dedup();
+        }
+        for peer in peers {
+            self.send_digest_request(context, peer);
+        }
+    }
+
+    /// Sends a digest request; none to this sidecar itself.
+    pub(super) fn send_digest_request(&mut self, context: &mut Context, to: SocketAddrV4) {
+        if to == self.own {
+            return;
+        }
+        let request_id = self.requests.register(context.now);
+        let digest = self.digest(context, request_id);
+        context.send(to, GossipMessage::DigestRequest(digest));
+    }
+
+    /// Merges the digest of a request and responds with the records that differ and the own digest.
+    pub(super) fn respond_to_digest(&mut self, context: &mut Context, requester: Peer, request: &Digest) {
+        self.merge_digest(context, requester.address, request);
+        let digest = self.digest(context, request.request_id);
+        let fresh_age_ms = self.freshness.reported_age_ms(context.now);
+        self.send_differing_records(context, requester.address, &request.registry);
+        context.respond(requester, GossipMessage::DigestResponse { digest, fresh_age_ms });
+    }
+
+    /// Takes in the response to an own request; any other is ignored.
+    pub(super) fn handle_digest_response(
+        &mut self,
+        context: &mut Context,
+        responder: SocketAddrV4,
+        digest: &Digest,
+        fresh_age_ms: Option<u32>,
+    ) {
+        let Some(sent_at) = self.requests.complete(digest.request_id) else { return };
+        if let Some(age_ms) = fresh_age_ms {
+            let report = self.freshness.read_report(sent_at, age_ms);
+            if digest.index <= self.configuration.index() {
+                self.freshness.advance_by_report(&report);
+            }
+            if self.core.as_ref().is_some_and(|core| core.members.contains(&responder)) {
+                self.confirm_by_member(context, &report, &digest.registry);
+            }
+        }
+        self.merge_digest(context, responder, digest);
+        self.send_differing_records(context, responder, &digest.registry);
+    }
+
+    /// Confirms the announcements that a member of the core knows of: it was in contact with a majority after the
+    /// announcement, and its registry agrees with the local one in the endpoint's bucket.
+    fn confirm_by_member(
+        &mut self,
+        context: &mut Context,
+        report: &FreshnessReport,
+        member_digest: &RegistryDigest,
+    ) {
+        let own_digest = self.registry.digest();
+        self.announcements.confirm(context, |pending| {
+            report.sent_at >= pending.announced_at + report.age
+                && own_digest[pending.bucket] == member_digest[pending.bucket]
+        });
+    }
+
+    fn merge_digest(&mut self, context: &mut Context, sender: SocketAddrV4, digest: &Digest) {
+        self.view.merge(context.now, &digest.sample, &mut self.rng);
+        if let Some(hint) = &digest.core {
+            self.observe_core(hint.clone());
+        }
+        self.configuration.fetch_if_newer(context, sender, digest.index);
+    }
+
+    fn digest(&mut self, context: &Context, request_id: u64) -> Digest {
+        Digest {
+            request_id,
+            index: self.configuration.index(),
+            registry: self.registry.digest(),
+            core: self.core.clone(),
+            sample: self.view.sample(context.now, PEER_SAMPLE_SIZE, &mut self.rng),
+        }
+    }
+
+    fn send_differing_records(
+        &mut self,
+        context: &mut Context,
+        to: SocketAddrV4,
+        remote_digest: &RegistryDigest,
+    ) {
+        let records = self.registry.differing(remote_digest);
+        if !records.is_empty() {
+            context.send(to, GossipMessage::Records(records));
+        }
+    }
+
+    /// Broadcasts changed records to random peers.
+    pub(super) fn broadcast_records(&mut self, context: &mut Context, changed: Vec<EndpointRecord>) {
+        if changed.is_empty() {
+            return;
+        }
+        for peer in self.view.select(context.now, BROADCAST_FANOUT, &mut self.rng) {
+            context.send(peer, GossipMessage::Records(changed.clone()));
+        }
+    }
+}
--- a/crates/router/dissemination/src/load.rs
+++ b/crates/router/dissemination/src/load.rs
@@ -1,56 +1,68 @@
-//! The load of an endpoint and how its answers go, as sidecars tell it to each other.
+//! Load of an endpoint and outcomes of requests to it, as sidecars report them.
+//!
+//! Only the types: who reports to whom, and what load balancing makes of it, is for the planes.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Outcomes fade over this time.
-const OUTCOMES_FADE: Duration = Duration::from_secs(3);
+/// Time in which the weight of an outcome decays by the factor e.
+const OUTCOME_DECAY_TIME: Duration = Duration::from_secs(3);
 
-/// What is out at one endpoint, and what became of requests to it since the last account.
+/// Requests in flight at one endpoint, and the outcomes of those that ended since the last report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointLoad {
-    /// Names the endpoint: a hash of its id.
+    /// Hash of the endpoint's id.
     #[serde(rename = "e")]
     pub endpoint: u64,
-    /// Prompt tokens of requests that have no answer yet.
+    /// Prompt tokens of requests without a response so far.
     #[serde(rename = "t", default, skip_serializing_if = "is_zero")]
     pub pending_prompt_tokens: u32,
-    /// Requests out.
+    /// Requests in flight.
     #[serde(rename = "o", default, skip_serializing_if = "is_zero")]
     pub in_flight: u32,
-    /// Requests that were answered well.
+    /// Requests that succeeded.
     #[serde(rename = "a", default, skip_serializing_if = "is_zero")]
     pub answered: u32,
-    /// Requests that were answered with an error or not at all.
+    /// Requests that ended with an error or without a response.
     #[serde(rename = "f", default, skip_serializing_if = "is_zero")]
     pub failed: u32,
 }
 
-#[allow(clippy::trivially_copy_pass_by_ref)] // the form that serde asks for
+#[allow(clippy::trivially_copy_pass_by_ref)] // the signature that serde requires
 fn is_zero(number: &u32) -> bool {
     *number == 0
 }
 
-/// Outcomes of requests to one endpoint, the older the less.
+/// Numbers of outcomes, each outcome weighted by its age.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct OutcomeCounts {
+    /// Requests that succeeded.
+    pub answered: f64,
+    /// Requests that failed.
+    pub failed: f64,
+}
+
+/// Exponentially decaying counters of outcomes at one endpoint.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Outcomes {
-    answered: f64,
-    failed: f64,
-    at: Duration,
+    /// The counts as of `updated_at`.
+    counts: OutcomeCounts,
+    updated_at: Duration,
 }
 
 impl Outcomes {
-    /// Notes more of them.
+    /// Adds outcomes at full weight.
     pub fn add(&mut self, now: Duration, answered: u32, failed: u32) {
-        let (before_answered, before_failed) = self.at_time(now);
-        self.answered = before_answered + f64::from(answered);
-        self.failed = before_failed + f64::from(failed);
-        self.at = now;
+        let decayed = self.decayed(now);
+        self.counts.answered = decayed.answered + f64::from(answered);
+        self.counts.failed = decayed.failed + f64::from(failed);
+        self.updated_at = now;
     }
 
-    /// Answered and failed ones, faded to now.
-    pub fn at_time(&self, now: Duration) -> (f64, f64) {
-        let fade = (-now.saturating_sub(self.at).as_secs_f64() / OUTCOMES_FADE.as_secs_f64()).exp();
-        (self.answered * fade, self.failed * fade)
+    /// The counts, decayed to `now`.
+    pub fn decayed(&self, now: Duration) -> OutcomeCounts {
+        let age = now.saturating_sub(self.updated_at);
+        let weight = (-age.as_secs_f64() / OUTCOME_DECAY_TIME.as_secs_f64()).exp();
+        OutcomeCounts { answered: self.counts.answered * weight, failed: self.counts.failed * weight }
     }
 }
--- a/crates/router/dissemination/src/partial_view.rs
+++ b/crates/router/dissemination/src/partial_view.rs
@@ -1,4 +1,9 @@
-//! A partial view of the fleet: descriptors of some sidecars, shuffled with every exchange.
+//! Peer sampling: a partial view of the fleet, a bounded random subset of the sidecars that changes with every exchange.
+//!
+//! No sidecar knows the whole membership. Each digest carries a random sample of the sender's view, so views mix and a new
+//! sidecar becomes known everywhere. A descriptor carries the age of the last direct contact, summed along its way, so that a
+//! dead sidecar ages out although others still pass it on. This is no failure detector: nothing may rest on a peer being in the
+//! view or missing from it.
 
 use rand::seq::{IndexedRandom, IteratorRandom};
 use rand::Rng;
@@ -7,99 +12,104 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// Descriptors that a view holds at most.
-const CAPACITY: usize = 32;
-/// A sidecar that nobody has heard for this long is forgotten.
-const FORGET_AFTER: Duration = Duration::from_secs(25);
-/// A sidecar heard within this time is expected to answer.
-const LIVELY: Duration = Duration::from_secs(3);
+/// Bound of the peers in a view.
+const MAX_PEERS: usize = 32;
+/// A peer that nobody has had contact with for this long leaves the view.
+const PEER_TIMEOUT: Duration = Duration::from_secs(25);
+/// A peer in contact within this time is expected to respond and selected before others.
+const RESPONSIVE_AGE: Duration = Duration::from_secs(3);
 
-/// What one sidecar tells another of a third.
+/// A sidecar in a sample of a partial view.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerDescriptor {
     /// Its address for internal messages.
     #[serde(rename = "a")]
     pub address: SocketAddrV4,
-    /// How long ago it was heard directly by whoever told of it, in ms, summed along the way.
+    /// Age of the last direct contact with it by any sidecar on the descriptor's way here, in ms.
     #[serde(rename = "t")]
     pub age_ms: u32,
 }
 
-/// The sidecars known to this one, each with the time at which it was last known to live.
+/// The sidecars known to this one, each with the time of the last contact.
 #[derive(Debug)]
 pub struct PartialView {
     own: SocketAddrV4,
-    heard: BTreeMap<SocketAddrV4, Duration>,
+    /// At most [`MAX_PEERS`], never this sidecar itself. In the order of addresses, as random selections depend on it.
+    last_contact: BTreeMap<SocketAddrV4, Duration>,
 }
 
 impl PartialView {
     /// An empty view of the sidecar at `own`.
     pub fn new(own: SocketAddrV4) -> Self {
-        PartialView { own, heard: BTreeMap::new() }
+        PartialView { own, last_contact: BTreeMap::new() }
     }
 
-    /// Notes that a peer was heard directly.
-    pub fn heard(&mut self, now: Duration, peer: SocketAddrV4, rng: &mut impl Rng) {
+    /// Records that a message came from a peer directly.
+    pub fn record_contact(&mut self, now: Duration, peer: SocketAddrV4, rng: &mut impl Rng) {
         if peer != self.own {
-            self.heard.insert(peer, now);
-            self.shrink(rng);
+            self.last_contact.insert(peer, now);
+            self.evict(rng);
         }
     }
 
-    /// Takes in what another sidecar tells.
+    /// Merges a sample of another sidecar's view; of two contacts with a peer the later counts.
     pub fn merge(&mut self, now: Duration, sample: &[PeerDescriptor], rng: &mut impl Rng) {
-        for descriptor in sample.iter().filter(|d| d.address != self.own) {
+        for descriptor in sample.iter().filter(|descriptor| descriptor.address != self.own) {
             let age = Duration::from_millis(u64::from(descriptor.age_ms));
-            if age >= FORGET_AFTER {
+            if age >= PEER_TIMEOUT {
                 continue;
             }
-            let at = now.saturating_sub(age);
-            let known = self.heard.entry(descriptor.address).or_insert(at);
-            *known = (*known).max(at);
+            let contact = now.saturating_sub(age);
+            let known = self.last_contact.entry(descriptor.address).or_insert(contact);
+            *known = (*known).max(contact);
         }
-        self.shrink(rng);
+        self.evict(rng);
     }
 
-    /// Forgets who has been silent for long.
+    /// Removes peers without contact for `PEER_TIMEOUT`.
     pub fn expire(&mut self, now: Duration) {
-        self.heard.retain(|_, at| now.saturating_sub(*at) < FORGET_AFTER);
+        self.last_contact.retain(|_, contact| now.saturating_sub(*contact) < PEER_TIMEOUT);
     }
 
-    /// A random selection to tell a peer.
+    /// A random sample of at most `count` descriptors, to be sent to a peer.
     pub fn sample(&self, now: Duration, count: usize, rng: &mut impl Rng) -> Vec<PeerDescriptor> {
-        let descriptor = |(address, at): (&SocketAddrV4, &Duration)| {
-            let age_ms = u32::try_from(now.saturating_sub(*at).as_millis()).unwrap_or(u32::MAX);
+        let descriptor = |(address, contact): (&SocketAddrV4, &Duration)| {
+            let age_ms = u32::try_from(now.saturating_sub(*contact).as_millis()).unwrap_or(u32::MAX);
             PeerDescriptor { address: *address, age_ms }
         };
-        self.heard.iter().map(descriptor).choose_multiple(rng, count)
+        self.last_contact.iter().map(descriptor).choose_multiple(rng, count)
     }
 
-    /// Random peers, first of those heard lately, then of the others.
-    pub fn choose(&self, now: Duration, count: usize, rng: &mut impl Rng) -> Vec<SocketAddrV4> {
-        let (lively, silent): (Vec<_>, Vec<_>) =
-            self.heard.iter().partition(|(_, at)| now.saturating_sub(**at) < LIVELY);
-        let lively: Vec<SocketAddrV4> = lively.into_iter().map(|(address, _)| *address).collect();
-        let silent: Vec<SocketAddrV4> = silent.into_iter().map(|(address, _)| *address).collect();
-        let mut chosen: Vec<SocketAddrV4> = lively.choose_multiple(rng, count).copied().collect();
-        let rest = count - chosen.len();
-        chosen.extend(silent.choose_multiple(rng, rest).copied());
-        chosen
+    /// At most `count` random peers to send to: responsive ones first, then others.
+    pub fn select(&self, now: Duration, count: usize, rng: &mut impl Rng) -> Vec<SocketAddrV4> {
+        let mut responsive = Vec::new();
+        let mut unresponsive = Vec::new();
+        for (address, contact) in &self.last_contact {
+            let is_responsive = now.saturating_sub(*contact) < RESPONSIVE_AGE;
+            let group = if is_responsive { &mut responsive } else { &mut unresponsive };
+            group.push(*address);
+        }
+        let mut selected: Vec<SocketAddrV4> = responsive.choose_multiple(rng, count).copied().collect();
+        let remaining = count - selected.len();
+        selected.extend(unresponsive.choose_multiple(rng, remaining).copied());
+        selected
     }
 
-    /// Number of known peers.
+    /// Number of peers in the view.
     pub fn len(&self) -> usize {
-        self.heard.len()
+        self.last_contact.len()
     }
 
-    /// Whether no peer is known.
+    /// Whether the view is empty.
     pub fn is_empty(&self) -> bool {
-        self.heard.is_empty()
+        self.last_contact.is_empty()
     }
 
-    fn shrink(&mut self, rng: &mut impl Rng) {
-        while self.heard.len() > CAPACITY {
-            let Some(victim) = self.heard.keys().copied().choose(rng) else { return };
-            self.heard.remove(&victim);
+    /// Removes random peers beyond [`MAX_PEERS`], which keeps the view a random subset of the fleet.
+    fn evict(&mut self, rng: &mut impl Rng) {
+        while self.last_contact.len() > MAX_PEERS {
+            let Some(evicted) = self.last_contact.keys().copied().choose(rng) else { return };
+            self.last_contact.remove(&evicted);
         }
     }
 }
--- a/crates/router/dissemination/tests/registry.rs
+++ b/crates/router/dissemination/tests/registry.rs
@@ -34,7 +34,7 @@
     assert_eq!(registry.heartbeat(at(10), &beat("i", 1, EndpointState::Draining, 4)).len(), 1);
     assert!(registry.heartbeat(at(20), &beat("i", 1, EndpointState::Ready, 3)).is_empty());
     assert_eq!(state(&registry, "i"), Some(EndpointState::Draining));
-    assert_eq!(registry.leave(at(30), "i").len(), 1);
+    assert_eq!(registry.deregister(at(30), "i").len(), 1);
     assert!(registry.heartbeat(at(40), &beat("i", 1, EndpointState::Ready, 9)).is_empty());
     assert_eq!(state(&registry, "i"), Some(EndpointState::Removed));
 }
@@ -55,7 +55,7 @@
     second.merge(at(1), news);
     // It goes on at the second one, and the rumour of that is lost.
     second.heartbeat(at(1_200), &beat("i", 1, EndpointState::Ready, 2));
-    let silence = first.sweep(at(5_000));
+    let silence = first.expire(at(5_000));
     assert_eq!(silence[0].state, EndpointState::Expired);
     assert!(second.merge(at(5_001), silence).is_empty());
     assert_eq!(state(&second, "i"), Some(EndpointState::Ready));
@@ -109,7 +109,7 @@
     registry.restore(at(0), known.to_vec());
     assert_eq!(state(&registry, "a"), Some(EndpointState::Ready));
     registry.heartbeat(at(900), &beat("a", 1, EndpointState::Ready, 8));
-    registry.sweep(at(2_700));
+    registry.expire(at(2_700));
     assert_eq!(state(&registry, "a"), Some(EndpointState::Ready));
     assert_eq!(state(&registry, "b"), Some(EndpointState::Expired));
 }
--- a/crates/router/node/src/node.rs
+++ b/crates/router/node/src/node.rs
@@ -232,7 +232,7 @@
     /// known here nobody could be told.
     pub async fn leave(self: &Rc<Self>, id: &str) -> bool {
         self.drive(|c, now, actions| c.leave(now, id, actions));
-        let known = self.coordinator.borrow().gossip().registry().knows(id);
+        let known = self.coordinator.borrow().gossip().registry().contains(id);
         known && self.is_known_to_core(id).await
     }
 
@@ -423,7 +423,7 @@
                 seeds: settings.internal_seeds(),
                 heartbeat: settings.heartbeat,
                 random_seed: rand::random(),
-                fault: None,
+                mutation: Default::default(),
             },
             replica: None,
             incarnation: Incarnation(rand::random()),
--- a/crates/testing/cluster-simulation/src/cluster.rs
+++ b/crates/testing/cluster-simulation/src/cluster.rs
@@ -580,7 +580,7 @@
                     seeds,
                     heartbeat: HEARTBEAT,
                     random_seed,
-                    fault: gossip_mutation,
+                    mutation: gossip_mutation.into(),
                 },
                 replica,
                 incarnation,
