--- a/crates/router/configuration/src/difference.rs
+++ b/crates/router/configuration/src/difference.rs
@@ -1,35 +1,36 @@
-//! What would change from one document to another, item by item, and the change by name that brings it about.
+//! The difference of two documents, item by item, and the patch that leads from one to the other.
 
 use crate::patch::{name_of, LISTS};
 use serde_json::{json, Map, Value};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// What becomes of one item.
+/// How one item differs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ItemChange {
-    /// It is new.
+    /// Only the later document has it.
     Added,
-    /// It goes away.
+    /// Only the earlier document has it.
     Removed,
-    /// These of its fields change.
+    /// Both have it, and these of its fields differ.
     Changed(BTreeSet<String>),
 }
 
 /// One item that differs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ItemDifference {
-    /// The list it stands in, or `limits`.
+    /// The list that it belongs to, or `limits`.
     pub list: &'static str,
     /// Its name; empty for `limits`.
     pub name: String,
-    /// What becomes of it.
+    /// How it differs.
     pub change: ItemChange,
 }
 
 impl fmt::Display for ItemDifference {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (list, name) = (self.list, &self.name);
+        let list = self.list;
+        let name = &self.name;
         let separator = if name.is_empty() { "" } else { " " };
         match &self.change {
             ItemChange::Added => write!(f, "+ {list}{separator}{name}"),
@@ -45,24 +46,26 @@
 /// All items that differ between two documents.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Difference {
-    /// The items, list by list and by name.
+    /// The items, by list and name; `limits` last.
     pub items: Vec<ItemDifference>,
+    /// The `upsert` of the patch: items by list, and `limits`.
     upserts: Map<String, Value>,
+    /// The `remove` of the patch: names by list.
     removed: Map<String, Value>,
 }
 
 impl Difference {
-    /// What differs from one whole document to another. Items without a name are passed over.
+    /// The difference from one complete document to another. Items without a name are ignored.
     pub fn between(from: &Value, to: &Value) -> Self {
         let mut difference = Difference::default();
         for list in LISTS {
-            difference.compare_list(list, &by_name(from, list), &by_name(to, list));
+            difference.compare_list(list, &items_by_name(from, list), &items_by_name(to, list));
         }
         difference.compare_limits(from.get("limits"), to.get("limits"));
         difference
     }
 
-    /// The change that leads from the one document to the other, as [`apply_patch`](crate::apply_patch) takes it.
+    /// The patch that leads from the earlier document to the later, for [`apply_patch`](crate::apply_patch).
     pub fn patch(&self, generation: u64) -> Value {
         json!({ "generation": generation, "upsert": self.upserts, "remove": self.removed })
     }
@@ -97,24 +100,27 @@
         }
     }
 
-    /// Limits can be replaced by name, not taken away: where the later document has none, the defaults are written out.
+    /// A patch can replace limits, not remove them: where the later document has none, the patch has empty ones, which stand for
+    /// the defaults.
     fn compare_limits(&mut self, from: Option<&Value>, to: Option<&Value>) {
         if from == to {
             return;
         }
-        let none = Value::Object(Map::new());
-        let (before, after) = (from.unwrap_or(&none), to.unwrap_or(&none));
+        let empty = Value::Object(Map::new());
+        let before = from.unwrap_or(&empty);
+        let after = to.unwrap_or(&empty);
         let change = ItemChange::Changed(changed_fields(before, after));
         self.items.push(ItemDifference { list: "limits", name: String::new(), change });
         self.upserts.insert("limits".to_owned(), after.clone());
     }
 }
 
-fn by_name<'a>(document: &'a Value, list: &str) -> BTreeMap<&'a str, &'a Value> {
+fn items_by_name<'a>(document: &'a Value, list: &str) -> BTreeMap<&'a str, &'a Value> {
     let items = document.get(list).and_then(Value::as_array);
     items.into_iter().flatten().filter_map(|item| Some((name_of(item)?, item))).collect()
 }
 
+/// The fields of an item whose values differ, those that only one side has included.
 fn changed_fields(before: &Value, after: &Value) -> BTreeSet<String> {
     let fields = |item: &Value| -> BTreeSet<String> {
         item.as_object().into_iter().flat_map(|fields| fields.keys().cloned()).collect()
--- a/crates/router/configuration/src/lib.rs
+++ b/crates/router/configuration/src/lib.rs
@@ -1,17 +1,21 @@
-//! The operators' configuration of the fleet: reading, checking and changing it. No I/O.
+//! The operators' configuration of the fleet, a JSON document: validation, patches and differences. No I/O.
 //!
-//! A configuration is one JSON document. [`Configuration::read`] walks it with a small path reader and names
-//! every fault with its place; [`apply_patch`] makes a new document from an old one and a change by name;
-//! [`Difference`] tells two documents apart and makes the change that leads from one to the other.
+//! The problem: operators write and change the document by hand and by program, and a faulty one must be rejected with every
+//! error in it and where each stands. [`Configuration::read`] walks a document with a path-tracking reader and reports all
+//! errors at once, with their paths. [`apply_patch`] makes a new document from an old one and a patch by name. [`Difference`]
+//! compares two documents and makes the patch that leads from one to the other.
+//!
+//! Storing a document and agreeing on it is for the control plane; what a configuration means for a request, for the data plane.
 
 mod difference;
+mod errors;
 mod model;
 mod patch;
 mod reader;
 mod validate;
 
 pub use difference::{Difference, ItemChange, ItemDifference};
+pub use errors::{ValidationError, ValidationErrorKind, ValidationErrors};
 pub use model::{Backend, Configuration, Limits, Route, RouteType, Service, Tenant, TokenUnit};
 pub use patch::apply_patch;
-pub use reader::{Reader, ValidationError, ValidationErrorKind, ValidationErrors};
 pub use validate::parse_document;
--- a/crates/router/configuration/src/model.rs
+++ b/crates/router/configuration/src/model.rs
@@ -1,51 +1,51 @@
 //! The configuration as the planes use it. Field names follow the operators' API.
 
-/// How a route's requests behave and may be repeated.
+/// Whether the requests of a route are idempotent, and the form of its responses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteType {
-    /// May run more than once.
+    /// Idempotent: may run more than once.
     Safe,
-    /// May run at most once for each try of the client.
+    /// Not idempotent: may run at most once for each attempt of the client.
     Unsafe,
-    /// Answers with a series of events; unless `resumable`, treated as [`RouteType::Unsafe`].
+    /// Responds with a stream of events; unless `resumable`, treated as [`RouteType::Unsafe`].
     Streaming,
 }
 
-/// One service of a route and its share of the traffic.
+/// One service that a route sends traffic to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Backend {
     /// Name of the service.
     pub service: String,
-    /// Its weight against the other backends of the route.
+    /// Weight relative to the other backends of the route.
     pub weight: f64,
 }
 
-/// A route: which requests go to which services, and on what terms.
+/// A route: the requests that it matches, the services that they go to, and the policy for them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
     /// Its name, unique among the routes.
     pub name: String,
-    /// The `Host` it serves.
+    /// The `Host` that it matches, case-insensitive.
     pub hostname: String,
-    /// The beginning of the paths it serves.
+    /// Prefix of the paths that it matches.
     pub path_prefix: String,
-    /// What may be repeated.
+    /// Whether requests may be repeated.
     pub route_type: RouteType,
-    /// Longest time a request may be held, in ms.
+    /// Timeout of a request, in ms; at least 1.
     pub timeout_ms: u64,
-    /// Time within which an answer earns its full worth, in ms.
+    /// Latency target, in ms: a response within it earns the request's full value.
     pub target_latency_ms: u64,
-    /// Rank; 0 is the highest.
+    /// Priority class; 0 is the highest.
     pub priority: u64,
-    /// Services with their weights.
+    /// The backends; their weights sum to more than 0.
     pub backends: Vec<Backend>,
-    /// Most endpoints on which one try may run.
+    /// Maximum number of endpoints on which one attempt of the client may run; at least 1.
     pub max_attempts: u64,
-    /// Whether requests need no key.
+    /// Whether requests need no API key.
     pub public: bool,
-    /// Whether requests with shared prompt parts should keep to the same endpoints.
+    /// Whether requests that share a prompt prefix should go to the same endpoints.
     pub session_affinity: bool,
-    /// Whether a stream may be taken up at another endpoint.
+    /// Whether a stream may be resumed at another endpoint.
     pub resumable: bool,
 }
 
@@ -63,30 +63,30 @@
 /// A service and what its endpoints have in common.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Its name.
+    /// Its name, unique among the services.
     pub name: String,
-    /// Connections that one endpoint takes from all callers together; 0 for no bound.
+    /// Connections that one endpoint accepts from all sidecars together; 0 for no bound.
     pub max_connections: u64,
-    /// Requests that an endpoint of a model batches; 0 for services without an engine.
+    /// Batch size of a model's engine, in requests; 0 for services without an engine.
     pub engine_capacity: u64,
-    /// Tokens that an endpoint's memory holds; 0 for services without an engine.
+    /// KV cache of a model's engine, in tokens; 0 for services without an engine.
     pub kv_capacity_tokens: u64,
 }
 
-/// Bounds on what a client may send and how long it may take.
+/// Bounds on the size and duration of clients' requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Longest request head, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub max_header_bytes: usize,
-    /// Longest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: usize,
-    /// Time within which a head, or the next piece of a body, has to come, in ms.
+    /// Timeout for a request head, and for each further chunk of a body, in ms.
     pub header_timeout_ms: u64,
-    /// Longest rest between requests on a connection, in ms.
+    /// Idle timeout between the requests of a connection, in ms.
     pub idle_timeout_ms: u64,
 }
 
-/// What a tenant's quota counts.
+/// The unit of a tenant's quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TokenUnit {
     /// Each request counts 1.
@@ -95,43 +95,43 @@
     TokenUsage,
 }
 
-/// A tenant: its keys and its quota over all sidecars together.
+/// A tenant: its API keys and its quota over all sidecars together.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Its name.
+    /// Its name, unique among the tenants.
     pub name: String,
-    /// The keys that its requests carry.
+    /// Its API keys; no other tenant has any of them.
     pub api_keys: Vec<String>,
-    /// Rank; goes before that of the route.
+    /// Priority class; takes precedence over that of the route.
     pub priority: u64,
-    /// What the quota counts.
+    /// Unit of the quota.
     pub unit: TokenUnit,
-    /// What a request without `X-Passrelay-Token-Usage` counts.
+    /// Tokens that a request without `X-Passrelay-Token-Usage` counts.
     pub uncached_tokens: u64,
-    /// Quota a second; 0 for no limit.
+    /// Refill rate of the quota, in units a second; 0 for no limit.
     pub rate_per_s: f64,
-    /// What may be saved up above the rate; 0 for no limit.
+    /// Burst capacity above the rate, in units; 0 for no limit.
     pub burst: f64,
 }
 
 impl Tenant {
-    /// Whether the tenant's use is limited.
+    /// Whether the tenant's use is rate-limited.
     pub fn is_limited(&self) -> bool {
         self.rate_per_s > 0.0
     }
 }
 
-/// A whole configuration, checked.
+/// A complete, valid configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Configuration {
-    /// The operators' version number; goes up with each change, not always by one.
+    /// The operators' version number; increases with each change, not always by one.
     pub generation: u64,
     /// All routes.
     pub routes: Vec<Route>,
     /// All services.
     pub services: Vec<Service>,
-    /// Bounds on clients.
+    /// Bounds on clients' requests.
     pub limits: Limits,
-    /// All tenants; without any, no request needs a key.
+    /// All tenants; without any, no request needs an API key.
     pub tenants: Vec<Tenant>,
 }
--- a/crates/router/configuration/src/patch.rs
+++ b/crates/router/configuration/src/patch.rs
@@ -1,98 +1,111 @@
-//! Changes by name: `upsert` adds items or replaces those of the same name, `remove` takes items away.
+//! Patches: `upsert` adds items or replaces those of the same name, `remove` removes items by name.
+//!
+//! A patch works on the JSON document, not on the model, so that fields which this version does not know survive it.
 
-use crate::reader::{Reader, ValidationError, ValidationErrorKind, ValidationErrors};
+use crate::errors::{ValidationErrorKind, ValidationErrors};
+use crate::reader::{ErrorCollector, PathReader};
 use serde_json::{Map, Value};
-use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
 
-/// The lists whose items a change may name.
+/// The lists whose items a patch may name, in the order in which they are applied and compared.
 pub(crate) const LISTS: [&str; 3] = ["routes", "services", "tenants"];
 
-/// Makes the document that follows `current` by a change. The result still has to be checked by
+/// The changes of one list.
+struct ListPatch {
+    removed: HashSet<String>,
+    /// In the order of the patch, which is the order in which new items are appended.
+    upserts: Vec<Upsert>,
+}
+
+/// An item to add or replace.
+struct Upsert {
+    name: String,
+    item: Value,
+}
+
+/// Applies a patch to the document `current`. The result is not validated; see
 /// [`Configuration::read`](crate::Configuration::read).
 ///
 /// # Errors
 ///
-/// Returns all faults in the change itself.
-pub fn apply_patch(current: &Value, change: &Value) -> Result<Value, ValidationErrors> {
-    let faults = RefCell::new(Vec::new());
-    let root = Reader::root(change, &faults);
+/// Returns all errors in the patch itself.
+pub fn apply_patch(current: &Value, patch: &Value) -> Result<Value, ValidationErrors> {
+    let errors = ErrorCollector::default();
+    let root = PathReader::root(patch, &errors);
     root.expect_object();
-    let generation = root.field("generation").whole();
+    let generation = root.field("generation").unsigned();
     let mut document = current.as_object().cloned().unwrap_or_default();
     document.insert("generation".to_owned(), Value::from(generation));
     for list in LISTS {
-        let removed = read_removed(&root.field("remove").field(list));
-        let upserts = read_upserts(&root.field("upsert").field(list), change, list, &removed);
-        change_list(&mut document, list, &removed, upserts);
+        let list_patch = read_list_patch(&root, patch, list);
+        apply_list_patch(&mut document, list, list_patch);
     }
-    if let Some(limits) = change.get("upsert").and_then(|u| u.get("limits")).or_else(|| change.get("limits"))
-    {
+    if let Some(limits) = patched_limits(patch) {
         document.insert("limits".to_owned(), limits.clone());
     }
-    let faults: Vec<ValidationError> = faults.into_inner();
-    if faults.is_empty() {
-        Ok(Value::Object(document))
-    } else {
-        Err(ValidationErrors(faults))
-    }
+    errors.into_result(Value::Object(document))
+}
+
+/// Limits have no name; a patch replaces them, in `upsert` or at its root.
+fn patched_limits(patch: &Value) -> Option<&Value> {
+    let upserted = patch.get("upsert").and_then(|upsert| upsert.get("limits"));
+    upserted.or_else(|| patch.get("limits"))
+}
+
+fn read_list_patch(root: &PathReader, patch: &Value, list: &str) -> ListPatch {
+    let removed = read_removed(&root.field("remove").field(list));
+    let items = patch.pointer(&format!("/upsert/{list}")).and_then(Value::as_array);
+    let items = items.map(Vec::as_slice).unwrap_or_default();
+    let upserts = read_upserts(&root.field("upsert").field(list), items, &removed);
+    ListPatch { removed, upserts }
 }
 
-fn read_removed(list: &Reader) -> HashSet<String> {
-    list.items().iter().map(Reader::text).collect()
+fn read_removed(list: &PathReader) -> HashSet<String> {
+    list.items().iter().map(PathReader::text).collect()
 }
 
-/// The items to add or replace, by name and in their order.
-fn read_upserts(
-    list: &Reader,
-    change: &Value,
-    name: &str,
-    removed: &HashSet<String>,
-) -> Vec<(String, Value)> {
-    let values = change.pointer(&format!("/upsert/{name}")).and_then(Value::as_array);
-    let mut seen = HashSet::new();
+/// Reads the names of the items to add or replace; `items` are the values that `list` reads.
+fn read_upserts(list: &PathReader, items: &[Value], removed: &HashSet<String>) -> Vec<Upsert> {
+    let mut names = HashSet::new();
     let mut upserts = Vec::new();
-    for (item, value) in list.items().iter().zip(values.into_iter().flatten()) {
-        let item_name = item.field("name").text();
-        if !seen.insert(item_name.clone()) {
-            item.fault(ValidationErrorKind::DuplicateName(item_name.clone()));
+    for (reader, item) in list.items().iter().zip(items) {
+        let name = reader.field("name").text();
+        if !names.insert(name.clone()) {
+            reader.report(ValidationErrorKind::DuplicateName(name.clone()));
         }
-        if removed.contains(&item_name) {
-            item.fault(ValidationErrorKind::ChangedAndRemoved(item_name.clone()));
+        if removed.contains(&name) {
+            reader.report(ValidationErrorKind::ChangedAndRemoved(name.clone()));
         }
-        upserts.push((item_name, value.clone()));
+        upserts.push(Upsert { name, item: item.clone() });
     }
     upserts
 }
 
-fn change_list(
-    document: &mut Map<String, Value>,
-    list: &str,
-    removed: &HashSet<String>,
-    upserts: Vec<(String, Value)>,
-) {
-    if removed.is_empty() && upserts.is_empty() {
+fn apply_list_patch(document: &mut Map<String, Value>, list: &str, patch: ListPatch) {
+    if patch.removed.is_empty() && patch.upserts.is_empty() {
         return;
     }
     let mut items = match document.remove(list) {
         Some(Value::Array(items)) => items,
         _ => Vec::new(),
     };
-    items.retain(|item| name_of(item).is_none_or(|name| !removed.contains(name)));
-    let places: HashMap<String, usize> = items
+    items.retain(|item| name_of(item).is_none_or(|name| !patch.removed.contains(name)));
+    // Indexed once, so that a patch of many items takes time in proportion to their number.
+    let index_by_name: HashMap<String, usize> = items
         .iter()
         .enumerate()
-        .filter_map(|(place, item)| Some((name_of(item)?.to_owned(), place)))
+        .filter_map(|(index, item)| Some((name_of(item)?.to_owned(), index)))
         .collect();
-    for (name, value) in upserts {
-        match places.get(&name) {
-            Some(place) => items[*place] = value,
-            None => items.push(value),
+    for upsert in patch.upserts {
+        match index_by_name.get(&upsert.name) {
+            Some(index) => items[*index] = upsert.item,
+            None => items.push(upsert.item),
         }
     }
     document.insert(list.to_owned(), Value::Array(items));
 }
 
+/// The name of an item, which identifies it within its list.
 pub(crate) fn name_of(item: &Value) -> Option<&str> {
     item.get("name").and_then(Value::as_str)
 }
--- a/crates/router/configuration/src/validate.rs
+++ b/crates/router/configuration/src/validate.rs
@@ -1,9 +1,12 @@
-//! Reads a whole configuration and finds every fault in it.
+//! Reads a configuration from its JSON document and reports every error in it.
+//!
+//! Fields that the model does not know are ignored. Defaults of optional fields are here, each a named constant or beside
+//! its field.
 
+use crate::errors::{ValidationError, ValidationErrorKind, ValidationErrors};
 use crate::model::{Backend, Configuration, Limits, Route, RouteType, Service, Tenant, TokenUnit};
-use crate::reader::{Reader, ValidationError, ValidationErrorKind, ValidationErrors};
+use crate::reader::{ErrorCollector, PathReader};
 use serde_json::Value;
-use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
 
 const DEFAULT_MAX_HEADER_BYTES: u64 = 16 * 1024;
@@ -13,38 +16,33 @@
 const DEFAULT_TARGET_LATENCY_MS: u64 = 1_000;
 const DEFAULT_PRIORITY: u64 = 5;
 
-/// Reads the bytes of a document as JSON.
+/// Parses the bytes of a document as JSON.
 ///
 /// # Errors
 ///
-/// Returns a fault of the whole document when they are no JSON (cut short, nested too deeply, not UTF-8).
+/// Returns an error of the document itself when the bytes are no JSON (truncated, nested too deeply, not UTF-8).
 pub fn parse_document(bytes: &[u8]) -> Result<Value, ValidationErrors> {
     serde_json::from_slice(bytes)
-        .map_err(|e| ValidationErrors::of_document(ValidationErrorKind::Unreadable(e.to_string())))
+        .map_err(|error| ValidationErrors::of_document(ValidationErrorKind::Unreadable(error.to_string())))
 }
 
 impl Configuration {
-    /// Reads and checks a whole document.
+    /// Reads and validates a complete document.
     ///
     /// # Errors
     ///
-    /// Returns all faults with their places.
+    /// Returns all errors with their paths.
     pub fn read(document: &Value) -> Result<Self, ValidationErrors> {
-        let faults = RefCell::new(Vec::new());
-        let configuration = read_all(&Reader::root(document, &faults));
-        let faults: Vec<ValidationError> = faults.into_inner();
-        if faults.is_empty() {
-            Ok(configuration)
-        } else {
-            Err(ValidationErrors(faults))
-        }
+        let errors = ErrorCollector::default();
+        let configuration = read_configuration(&PathReader::root(document, &errors));
+        errors.into_result(configuration)
     }
 
     /// Checks that this configuration may follow one of generation `current`.
     ///
     /// # Errors
     ///
-    /// Returns a fault at `generation` when it isn't above `current`.
+    /// Returns an error at `generation` when it isn't above `current`.
     pub fn follows(&self, current: u64) -> Result<(), ValidationErrors> {
         if self.generation > current {
             return Ok(());
@@ -54,13 +52,14 @@
     }
 }
 
-fn read_all(root: &Reader) -> Configuration {
+fn read_configuration(root: &PathReader) -> Configuration {
     root.expect_object();
+    // Services come first: routes are checked against their names.
     let services = read_services(&root.field("services"));
-    let names: HashSet<&str> = services.iter().map(|s| s.name.as_str()).collect();
-    let routes = read_routes(&root.field("routes"), &names);
+    let service_names: HashSet<&str> = services.iter().map(|service| service.name.as_str()).collect();
+    let routes = read_routes(&root.field("routes"), &service_names);
     Configuration {
-        generation: root.field("generation").whole(),
+        generation: root.field("generation").unsigned(),
         routes,
         limits: read_limits(&root.field("limits")),
         tenants: read_tenants(&root.field("tenants")),
@@ -68,147 +67,183 @@
     }
 }
 
-/// Notes a fault where a name stood before.
-fn check_name(reader: &Reader, name: &str, seen: &mut HashSet<String>) {
-    if !name.is_empty() && !seen.insert(name.to_owned()) {
-        reader.fault(ValidationErrorKind::DuplicateName(name.to_owned()));
+/// Reports an item whose name an earlier item has. An empty name has been reported as such.
+fn check_unique_name(item: &PathReader, name: &str, earlier_names: &mut HashSet<String>) {
+    if !name.is_empty() && !earlier_names.insert(name.to_owned()) {
+        item.report(ValidationErrorKind::DuplicateName(name.to_owned()));
     }
 }
 
-fn read_services(list: &Reader) -> Vec<Service> {
-    let mut seen = HashSet::new();
-    let read = |item: &Reader| {
+fn read_services(list: &PathReader) -> Vec<Service> {
+    let mut names = HashSet::new();
+    let read = |item: &PathReader| {
         let name = item.field("name").text();
-        check_name(item, &name, &mut seen);
+        check_unique_name(item, &name, &mut names);
         let engine = item.field("engine");
         Service {
             name,
-            max_connections: item.field("max-connections").whole_or(0),
-            engine_capacity: engine.field("capacity").whole_or(0),
-            kv_capacity_tokens: engine.field("kv-capacity-tokens").whole_or(0),
+            max_connections: item.field("max-connections").unsigned_or(0),
+            engine_capacity: engine.field("capacity").unsigned_or(0),
+            kv_capacity_tokens: engine.field("kv-capacity-tokens").unsigned_or(0),
         }
     };
     list.items().iter().map(read).collect()
 }
 
-fn read_routes(list: &Reader, services: &HashSet<&str>) -> Vec<Route> {
-    let mut seen = HashSet::new();
-    let mut places: HashMap<(String, String), String> = HashMap::new();
+/// What a route matches. Two routes must not match the same.
+#[derive(PartialEq, Eq, Hash)]
+struct RouteMatch {
+    /// In lower case: host names are case-insensitive.
+    hostname: String,
+    path_prefix: String,
+}
+
+impl RouteMatch {
+    fn of(route: &Route) -> Self {
+        RouteMatch { hostname: route.hostname.to_ascii_lowercase(), path_prefix: route.path_prefix.clone() }
+    }
+}
+
+fn read_routes(list: &PathReader, service_names: &HashSet<&str>) -> Vec<Route> {
+    let mut names = HashSet::new();
+    let mut name_by_match: HashMap<RouteMatch, String> = HashMap::new();
     let mut routes = Vec::new();
     for item in list.items() {
-        let route = read_route(&item, services);
-        check_name(&item, &route.name, &mut seen);
-        let place = (route.hostname.to_ascii_lowercase(), route.path_prefix.clone());
-        if let Some(earlier) = places.insert(place, route.name.clone()) {
-            item.fault(ValidationErrorKind::DuplicatePlace(earlier));
+        let route = read_route(&item, service_names);
+        check_unique_name(&item, &route.name, &mut names);
+        if let Some(earlier_route) = name_by_match.insert(RouteMatch::of(&route), route.name.clone()) {
+            item.report(ValidationErrorKind::DuplicateMatch(earlier_route));
         }
         routes.push(route);
     }
     routes
 }
 
-fn read_route(item: &Reader, services: &HashSet<&str>) -> Route {
-    let path_prefix = item.field("path-prefix");
-    let prefix = path_prefix.text();
-    if !prefix.is_empty() && !prefix.starts_with('/') {
-        path_prefix.fault(ValidationErrorKind::WrongType("a path that begins with a slash"));
-    }
-    let timeout = item.field("timeout-ms");
-    let timeout_ms = timeout.whole();
-    if timeout_ms == 0 && timeout.is_present() {
-        timeout.fault(ValidationErrorKind::OutOfRange("from 1 up"));
-    }
+fn read_route(item: &PathReader, service_names: &HashSet<&str>) -> Route {
+    // Fields are read in the order in which their errors are reported.
+    let path_prefix = read_path_prefix(&item.field("path-prefix"));
+    let timeout_ms = read_timeout(&item.field("timeout-ms"));
     Route {
         name: item.field("name").text(),
         hostname: item.field("hostname").text(),
-        path_prefix: prefix,
+        path_prefix,
         route_type: read_route_type(&item.field("route-type")),
         timeout_ms,
-        target_latency_ms: item.field("target-latency-ms").whole_or(DEFAULT_TARGET_LATENCY_MS),
-        priority: item.field("priority").whole_or(DEFAULT_PRIORITY),
-        backends: read_backends(item, services),
-        max_attempts: item.field("max-attempts").whole_or(1).max(1),
-        public: item.field("public").flag_or(false),
-        session_affinity: item.field("session-affinity").flag_or(false),
-        resumable: item.field("resumable").flag_or(false),
+        target_latency_ms: item.field("target-latency-ms").unsigned_or(DEFAULT_TARGET_LATENCY_MS),
+        priority: item.field("priority").unsigned_or(DEFAULT_PRIORITY),
+        backends: read_backends(item, service_names),
+        max_attempts: item.field("max-attempts").unsigned_or(1).max(1),
+        public: item.field("public").bool_or(false),
+        session_affinity: item.field("session-affinity").bool_or(false),
+        resumable: item.field("resumable").bool_or(false),
+    }
+}
+
+fn read_path_prefix(reader: &PathReader) -> String {
+    let path_prefix = reader.text();
+    if !path_prefix.is_empty() && !path_prefix.starts_with('/') {
+        reader.report(ValidationErrorKind::WrongType("a path that begins with a slash"));
+    }
+    path_prefix
+}
+
+fn read_timeout(reader: &PathReader) -> u64 {
+    let timeout_ms = reader.unsigned();
+    if timeout_ms == 0 && reader.is_present() {
+        reader.report(ValidationErrorKind::OutOfRange("from 1 up"));
     }
+    timeout_ms
 }
 
-fn read_route_type(reader: &Reader) -> RouteType {
+fn read_route_type(reader: &PathReader) -> RouteType {
     match reader.text_or("unsafe").as_str() {
         "safe" => RouteType::Safe,
         "unsafe" => RouteType::Unsafe,
         "streaming" => RouteType::Streaming,
         _ => {
-            reader.fault(ValidationErrorKind::WrongType("'safe', 'unsafe' or 'streaming'"));
+            reader.report(ValidationErrorKind::WrongType("'safe', 'unsafe' or 'streaming'"));
             RouteType::Unsafe
         }
     }
 }
 
-fn read_backends(item: &Reader, services: &HashSet<&str>) -> Vec<Backend> {
-    let split = item.field("traffic-split");
+/// The weighted backends of `traffic-split` where it is present, else the one `backend`.
+fn read_backends(route: &PathReader, service_names: &HashSet<&str>) -> Vec<Backend> {
+    let split = route.field("traffic-split");
     if !split.is_present() {
-        let service = read_service_name(&item.field("backend"), services);
+        let service = read_service_name(&route.field("backend"), service_names);
         return vec![Backend { service, weight: 1.0 }];
     }
-    let read = |part: &Reader| Backend {
-        service: read_service_name(&part.field("backend"), services),
-        weight: part.field("weight").number_or(1.0),
+    let read = |item: &PathReader| Backend {
+        service: read_service_name(&item.field("backend"), service_names),
+        weight: item.field("weight").non_negative_or(1.0),
     };
     let backends: Vec<Backend> = split.items().iter().map(read).collect();
-    if backends.iter().map(|b| b.weight).sum::<f64>() <= 0.0 {
-        split.fault(ValidationErrorKind::NoWeight);
+    if backends.iter().map(|backend| backend.weight).sum::<f64>() <= 0.0 {
+        split.report(ValidationErrorKind::NoWeight);
     }
     backends
 }
 
-fn read_service_name(reader: &Reader, services: &HashSet<&str>) -> String {
+fn read_service_name(reader: &PathReader, service_names: &HashSet<&str>) -> String {
     let name = reader.text();
-    if !name.is_empty() && !services.contains(name.as_str()) {
-        reader.fault(ValidationErrorKind::UnknownService(name.clone()));
+    if !name.is_empty() && !service_names.contains(name.as_str()) {
+        reader.report(ValidationErrorKind::UnknownService(name.clone()));
     }
     name
 }
 
-fn read_limits(limits: &Reader) -> Limits {
-    let size = |name, default| usize::try_from(limits.field(name).whole_or(default)).unwrap_or(usize::MAX);
+fn read_limits(limits: &PathReader) -> Limits {
+    let bytes = |name, default| {
+        let bytes = limits.field(name).unsigned_or(default);
+        usize::try_from(bytes).unwrap_or(usize::MAX)
+    };
     Limits {
-        max_header_bytes: size("max-header-bytes", DEFAULT_MAX_HEADER_BYTES),
-        max_body_bytes: size("max-body-bytes", DEFAULT_MAX_BODY_BYTES),
-        header_timeout_ms: limits.field("header-timeout-ms").whole_or(DEFAULT_HEADER_TIMEOUT_MS),
-        idle_timeout_ms: limits.field("idle-timeout-ms").whole_or(DEFAULT_IDLE_TIMEOUT_MS),
+        max_header_bytes: bytes("max-header-bytes", DEFAULT_MAX_HEADER_BYTES),
+        max_body_bytes: bytes("max-body-bytes", DEFAULT_MAX_BODY_BYTES),
+        header_timeout_ms: limits.field("header-timeout-ms").unsigned_or(DEFAULT_HEADER_TIMEOUT_MS),
+        idle_timeout_ms: limits.field("idle-timeout-ms").unsigned_or(DEFAULT_IDLE_TIMEOUT_MS),
     }
 }
 
-fn read_tenants(list: &Reader) -> Vec<Tenant> {
-    let mut seen = HashSet::new();
-    let mut holders: HashMap<String, String> = HashMap::new();
-    let mut tenants = Vec::new();
-    for item in list.items() {
+fn read_tenants(list: &PathReader) -> Vec<Tenant> {
+    let mut names = HashSet::new();
+    let mut key_owners = HashMap::new();
+    let read = |item: &PathReader| {
         let name = item.field("name").text();
-        check_name(&item, &name, &mut seen);
-        let mut api_keys = Vec::new();
-        for key in item.field("api-keys").items() {
-            let text = key.text();
-            match holders.insert(text.clone(), name.clone()) {
-                Some(holder) if holder != name => key.fault(ValidationErrorKind::SharedKey(holder)),
-                _ => api_keys.push(text),
-            }
-        }
-        let unit = match item.field("unit").text_or("requests").as_str() {
-            "token_usage" => TokenUnit::TokenUsage,
-            _ => TokenUnit::Requests,
-        };
-        tenants.push(Tenant {
+        check_unique_name(item, &name, &mut names);
+        let api_keys = read_api_keys(&item.field("api-keys"), &name, &mut key_owners);
+        let unit = read_token_unit(&item.field("unit"));
+        Tenant {
             name,
             api_keys,
-            priority: item.field("priority").whole_or(DEFAULT_PRIORITY),
+            priority: item.field("priority").unsigned_or(DEFAULT_PRIORITY),
             unit,
-            uncached_tokens: item.field("uncached-tokens").whole_or(0),
-            rate_per_s: item.field("rate-per-s").number_or(0.0),
-            burst: item.field("burst").number_or(0.0),
-        });
+            uncached_tokens: item.field("uncached-tokens").unsigned_or(0),
+            rate_per_s: item.field("rate-per-s").non_negative_or(0.0),
+            burst: item.field("burst").non_negative_or(0.0),
+        }
+    };
+    list.items().iter().map(read).collect()
+}
+
+/// The keys of a tenant, without those of another one, which are reported. `owners` maps each key read so far to its tenant.
+fn read_api_keys(list: &PathReader, tenant: &str, owners: &mut HashMap<String, String>) -> Vec<String> {
+    let mut api_keys = Vec::new();
+    for item in list.items() {
+        let api_key = item.text();
+        match owners.insert(api_key.clone(), tenant.to_owned()) {
+            Some(owner) if owner != tenant => item.report(ValidationErrorKind::SharedKey(owner)),
+            _ => api_keys.push(api_key),
+        }
+    }
+    api_keys
+}
+
+/// Any text other than `token_usage` counts requests.
+fn read_token_unit(reader: &PathReader) -> TokenUnit {
+    match reader.text_or("requests").as_str() {
+        "token_usage" => TokenUnit::TokenUsage,
+        _ => TokenUnit::Requests,
     }
-    tenants
 }
--- a/crates/router/configuration/tests/faults.rs
+++ b/crates/router/configuration/tests/faults.rs
@@ -31,7 +31,7 @@
 #[case::unknown_split("/routes/1/traffic-split/1/backend", json!("u"), "routes[1].traffic-split[1].backend", ValidationErrorKind::UnknownService("u".into()))]
 #[case::no_weight("/routes/1/traffic-split", json!([{ "backend": "s", "weight": 0 }]), "routes[1].traffic-split", ValidationErrorKind::NoWeight)]
 #[case::no_timeout("/routes/0/timeout-ms", json!(0), "routes[0].timeout-ms", ValidationErrorKind::OutOfRange("from 1 up"))]
-#[case::same_place("/routes/1/path-prefix", json!("/a/"), "routes[1]", ValidationErrorKind::DuplicatePlace("a".into()))]
+#[case::same_place("/routes/1/path-prefix", json!("/a/"), "routes[1]", ValidationErrorKind::DuplicateMatch("a".into()))]
 #[case::same_name("/routes/1/name", json!("a"), "routes[1]", ValidationErrorKind::DuplicateName("a".into()))]
 #[case::shared_key("/tenants/1/api-keys", json!(["k2"]), "tenants[1].api-keys[0]", ValidationErrorKind::SharedKey("x".into()))]
 #[case::no_list("/routes", json!({}), "routes", ValidationErrorKind::WrongType("a list"))]
