--- a/crates/router/configuration/tests/difference.rs
+++ b/crates/router/configuration/tests/difference.rs
@@ -1,4 +1,4 @@
-//! Differences of documents.
+//! Differences of documents, and the patches made of them.
 
 use passrelay_configuration::{apply_patch, Difference};
 use rstest::rstest;
@@ -24,14 +24,14 @@
 #[case::removed_and_limits(json!({ "services": [{ "name": "lm", "capacity": 4 }],
     "routes": [{ "name": "a", "timeout-ms": 10 }, { "name": "b", "timeout-ms": 10 }] }),
     &["- services gates", "~ limits: max-body-bytes"])]
-fn each_item_that_differs_is_told_once(#[case] after: Value, #[case] told: &[&str]) {
+fn each_item_that_differs_is_listed_once(#[case] after: Value, #[case] expected: &[&str]) {
     let difference = Difference::between(&before(), &after);
     let items: Vec<String> = difference.items.iter().map(ToString::to_string).collect();
-    assert_eq!(items, told);
+    assert_eq!(items, expected);
 }
 
 #[test]
-fn the_change_made_of_a_difference_leads_to_the_later_document() {
+fn the_patch_of_a_difference_leads_to_the_later_document() {
     let after = json!({
         "generation": 9,
         "services": [{ "name": "lm", "capacity": 8 }],
--- /dev/null
+++ b/crates/router/configuration/tests/patch.rs
@@ -0,0 +1,52 @@
+//! Patches add, replace and remove items by name.
+
+mod common;
+
+use common::valid_document;
+use passrelay_configuration::{apply_patch, Configuration, ValidationErrorKind};
+use serde_json::{json, Value};
+use std::time::{Duration, Instant};
+
+#[test]
+fn a_patch_adds_replaces_and_removes_by_name() {
+    let patch = json!({
+        "generation": 6,
+        "upsert": { "routes": [
+            { "name": "a", "hostname": "h.example", "path-prefix": "/new/", "timeout-ms": 1, "backend": "t" },
+            { "name": "c", "hostname": "h.example", "path-prefix": "/c/", "timeout-ms": 1, "backend": "s" },
+        ] },
+        "remove": { "routes": ["b"], "tenants": ["x"] },
+    });
+    let next = Configuration::read(&apply_patch(&valid_document(), &patch).unwrap()).unwrap();
+    let names: Vec<&str> = next.routes.iter().map(|r| r.name.as_str()).collect();
+    assert_eq!((next.generation, names, next.tenants.len()), (6, vec!["a", "c"], 1));
+    assert_eq!(next.routes[0].path_prefix, "/new/");
+}
+
+#[test]
+fn a_contradictory_patch_is_rejected() {
+    let patch = json!({ "generation": 6, "upsert": { "services": [{ "name": "s" }] }, "remove": { "services": ["s"] } });
+    let errors = apply_patch(&valid_document(), &patch).unwrap_err();
+    assert_eq!(errors.0[0].kind, ValidationErrorKind::ChangedAndRemoved("s".into()));
+}
+
+#[test]
+fn a_patch_takes_time_linear_in_its_items() {
+    let route = |number: usize, prefix: &str| {
+        json!({ "name": format!("r{number}"), "hostname": "h.example", "path-prefix": format!("/{prefix}{number}/"),
+            "timeout-ms": 1, "backend": "s" })
+    };
+    let time = |count: usize| {
+        let mut document = valid_document();
+        document["routes"] = (0..count).map(|n| route(n, "a")).collect();
+        let upserts: Vec<Value> = (0..count).map(|n| route(n + count / 2, "b")).collect();
+        let patch = json!({ "generation": 6, "upsert": { "routes": upserts } });
+        let started_at = Instant::now();
+        let next = apply_patch(&document, &patch).unwrap();
+        assert_eq!(next["routes"].as_array().unwrap().len(), count + count / 2);
+        started_at.elapsed()
+    };
+    let small = time(1_000).max(Duration::from_millis(1));
+    // Eight times the items; sixty-four times the time would be the square.
+    assert!(time(8_000) < small * 30);
+}
