--- a/crates/router/dissemination/src/gossip.rs
+++ b/crates/router/dissemination/src/gossip.rs
@@ -165,14 +165,14 @@
     /// endpoints, in this order. Returns when the next is due.
     pub fn tick(&mut self, now: Duration, actions: &mut Vec<GossipAction>) -> Duration {
         let context = &mut Context::new(now, actions);
-        if self.timers.take_exchange(now) {
+        if self.timers.fire_exchange(now) {
             self.view.expire(now);
             self.start_exchange(context);
         }
         if self.timers.is_core_poll_due(now) {
             self.poll_core(context);
         }
-        if self.timers.take_expiry_check(now) {
+        if self.timers.fire_expiry_check(now) {
             let expired = self.registry.expire(now);
             self.broadcast_records(context, expired);
         }
@@ -204,4 +204,14 @@
             }
         }
     }
+
+    /// Broadcasts changed records to random peers.
+    fn broadcast_records(&mut self, context: &mut Context, changed: Vec<EndpointRecord>) {
+        if changed.is_empty() {
+            return;
+        }
+        for peer in self.view.select(context.now, BROADCAST_FANOUT, &mut self.rng) {
+            context.send(peer, GossipMessage::Records(changed.clone()));
+        }
+    }
 }
--- a/crates/router/dissemination/src/gossip/exchange.rs
+++ b/crates/router/dissemination/src/gossip/exchange.rs
@@ -6,10 +6,10 @@
 
 use super::actions::Context;
 use super::freshness::FreshnessReport;
-use super::{Gossip, BROADCAST_FANOUT};
+use super::Gossip;
 use crate::messages::{Digest, GossipMessage};
 use crate::peer::Peer;
-use crate::registry::{EndpointRecord, RegistryDigest};
+use crate::registry::RegistryDigest;
 use std::net::SocketAddrV4;
 
 /// Descriptors of other sidecars in a digest.
@@ -117,14 +117,4 @@
             context.send(to, GossipMessage::Records(records));
         }
     }
-
-    /// Broadcasts changed records to random peers.
-    pub(super) fn broadcast_records(&mut self, context: &mut Context, changed: Vec<EndpointRecord>) {
-        if changed.is_empty() {
-            return;
-        }
-        for peer in self.view.select(context.now, BROADCAST_FANOUT, &mut self.rng) {
-            context.send(peer, GossipMessage::Records(changed.clone()));
-        }
-    }
 }
--- a/crates/router/dissemination/src/gossip/timers.rs
+++ b/crates/router/dissemination/src/gossip/timers.rs
@@ -44,7 +44,7 @@
 
 impl Timers {
     /// Whether an exchange is due; if so, the next is scheduled.
-    pub(super) fn take_exchange(&mut self, now: Duration) -> bool {
+    pub(super) fn fire_exchange(&mut self, now: Duration) -> bool {
         let due = now >= self.next_exchange;
         if due {
             self.next_exchange = now + EXCHANGE_INTERVAL;
@@ -67,7 +67,7 @@
     }
 
     /// Whether a check for expired endpoints is due; if so, the next is scheduled.
-    pub(super) fn take_expiry_check(&mut self, now: Duration) -> bool {
+    pub(super) fn fire_expiry_check(&mut self, now: Duration) -> bool {
         let due = now >= self.next_expiry_check;
         if due {
             self.next_expiry_check = now + EXPIRY_CHECK_INTERVAL;
--- a/crates/router/dissemination/src/registry.rs
+++ b/crates/router/dissemination/src/registry.rs
@@ -85,7 +85,7 @@
     /// Takes a heartbeat and returns the changed records to broadcast. A late heartbeat changes nothing.
     pub fn heartbeat(&mut self, now: Duration, heartbeat: &Heartbeat) -> Vec<EndpointRecord> {
         let received = &heartbeat.record;
-        if self.is_late(received) {
+        if self.is_outdated(received) {
             return Vec::new();
         }
         let known = self.entries.get(&received.id);
@@ -102,7 +102,7 @@
     }
 
     /// Whether a heartbeat is older than what is known of its endpoint.
-    fn is_late(&self, received: &EndpointRecord) -> bool {
+    fn is_outdated(&self, received: &EndpointRecord) -> bool {
         let after_record = self.entries.get(&received.id).is_some_and(|entry| {
             entry.record.state == EndpointState::Removed || received.sequence < entry.record.sequence
         });
--- a/crates/router/dissemination/src/registry/expiry.rs
+++ b/crates/router/dissemination/src/registry/expiry.rs
@@ -40,7 +40,7 @@
     /// Expires endpoints whose local heartbeats have stopped.
     fn expire_stopped(&mut self, now: Duration) -> Vec<EndpointRecord> {
         let mut changed = Vec::new();
-        for stopped in self.local_heartbeats.take_stopped(now, self.heartbeat_timeout) {
+        for stopped in self.local_heartbeats.remove_stopped(now, self.heartbeat_timeout) {
             let Some(entry) = self.entries.get(&stopped.id) else { continue };
             let expired = EndpointRecord {
                 state: EndpointState::Expired,
--- a/crates/router/dissemination/src/registry/local_heartbeats.rs
+++ b/crates/router/dissemination/src/registry/local_heartbeats.rs
@@ -61,7 +61,7 @@
     }
 
     /// Removes and returns the endpoints without a heartbeat for longer than `timeout`.
-    pub(super) fn take_stopped(&mut self, now: Duration, timeout: Duration) -> Vec<StoppedEndpoint> {
+    pub(super) fn remove_stopped(&mut self, now: Duration, timeout: Duration) -> Vec<StoppedEndpoint> {
         let stopped: Vec<StoppedEndpoint> = self
             .last
             .iter()
