--- a/crates/router/control-plane/src/coordinator.rs
+++ b/crates/router/control-plane/src/coordinator.rs
@@ -360,7 +360,7 @@
             QuotaMessage::Levels(levels) => {
                 let newer = self.reported_levels.as_ref().is_none_or(|t| t.levels.term <= levels.term);
                 if newer && self.replica.is_some() {
-                    self.reported_levels = Some(ReportedLevels { levels, at: now });
+                    self.reported_levels = Some(ReportedLevels { levels, received_at: now });
                 }
                 return;
             }
@@ -449,5 +449,5 @@
 /// The levels of a grantor that grants no more; if this process is the next to grant, it goes on from there.
 fn last_levels(grantor: &mut Option<Grantor>, now: Duration) -> Option<ReportedLevels> {
     let mut grantor = grantor.take()?;
-    Some(ReportedLevels { levels: grantor.levels(now), at: now })
+    Some(ReportedLevels { levels: grantor.levels(now), received_at: now })
 }
--- /dev/null
+++ b/crates/router/control-plane/src/quota/messages.rs
@@ -0,0 +1,110 @@
+//! Messages between sidecars and the grantor, and between grantors.
+
+use serde::{Deserialize, Serialize};
+use std::hash::{DefaultHasher, Hash, Hasher};
+
+/// Identifies a tenant in messages: a hash of its name, the same in every process built with the same toolchain (the
+/// standard library does not fix the algorithm of its default hasher).
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct TenantKey(pub u64);
+
+impl TenantKey {
+    /// The key of the tenant of this name.
+    pub fn of(name: &str) -> Self {
+        let mut hasher = DefaultHasher::new();
+        name.hash(&mut hasher);
+        TenantKey(hasher.finish())
+    }
+}
+
+/// A number of tokens of one tenant. Serialised as an array of two: key, tokens.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "(TenantKey, u64)", into = "(TenantKey, u64)")]
+pub struct TenantTokens {
+    /// The tenant.
+    pub tenant: TenantKey,
+    /// Tokens.
+    pub tokens: u64,
+}
+
+impl From<(TenantKey, u64)> for TenantTokens {
+    fn from((tenant, tokens): (TenantKey, u64)) -> Self {
+        TenantTokens { tenant, tokens }
+    }
+}
+
+impl From<TenantTokens> for (TenantKey, u64) {
+    fn from(tokens: TenantTokens) -> Self {
+        (tokens.tenant, tokens.tokens)
+    }
+}
+
+/// Level of one tenant's bucket. Serialised as an array of two: key, tokens.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "(TenantKey, i64)", into = "(TenantKey, i64)")]
+pub struct TenantLevel {
+    /// The tenant.
+    pub tenant: TenantKey,
+    /// Tokens in the bucket, rounded towards zero; negative where the tenant owes some.
+    pub tokens: i64,
+}
+
+impl From<(TenantKey, i64)> for TenantLevel {
+    fn from((tenant, tokens): (TenantKey, i64)) -> Self {
+        TenantLevel { tenant, tokens }
+    }
+}
+
+impl From<TenantLevel> for (TenantKey, i64) {
+    fn from(level: TenantLevel) -> Self {
+        (level.tenant, level.tokens)
+    }
+}
+
+/// Messages between sidecars and the grantor.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub enum QuotaMessage {
+    /// A sidecar requests tokens.
+    #[serde(rename = "Want")]
+    Request {
+        /// Identifies the request at the sidecar; the grant repeats it.
+        #[serde(rename = "nonce")]
+        request_id: u64,
+        /// Tokens requested, by tenant.
+        wanted: Vec<TenantTokens>,
+        /// Tokens spent from the reserve that no grant has acknowledged yet, by tenant; charged to the buckets.
+        overdrawn: Vec<TenantTokens>,
+    },
+    /// The grantor responds, with fewer tokens than requested or none where the bucket is low.
+    Grant {
+        /// The request.
+        #[serde(rename = "nonce")]
+        request_id: u64,
+        /// Term of the grantor.
+        term: u64,
+        /// Grants, in the order of the request; unknown and unlimited tenants are left out.
+        granted: Vec<TenantGrant>,
+    },
+    /// The grantor reports its bucket levels to the members, its potential successors.
+    Levels(BucketLevels),
+}
+
+/// Bucket levels of a grantor.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct BucketLevels {
+    /// Term of the grantor.
+    pub term: u64,
+    /// Buckets that are not nearly full; every bucket that is left out is.
+    pub tokens: Vec<TenantLevel>,
+}
+
+/// A sidecar's grant from one tenant's quota.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct TenantGrant {
+    /// The tenant.
+    pub tenant: TenantKey,
+    /// Tokens granted.
+    pub tokens: u64,
+    /// Further tokens that may be spent while no grantor responds.
+    pub reserve: u64,
+}
--- /dev/null
+++ b/crates/router/control-plane/src/quota/token_bucket.rs
@@ -0,0 +1,68 @@
+//! A token bucket that may go into debt.
+
+use std::time::Duration;
+
+/// Maximum debt, in seconds of the refill rate: after so much was spent from reserves, a tenant is granted nothing for
+/// this long, and not longer.
+const MAX_DEBT_S: f64 = 3.0;
+/// A bucket at or above this fraction of its capacity is nearly full.
+pub(super) const NEARLY_FULL_FRACTION: f64 = 0.9;
+
+/// The token bucket of one tenant.
+#[derive(Debug)]
+pub(super) struct TokenBucket {
+    /// Refill rate, tokens per second.
+    rate_per_s: f64,
+    /// Upper limit of `tokens`.
+    capacity: f64,
+    /// Tokens at `refilled_at`; negative where some are owed, but not below `MAX_DEBT_S` of the rate.
+    tokens: f64,
+    refilled_at: Duration,
+}
+
+impl TokenBucket {
+    /// A bucket without refill; [`TokenBucket::set_limit`] gives it a rate.
+    pub(super) fn new(at: Duration, tokens: f64, capacity: f64) -> Self {
+        TokenBucket { rate_per_s: 0.0, capacity, tokens, refilled_at: at }
+    }
+
+    /// Refill rate, tokens per second.
+    pub(super) fn rate_per_s(&self) -> f64 {
+        self.rate_per_s
+    }
+
+    /// Changes rate and capacity. Refills at the old rate up to now first; tokens beyond the new capacity are lost.
+    pub(super) fn set_limit(&mut self, now: Duration, rate_per_s: f64, capacity: f64) {
+        self.refill(now);
+        self.rate_per_s = rate_per_s;
+        self.capacity = capacity;
+        self.tokens = self.tokens.min(capacity);
+    }
+
+    /// The level now, or `None` if the bucket is nearly full.
+    pub(super) fn level_unless_nearly_full(&mut self, now: Duration) -> Option<f64> {
+        self.refill(now);
+        (self.tokens < NEARLY_FULL_FRACTION * self.capacity).then_some(self.tokens)
+    }
+
+    /// Takes as many whole tokens as there are, at most `wanted`.
+    pub(super) fn take(&mut self, now: Duration, wanted: u64) -> u64 {
+        self.refill(now);
+        let tokens = (wanted as f64).min(self.tokens).max(0.0).floor();
+        self.tokens -= tokens;
+        tokens as u64
+    }
+
+    /// Charges tokens that were spent without a grant, up to the maximum debt.
+    pub(super) fn charge(&mut self, now: Duration, tokens: u64) {
+        self.refill(now);
+        let max_debt = -self.rate_per_s * MAX_DEBT_S;
+        self.tokens = (self.tokens - tokens as f64).max(max_debt);
+    }
+
+    fn refill(&mut self, now: Duration) {
+        let elapsed = now.saturating_sub(self.refilled_at).as_secs_f64();
+        self.tokens = (self.tokens + elapsed * self.rate_per_s).min(self.capacity);
+        self.refilled_at = self.refilled_at.max(now);
+    }
+}
--- a/crates/router/control-plane/tests/quota.rs
+++ b/crates/router/control-plane/tests/quota.rs
@@ -1,21 +1,29 @@
-//! Quota grants: the bound over all sidecars, changes of grantor, reserves.
+//! Quota grants: the bound over all sidecars, changes of grantor, reserves, and the serialised form of the messages.
 
 use passrelay_configuration::Configuration;
-use passrelay_control_plane::quota::{Grantor, QuotaBounds, ReportedLevels, TenantKey};
-use serde_json::json;
+use passrelay_control_plane::quota::{
+    BucketLevels, Grantor, QuotaBounds, QuotaMessage, ReportedLevels, TenantGrant, TenantKey, TenantLevel,
+    TenantTokens,
+};
+use rstest::rstest;
+use serde_json::{json, Value};
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
+/// Quota of the tenant, tokens per second; its burst is that of one second.
 const RATE: f64 = 100_000.0;
+/// More tokens than any bucket holds.
+const UNBOUNDED: u64 = 10_000_000;
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-fn sidecar(n: u8) -> SocketAddrV4 {
-    format!("10.0.0.{n}:1").parse().unwrap()
+fn sidecar(number: u8) -> SocketAddrV4 {
+    format!("10.0.0.{number}:1").parse().unwrap()
 }
 
+/// A configuration with one limited tenant.
 fn configuration(generation: u64, rate: f64) -> Configuration {
     let document = json!({ "generation": generation, "routes": [], "services": [], "tenants": [
         { "name": "t", "api-keys": ["k"], "unit": "token_usage", "rate-per-s": rate, "burst": rate }] });
@@ -26,24 +34,30 @@
     QuotaBounds { window_s: 8.0, overshoot: 0.1, slack: 140_000.0 }
 }
 
-fn grantor(began: Duration, term: u64) -> Grantor {
-    let mut grantor = Grantor::new(began, term, bounds(), None);
-    grantor.configure(began, &configuration(1, RATE));
+/// A grantor without known levels of a predecessor.
+fn grantor(started_at: Duration, term: u64) -> Grantor {
+    let mut grantor = Grantor::new(started_at, term, bounds(), None);
+    grantor.configure(started_at, &configuration(1, RATE));
     grantor
 }
 
-fn granted(grantor: &mut Grantor, now: Duration, from: SocketAddrV4, wanted: u64) -> Option<u64> {
-    let wanted = [(TenantKey::of("t"), wanted)];
-    grantor.grant(now, Some(now), from, &wanted, &[]).map(|all| all[0].tokens)
+/// Tokens of the tenant.
+fn tokens(tokens: u64) -> [TenantTokens; 1] {
+    [TenantTokens { tenant: TenantKey::of("t"), tokens }]
+}
+
+/// A request to a confirmed grantor; the tokens granted.
+fn request_tokens(grantor: &mut Grantor, now: Duration, from: SocketAddrV4, wanted: u64) -> Option<u64> {
+    grantor.grant(now, Some(now), from, &tokens(wanted), &[]).map(|granted| granted[0].tokens)
 }
 
 #[test]
-fn what_all_sidecars_get_in_any_window_stays_within_the_bound() {
+fn grants_to_all_sidecars_stay_within_the_bound_in_any_window() {
     let mut grantor = grantor(ms(0), 1);
     let mut grants = Vec::new();
     for step in 0..2_000_u64 {
         let now = ms(step * 10);
-        grants.push(granted(&mut grantor, now, sidecar((step % 12) as u8), 50_000).unwrap());
+        grants.push(request_tokens(&mut grantor, now, sidecar((step % 12) as u8), 50_000).unwrap());
     }
     let bound = (RATE * 8.0 + RATE) * 1.1 + 140_000.0;
     for window in grants.windows(800) {
@@ -53,92 +67,123 @@
     assert!(grants.iter().sum::<u64>() as f64 >= RATE * 19.0);
 }
 
-#[test]
-fn a_grantor_that_is_not_confirmed_lately_grants_nothing() {
+#[rstest]
+#[case::confirmed_too_long_ago(Some(ms(1_000)), false)]
+#[case::never_confirmed(None, false)]
+#[case::confirmed_recently(Some(ms(1_900)), true)]
+fn a_grantor_grants_only_while_recently_confirmed(
+    #[case] confirmed_at: Option<Duration>,
+    #[case] grants: bool,
+) {
     let mut grantor = grantor(ms(0), 1);
-    let wanted = [(TenantKey::of("t"), 10)];
-    assert!(grantor.grant(ms(2_000), Some(ms(1_000)), sidecar(1), &wanted, &[]).is_none());
-    assert!(grantor.grant(ms(2_000), None, sidecar(1), &wanted, &[]).is_none());
-    assert!(grantor.grant(ms(2_000), Some(ms(1_900)), sidecar(1), &wanted, &[]).is_some());
+    let granted = grantor.grant(ms(2_000), confirmed_at, sidecar(1), &tokens(10), &[]);
+    assert_eq!(granted.is_some(), grants);
 }
 
 #[test]
-fn a_new_grantor_waits_until_the_one_before_grants_no_more() {
-    let mut next = grantor(ms(5_000), 2);
-    assert_eq!(granted(&mut next, ms(5_100), sidecar(1), 10), None);
-    assert_eq!(granted(&mut next, ms(5_500), sidecar(1), 10), Some(10));
+fn a_new_grantor_waits_until_its_predecessor_can_grant_no_more() {
+    let mut successor = grantor(ms(5_000), 2);
+    assert_eq!(request_tokens(&mut successor, ms(5_100), sidecar(1), 10), None);
+    assert_eq!(request_tokens(&mut successor, ms(5_500), sidecar(1), 10), Some(10));
 }
 
 #[test]
-fn reserves_are_shared_by_those_that_ask_and_charged_afterwards() {
+fn reserves_are_shared_by_the_requesting_sidecars_and_charged_afterwards() {
     let mut grantor = grantor(ms(0), 1);
-    let wanted = [(TenantKey::of("t"), 10)];
-    for n in 1..=10 {
-        grantor.grant(ms(0), Some(ms(0)), sidecar(n), &wanted, &[]);
+    for number in 1..=10 {
+        grantor.grant(ms(0), Some(ms(0)), sidecar(number), &tokens(10), &[]);
     }
-    let one = grantor.grant(ms(1), Some(ms(1)), sidecar(1), &wanted, &[]).unwrap()[0];
-    assert!(one.reserve as f64 <= RATE * 2.0 / 10.0, "{}", one.reserve);
-    // Everything is spent, then a sidecar tells that it has lived on its reserve.
-    granted(&mut grantor, ms(2), sidecar(1), 10_000_000);
-    let overdrawn = [(TenantKey::of("t"), 50_000)];
-    grantor.grant(ms(3), Some(ms(3)), sidecar(2), &wanted, &overdrawn);
-    assert_eq!(granted(&mut grantor, ms(300), sidecar(3), 10), Some(0));
+    let grant = grantor.grant(ms(1), Some(ms(1)), sidecar(1), &tokens(10), &[]).unwrap()[0];
+    assert!(grant.reserve as f64 <= RATE * 2.0 / 10.0, "{}", grant.reserve);
+    // The bucket is emptied, then a sidecar reports that it has spent from its reserve.
+    request_tokens(&mut grantor, ms(2), sidecar(1), UNBOUNDED);
+    grantor.grant(ms(3), Some(ms(3)), sidecar(2), &tokens(10), &tokens(50_000));
+    assert_eq!(request_tokens(&mut grantor, ms(300), sidecar(3), 10), Some(0));
 }
 
 #[test]
-fn the_first_to_ask_after_a_quiet_time_gets_no_more_of_the_reserve_than_its_share() {
+fn the_first_requester_after_an_idle_time_gets_no_more_than_its_share_of_the_reserve() {
     let mut grantor = grantor(ms(0), 1);
     grantor.set_sidecar_count(12);
-    let wanted = [(TenantKey::of("t"), 10)];
-    let first = grantor.grant(ms(0), Some(ms(0)), sidecar(1), &wanted, &[]).unwrap()[0];
+    let first = grantor.grant(ms(0), Some(ms(0)), sidecar(1), &tokens(10), &[]).unwrap()[0];
     assert!(first.reserve as f64 <= RATE * 2.0 / 12.0, "{}", first.reserve);
 }
 
 #[test]
-fn a_grantor_that_follows_another_gives_a_smaller_reserve_and_nothing_for_the_time_of_its_wait() {
-    let reserve = |grantor: &mut Grantor, now: Duration| {
-        let wanted = [(TenantKey::of("t"), 10_000_000)];
-        let granted = grantor.grant(now, Some(now), sidecar(1), &wanted, &[]).unwrap()[0];
-        (granted.tokens as f64, granted.reserve as f64)
+fn a_successor_without_levels_gives_a_smaller_reserve_and_accumulates_nothing_while_it_waits() {
+    let drain = |grantor: &mut Grantor, now: Duration| {
+        let grant = grantor.grant(now, Some(now), sidecar(1), &tokens(UNBOUNDED), &[]).unwrap()[0];
+        (grant.tokens as f64, grant.reserve as f64)
     };
     let mut first = grantor(ms(0), 1);
-    let mut next = grantor(ms(5_000), 2);
-    let (_, usual) = reserve(&mut first, ms(5_400));
-    let (tokens, after_change) = reserve(&mut next, ms(5_400));
-    assert!(tokens <= RATE * 0.65 && after_change < usual / 3.0, "{tokens} {after_change} {usual}");
-    assert_eq!(reserve(&mut next, ms(14_000)).1, usual);
+    let mut successor = grantor(ms(5_000), 2);
+    let (_, reserve) = drain(&mut first, ms(5_400));
+    let (tokens, reserve_after_change) = drain(&mut successor, ms(5_400));
+    assert!(
+        tokens <= RATE * 0.65 && reserve_after_change < reserve / 3.0,
+        "{tokens} {reserve_after_change} {reserve}"
+    );
+    assert_eq!(drain(&mut successor, ms(14_000)).1, reserve);
 }
 
 #[test]
-fn a_grantor_goes_on_with_the_levels_of_the_one_before() {
+fn a_successor_resumes_from_the_levels_of_its_predecessor() {
     let capacity = RATE + 0.3 * (0.1 * RATE * 9.0 + 140_000.0);
     let mut first = grantor(ms(0), 1);
-    // Time enough for a full bucket, of which all but little is spent.
-    granted(&mut first, ms(9_000), sidecar(1), (capacity - 1_000.0) as u64).unwrap();
-    let told = |first: &mut Grantor, now| ReportedLevels { levels: first.levels(now), at: now };
-    let emptied = told(&mut first, ms(9_000));
+    // The bucket has had time to fill; all but little of it is spent.
+    request_tokens(&mut first, ms(9_000), sidecar(1), (capacity - 1_000.0) as u64).unwrap();
+    let report = |first: &mut Grantor, now| ReportedLevels { levels: first.levels(now), received_at: now };
+    let emptied = report(&mut first, ms(9_000));
     assert_eq!(emptied.levels.tokens.len(), 1);
-    let filled = told(&mut first, ms(19_000));
-    assert_eq!(filled.levels.tokens, [], "buckets that are nearly full are not told one by one");
-    let next = |told: &ReportedLevels, began: Duration| {
-        let mut next = Grantor::new(began, 2, bounds(), Some(told));
-        next.configure(began, &configuration(1, RATE));
-        granted(&mut next, began + ms(400), sidecar(1), 10_000_000).unwrap() as f64
+    let filled = report(&mut first, ms(19_000));
+    assert_eq!(filled.levels.tokens, [], "buckets that are nearly full are left out");
+    let granted_by_successor = |reported: &ReportedLevels, started_at: Duration| {
+        let mut successor = Grantor::new(started_at, 2, bounds(), Some(reported));
+        successor.configure(started_at, &configuration(1, RATE));
+        request_tokens(&mut successor, started_at + ms(400), sidecar(1), UNBOUNDED).unwrap() as f64
     };
-    assert!(next(&emptied, ms(9_500)) <= 1_000.0);
-    assert!(next(&filled, ms(19_500)) >= 0.9 * capacity - 1.0);
-    // Told too long ago.
-    assert!(next(&filled, ms(25_000)) <= RATE * 0.65);
+    assert!(granted_by_successor(&emptied, ms(9_500)) <= 1_000.0);
+    assert!(granted_by_successor(&filled, ms(19_500)) >= 0.9 * capacity - 1.0);
+    // Reported too long ago.
+    assert!(granted_by_successor(&filled, ms(25_000)) <= RATE * 0.65);
 }
 
 #[test]
-fn a_lower_limit_binds_at_once_and_a_dropped_tenant_gets_nothing() {
+fn a_lower_limit_applies_at_once_and_a_removed_tenant_gets_nothing() {
     let mut grantor = grantor(ms(0), 1);
     grantor.configure(ms(10), &configuration(2, 1_000.0));
-    let spare = 0.3 * (0.1 * 9_000.0 + 140_000.0) + 1_000.0;
-    assert!(granted(&mut grantor, ms(20), sidecar(1), 10_000_000).unwrap() as f64 <= spare + 1.0);
-    let empty = json!({ "generation": 3, "routes": [], "services": [] });
-    grantor.configure(ms(30), &Configuration::read(&empty).unwrap());
-    let wanted = [(TenantKey::of("t"), 10)];
-    assert_eq!(grantor.grant(ms(40), Some(ms(40)), sidecar(1), &wanted, &[]), Some(Vec::new()));
+    let capacity = 0.3 * (0.1 * 9_000.0 + 140_000.0) + 1_000.0;
+    assert!(request_tokens(&mut grantor, ms(20), sidecar(1), UNBOUNDED).unwrap() as f64 <= capacity + 1.0);
+    let without_tenants = json!({ "generation": 3, "routes": [], "services": [] });
+    grantor.configure(ms(30), &Configuration::read(&without_tenants).unwrap());
+    assert_eq!(grantor.grant(ms(40), Some(ms(40)), sidecar(1), &tokens(10), &[]), Some(Vec::new()));
+}
+
+#[rstest]
+#[case::request(
+    QuotaMessage::Request {
+        request_id: 5,
+        wanted: vec![TenantTokens { tenant: TenantKey(1), tokens: 10 }],
+        overdrawn: vec![TenantTokens { tenant: TenantKey(2), tokens: 20 }],
+    },
+    json!({ "Want": { "nonce": 5, "wanted": [[1, 10]], "overdrawn": [[2, 20]] } })
+)]
+#[case::grant(
+    QuotaMessage::Grant {
+        request_id: 5,
+        term: 2,
+        granted: vec![TenantGrant { tenant: TenantKey(1), tokens: 10, reserve: 3 }],
+    },
+    json!({ "Grant": { "nonce": 5, "term": 2, "granted": [{ "tenant": 1, "tokens": 10, "reserve": 3 }] } })
+)]
+#[case::levels(
+    QuotaMessage::Levels(BucketLevels {
+        term: 2,
+        tokens: vec![TenantLevel { tenant: TenantKey(1), tokens: -10 }],
+    }),
+    json!({ "Levels": { "term": 2, "tokens": [[1, -10]] } })
+)]
+fn messages_serialise_to_their_fixed_form(#[case] message: QuotaMessage, #[case] serialised: Value) {
+    assert_eq!(serde_json::to_value(&message).unwrap(), serialised);
+    assert_eq!(serde_json::from_value::<QuotaMessage>(serialised).unwrap(), message);
 }
--- a/crates/router/node/src/node.rs
+++ b/crates/router/node/src/node.rs
@@ -257,7 +257,8 @@
     pub fn ask_for_quota(self: &Rc<Self>) {
         let question = self.quota.borrow_mut().question(self.now());
         let Some(Question { request_id, wanted, overdrawn }) = question else { return };
-        let keyed = |all: Vec<(u64, u64)>| all.into_iter().map(|(key, n)| (TenantKey(key), n)).collect();
+        let keyed =
+            |all: Vec<(u64, u64)>| all.into_iter().map(|(key, n)| (TenantKey(key), n).into()).collect();
         let message =
             QuotaMessage::Request { request_id, wanted: keyed(wanted), overdrawn: keyed(overdrawn) };
         self.drive(|c, now, actions| c.request_tokens(now, message, actions));
--- a/crates/testing/cluster-simulation/src/limits.rs
+++ b/crates/testing/cluster-simulation/src/limits.rs
@@ -516,7 +516,8 @@
         let now = self.cluster.local_now(machine);
         let gate = self.gate(machine, self.cluster.incarnation(machine));
         let Some(question) = gate.shares.question(now) else { return };
-        let keyed = |all: Vec<(u64, u64)>| all.into_iter().map(|(key, n)| (TenantKey(key), n)).collect();
+        let keyed =
+            |all: Vec<(u64, u64)>| all.into_iter().map(|(key, n)| (TenantKey(key), n).into()).collect();
         let (wanted, overdrawn) = (keyed(question.wanted), keyed(question.overdrawn));
         let want = QuotaMessage::Request { request_id: question.request_id, wanted, overdrawn };
         let seen = self.cluster.request_tokens(machine, want).unwrap_or_default();
