--- a/crates/router/control-plane/src/coordinator.rs
+++ b/crates/router/control-plane/src/coordinator.rs
@@ -276,7 +276,7 @@
         if !self.replica.as_ref().is_some_and(Replica::is_established) {
             return;
         }
-        let sums = self.load_sums.tell(now, from.address, request_id, loads);
+        let sums = self.load_sums.report(now, from.address, request_id, loads);
         if from.address == self.own.address {
             actions.push(Action::LoadTotals(sums));
         } else {
@@ -370,7 +370,7 @@
         let confirmed_at = self.replica.as_ref().and_then(Replica::confirmed_at);
         let confirmed_at = if unfenced { Some(now) } else { confirmed_at };
         let Some(grantor) = &mut self.grantor else { return };
-        grantor.set_sidecar_count(self.load_sums.sidecars().max(self.gossip.view().len() + 1));
+        grantor.set_sidecar_count(self.load_sums.reporter_count().max(self.gossip.view().len() + 1));
         let Some(granted) = grantor.grant(now, confirmed_at, from.address, &wanted, &overdrawn) else {
             return;
         };
--- /dev/null
+++ b/crates/router/control-plane/src/load/endpoint_outcomes.rs
@@ -0,0 +1,59 @@
+//! Outcomes of requests to one endpoint over all sidecars, and the quorum of sidecars that its failures need.
+
+use passrelay_dissemination::{EndpointLoad, Outcomes};
+use std::collections::BTreeMap;
+use std::net::SocketAddrV4;
+use std::time::Duration;
+
+/// A sidecar counts towards the quorum of failure reporters until it has reported no failure for this long.
+const FAILURE_REPORTER_TIMEOUT: Duration = Duration::from_secs(4);
+/// Number of sidecars that must have reported failures of an endpoint before any of its failures count.
+const FAILURE_REPORTER_QUORUM: usize = 2;
+
+/// Outcomes at one endpoint that count now.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct OutcomeCounts {
+    pub(super) answered: u32,
+    pub(super) failed: u32,
+}
+
+impl OutcomeCounts {
+    pub(super) fn is_empty(self) -> bool {
+        self.answered + self.failed == 0
+    }
+}
+
+/// Outcomes that sidecars reported of one endpoint, decaying over time.
+#[derive(Debug, Default)]
+pub(super) struct EndpointOutcomes {
+    outcomes: Outcomes,
+    /// Sidecars that reported failures, with the time of their last such report.
+    failure_reporters: BTreeMap<SocketAddrV4, Duration>,
+}
+
+impl EndpointOutcomes {
+    /// Adds the outcomes of a sidecar's report.
+    pub(super) fn add(&mut self, now: Duration, reporter: SocketAddrV4, load: &EndpointLoad) {
+        self.outcomes.add(now, load.answered, load.failed);
+        if load.failed > 0 {
+            self.failure_reporters.insert(reporter, now);
+        }
+    }
+
+    /// Outcomes that count now: failures only with a quorum of reporters.
+    pub(super) fn counts(&mut self, now: Duration) -> OutcomeCounts {
+        self.failure_reporters.retain(|_, at| now.saturating_sub(*at) < FAILURE_REPORTER_TIMEOUT);
+        let (answered, failed) = self.outcomes.at_time(now);
+        let failed = if self.has_failure_quorum() { failed } else { 0.0 };
+        OutcomeCounts { answered: answered.round() as u32, failed: failed.round() as u32 }
+    }
+
+    /// Whether failures of a sidecar still wait for, or are part of, a quorum.
+    pub(super) fn has_failure_reporters(&self) -> bool {
+        !self.failure_reporters.is_empty()
+    }
+
+    fn has_failure_quorum(&self) -> bool {
+        self.failure_reporters.len() >= FAILURE_REPORTER_QUORUM
+    }
+}
--- /dev/null
+++ b/crates/router/control-plane/src/load/totals.rs
@@ -0,0 +1,97 @@
+//! Aggregation of the sidecars' load reports on the primary.
+
+use super::endpoint_outcomes::EndpointOutcomes;
+use super::messages::LoadMessage;
+use passrelay_dissemination::EndpointLoad;
+use std::collections::BTreeMap;
+use std::net::SocketAddrV4;
+use std::time::Duration;
+
+/// A sidecar's load counts until it has sent no report for this long.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Interval at which totals are computed again; reports in between get the cached ones, so that the cost does not grow
+/// with the square of the number of sidecars.
+const TOTALS_REFRESH_INTERVAL: Duration = Duration::from_millis(15);
+
+/// Last report of a sidecar.
+#[derive(Debug)]
+struct Report {
+    received_at: Duration,
+    loads: Vec<EndpointLoad>,
+}
+
+/// Totals of load and outcomes over all sidecars.
+#[derive(Debug, Default)]
+pub struct LoadTotals {
+    /// Last report of each sidecar; those that timed out are removed when totals are computed.
+    reports: BTreeMap<SocketAddrV4, Report>,
+    /// Outcomes by endpoint, unlike reports accumulated.
+    outcomes: BTreeMap<u64, EndpointOutcomes>,
+    /// Totals computed last, ordered by endpoint.
+    totals: Vec<EndpointLoad>,
+    totals_computed_at: Option<Duration>,
+}
+
+impl LoadTotals {
+    /// Replaces the load of the sidecar `from` by that of a new report, adds its outcomes, and responds with the totals,
+    /// which may be some milliseconds old.
+    pub fn report(
+        &mut self,
+        now: Duration,
+        from: SocketAddrV4,
+        request_id: u64,
+        loads: Vec<EndpointLoad>,
+    ) -> LoadMessage {
+        for load in loads.iter().filter(|load| load.answered + load.failed > 0) {
+            self.outcomes.entry(load.endpoint).or_default().add(now, from, load);
+        }
+        self.reports.insert(from, Report { received_at: now, loads });
+        if self.totals_computed_at.is_none_or(|at| now.saturating_sub(at) >= TOTALS_REFRESH_INTERVAL) {
+            self.compute_totals(now);
+        }
+        let sidecars = u32::try_from(self.reporter_count()).unwrap_or(u32::MAX);
+        LoadMessage::Totals { request_id, sidecars, loads: self.totals.clone() }
+    }
+
+    /// Number of sidecars with a recent report.
+    pub fn reporter_count(&self) -> usize {
+        self.reports.len()
+    }
+
+    fn compute_totals(&mut self, now: Duration) {
+        self.totals_computed_at = Some(now);
+        let mut totals = BTreeMap::new();
+        self.add_loads(now, &mut totals);
+        self.add_outcomes(now, &mut totals);
+        self.totals = totals.into_values().collect();
+    }
+
+    /// Drops reports that timed out, and adds up the others.
+    fn add_loads(&mut self, now: Duration, totals: &mut BTreeMap<u64, EndpointLoad>) {
+        self.reports.retain(|_, report| now.saturating_sub(report.received_at) < REPORT_TIMEOUT);
+        for load in self.reports.values().flat_map(|report| &report.loads) {
+            let total = total_of(totals, load.endpoint);
+            total.pending_prompt_tokens =
+                total.pending_prompt_tokens.saturating_add(load.pending_prompt_tokens);
+            total.in_flight = total.in_flight.saturating_add(load.in_flight);
+        }
+    }
+
+    /// Adds the outcomes that count now, and drops endpoints without any.
+    fn add_outcomes(&mut self, now: Duration, totals: &mut BTreeMap<u64, EndpointLoad>) {
+        self.outcomes.retain(|endpoint, outcomes| {
+            let counts = outcomes.counts(now);
+            if !counts.is_empty() {
+                let total = total_of(totals, *endpoint);
+                total.answered = counts.answered;
+                total.failed = counts.failed;
+            }
+            !counts.is_empty() || outcomes.has_failure_reporters()
+        });
+    }
+}
+
+/// The total of an endpoint, zero at first.
+fn total_of(totals: &mut BTreeMap<u64, EndpointLoad>, endpoint: u64) -> &mut EndpointLoad {
+    totals.entry(endpoint).or_insert(EndpointLoad { endpoint, ..EndpointLoad::default() })
+}
--- a/crates/router/control-plane/tests/load.rs
+++ b/crates/router/control-plane/tests/load.rs
@@ -1,7 +1,8 @@
-//! Sums of loads and outcomes over sidecars.
+//! Totals of load and outcomes over sidecars.
 
 use passrelay_control_plane::load::{LoadMessage, LoadTotals};
 use passrelay_dissemination::EndpointLoad;
+use serde_json::json;
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
@@ -9,34 +10,55 @@
     Duration::from_millis(ms)
 }
 
-fn sidecar(n: u8) -> SocketAddrV4 {
-    format!("10.0.0.{n}:1").parse().unwrap()
+fn sidecar(number: u8) -> SocketAddrV4 {
+    format!("10.0.0.{number}:1").parse().unwrap()
 }
 
+/// One request of 100 prompt tokens in flight at endpoint 7, and these outcomes.
 fn load(answered: u32, failed: u32) -> Vec<EndpointLoad> {
     vec![EndpointLoad { endpoint: 7, pending_prompt_tokens: 100, in_flight: 1, answered, failed }]
 }
 
-fn sums(sums: &mut LoadTotals, now: Duration, from: u8, loads: Vec<EndpointLoad>) -> Option<EndpointLoad> {
-    let LoadMessage::Totals { loads, .. } = sums.tell(now, sidecar(from), 1, loads) else { return None };
+/// Reports the load of a sidecar; the total of the first endpoint in the response.
+fn report(
+    totals: &mut LoadTotals,
+    now: Duration,
+    from: u8,
+    loads: Vec<EndpointLoad>,
+) -> Option<EndpointLoad> {
+    let LoadMessage::Totals { loads, .. } = totals.report(now, sidecar(from), 1, loads) else { return None };
     loads.first().copied()
 }
 
 #[test]
-fn what_is_out_is_summed_and_forgotten() {
-    let mut all = LoadTotals::default();
-    sums(&mut all, ms(0), 1, load(0, 0));
-    let both = sums(&mut all, ms(100), 2, load(0, 0)).unwrap();
-    assert_eq!((both.pending_prompt_tokens, both.in_flight), (200, 2));
-    let one = sums(&mut all, ms(1_590), 2, load(0, 0)).unwrap();
-    assert_eq!((one.pending_prompt_tokens, one.in_flight), (100, 1));
+fn load_in_flight_is_summed_until_its_report_times_out() {
+    let mut totals = LoadTotals::default();
+    report(&mut totals, ms(0), 1, load(0, 0));
+    let of_both = report(&mut totals, ms(100), 2, load(0, 0)).unwrap();
+    assert_eq!((of_both.pending_prompt_tokens, of_both.in_flight), (200, 2));
+    let of_one = report(&mut totals, ms(1_590), 2, load(0, 0)).unwrap();
+    assert_eq!((of_one.pending_prompt_tokens, of_one.in_flight), (100, 1));
 }
 
 #[test]
-fn failures_count_where_two_sidecars_tell_of_them_and_fade() {
-    let mut all = LoadTotals::default();
-    assert_eq!(sums(&mut all, ms(0), 1, load(2, 4)).unwrap().failed, 0, "one sidecar alone is not believed");
-    let told = sums(&mut all, ms(100), 2, load(1, 1)).unwrap();
-    assert_eq!((told.answered, told.failed), (3, 5));
-    assert_eq!(sums(&mut all, ms(30_000), 2, load(0, 0)).unwrap().failed, 0);
+fn failures_count_with_a_quorum_of_two_reporters_and_decay() {
+    let mut totals = LoadTotals::default();
+    let of_one_reporter = report(&mut totals, ms(0), 1, load(2, 4)).unwrap();
+    assert_eq!(of_one_reporter.failed, 0, "a single reporter is no quorum");
+    let of_two_reporters = report(&mut totals, ms(100), 2, load(1, 1)).unwrap();
+    assert_eq!((of_two_reporters.answered, of_two_reporters.failed), (3, 5));
+    assert_eq!(report(&mut totals, ms(30_000), 2, load(0, 0)).unwrap().failed, 0);
+}
+
+#[test]
+fn messages_serialise_to_their_fixed_form() {
+    let report = LoadMessage::Report { request_id: 5, loads: load(2, 0) };
+    let totals = LoadMessage::Totals { request_id: 5, sidecars: 3, loads: Vec::new() };
+    assert_eq!(
+        serde_json::to_value([report, totals]).unwrap(),
+        json!([
+            { "Tell": { "nonce": 5, "loads": [{ "e": 7, "t": 100, "o": 1, "a": 2 }] } },
+            { "Sums": { "nonce": 5, "sidecars": 3, "loads": [] } },
+        ])
+    );
 }
