--- a/crates/router/control-plane/src/coordinator/calls.rs
+++ b/crates/router/control-plane/src/coordinator/calls.rs
@@ -145,7 +145,7 @@
         };
         let same_number = replica.has_mutation(ProtocolMutation::AcknowledgesByGeneration)
             && order.generation() == Some(state.generation);
-        let verdict = if same_number { Verdict::AlreadyApplied } else { order.judge(&state) };
+        let verdict = if same_number { Verdict::AlreadyApplied } else { order.adjudicate(&state) };
         let step = match verdict {
             Verdict::HistoryTruncated => Step::HistoryTruncated { term },
             Verdict::AlreadyApplied => Step::Commit { term, index, generation: state.generation },
@@ -153,9 +153,10 @@
                 replica.request_confirmation();
                 Step::Refuse { term, index, judged_at: now, refusal }
             }
-            Verdict::Apply { generation, document, order } => {
+            Verdict::Apply { generation, document, applied_change } => {
                 let mut replica_actions = Vec::new();
-                let index = replica.propose(now, generation, document, order, &mut replica_actions)?;
+                let index =
+                    replica.propose(now, generation, document, applied_change, &mut replica_actions)?;
                 self.carry_replica(replica_actions, actions);
                 Step::Commit { term, index, generation }
             }
--- a/crates/router/control-plane/tests/configuration_change.rs
+++ b/crates/router/control-plane/tests/configuration_change.rs
@@ -1,61 +1,74 @@
-//! What becomes of orders that were taken before, long ago, or under a number that another order has.
+//! Verdicts on configuration changes: retries, compare-and-set on the generation, and the bounded history.
 
 use passrelay_control_plane::configuration_change::{ChangeKind, ConfigurationChange, Rejection, Verdict};
 use passrelay_control_plane::replication::ReplicatedState;
+use rstest::rstest;
 
 const TERM: u64 = 3;
+/// More changes than the history keeps.
+const CHANGES_BEYOND_HISTORY: u64 = 1_500;
 
-fn order(base: u64, generation: u64, service: &str) -> ConfigurationChange {
+/// A change that replaces the configuration of generation `base` by one of `generation` with a single service.
+fn replacement(base: u64, generation: u64, service: &str) -> ConfigurationChange {
     let body = format!(r#"{{"generation":{generation},"routes":[],"services":[{{"name":"{service}"}}]}}"#);
     ConfigurationChange { kind: ChangeKind::Replace, base, body: body.into() }
 }
 
-/// The state after an order that has to be taken.
-fn after(state: &ReplicatedState, order: &ConfigurationChange) -> ReplicatedState {
-    match order.judge(state) {
-        Verdict::Apply { generation, document, order } => state.after(TERM, generation, document, order),
-        other => panic!("{order:?} is not taken: {other:?}"),
+/// The state after a change that must apply.
+fn apply(state: &ReplicatedState, change: &ConfigurationChange) -> ReplicatedState {
+    match change.adjudicate(state) {
+        Verdict::Apply { generation, document, applied_change } => {
+            state.after(TERM, generation, document, applied_change)
+        }
+        other => panic!("{change:?} does not apply: {other:?}"),
     }
 }
 
-/// The state after so many orders, each on the one before, with generations from 1 up.
-fn after_orders(count: u64) -> ReplicatedState {
-    (0..count).fold(ReplicatedState::default(), |state, n| after(&state, &order(n, n + 1, "s")))
+/// The state after `count` changes, each building on the one before, with generations from 1 up.
+fn state_after_changes(count: u64) -> ReplicatedState {
+    (0..count)
+        .fold(ReplicatedState::default(), |state, base| apply(&state, &replacement(base, base + 1, "s")))
 }
 
-#[test]
-fn the_same_order_again_counts_as_taken_whatever_came_since() {
-    let state = after_orders(300);
-    for taken in [order(0, 1, "s"), order(150, 151, "s"), order(299, 300, "s")] {
-        assert_eq!(taken.judge(&state), Verdict::AlreadyApplied);
-    }
+#[rstest]
+#[case::the_first(replacement(0, 1, "s"))]
+#[case::one_in_between(replacement(150, 151, "s"))]
+#[case::the_last(replacement(299, 300, "s"))]
+fn a_retried_change_counts_as_applied_whatever_was_applied_since(#[case] retried: ConfigurationChange) {
+    let state = state_after_changes(300);
+    assert_eq!(retried.adjudicate(&state), Verdict::AlreadyApplied);
 }
 
 #[test]
-fn another_order_under_the_same_number_is_refused_and_never_acknowledged() {
-    let state = after_orders(4);
-    let rival = order(3, 4, "other");
-    assert_eq!(rival.judge(&state), Verdict::Reject(Rejection::GenerationMismatch { current: 4, base: 3 }));
-}
-
-#[test]
-fn an_order_that_may_have_been_forgotten_is_neither_refused_nor_acknowledged() {
-    let state = after_orders(1_500);
-    assert_eq!(order(10, 11, "s").judge(&state), Verdict::HistoryTruncated, "it was taken, and forgotten");
+fn another_change_with_the_same_generation_is_rejected_and_never_acknowledged() {
+    let state = state_after_changes(4);
+    let concurrent = replacement(3, 4, "other");
     assert_eq!(
-        order(10, 11, "other").judge(&state),
-        Verdict::HistoryTruncated,
-        "nobody can tell it from that one"
+        concurrent.adjudicate(&state),
+        Verdict::Reject(Rejection::GenerationMismatch { current: 4, base: 3 })
     );
-    let rival = order(1_400, 1_401, "other").judge(&state);
-    assert_eq!(rival, Verdict::Reject(Rejection::GenerationMismatch { current: 1_500, base: 1_400 }));
-    assert_eq!(order(1_400, 1_401, "s").judge(&state), Verdict::AlreadyApplied);
+}
+
+#[rstest]
+#[case::applied_and_dropped_from_the_history(replacement(10, 11, "s"), Verdict::HistoryTruncated)]
+#[case::never_applied_but_as_old(replacement(10, 11, "other"), Verdict::HistoryTruncated)]
+#[case::never_applied_within_the_history(
+    replacement(1_400, 1_401, "other"),
+    Verdict::Reject(Rejection::GenerationMismatch { current: CHANGES_BEYOND_HISTORY, base: 1_400 })
+)]
+#[case::applied_within_the_history(replacement(1_400, 1_401, "s"), Verdict::AlreadyApplied)]
+fn a_change_older_than_the_history_is_neither_rejected_nor_acknowledged(
+    #[case] change: ConfigurationChange,
+    #[case] verdict: Verdict,
+) {
+    let state = state_after_changes(CHANGES_BEYOND_HISTORY);
+    assert_eq!(change.adjudicate(&state), verdict);
 }
 
 #[test]
-fn what_cannot_be_read_is_refused_however_old_it_is() {
-    let state = after_orders(1_500);
-    let broken =
+fn an_unreadable_change_is_rejected_however_old_its_base_is() {
+    let state = state_after_changes(CHANGES_BEYOND_HISTORY);
+    let truncated_body =
         ConfigurationChange { kind: ChangeKind::Replace, base: 3, body: "{\"generation\": 4".into() };
-    assert!(matches!(broken.judge(&state), Verdict::Reject(Rejection::Invalid(_))));
+    assert!(matches!(truncated_body.adjudicate(&state), Verdict::Reject(Rejection::Invalid(_))));
 }
