--- a/crates/router/control-plane/src/coordinator.rs
+++ b/crates/router/control-plane/src/coordinator.rs
@@ -1,7 +1,7 @@
 //! Everything that one process decides about the fleet: dissemination, replication where it counts, orders of the
 //! operators, quota grants. The program and the simulation drive the same coordinator.
 
-mod calls;
+mod operator_calls;
 
 use crate::load::{LoadMessage, LoadTotals};
 use crate::messages::{Action, CallId, Envelope, Message, OperatorMessage, OperatorRequest};
@@ -10,7 +10,7 @@
     DurableState, Member, MemberId, NonVotingSeed, ProtocolMutation, Replica, ReplicaAction, ReplicaSettings,
     ReplicatedState, ReplicationEnvelope, ReplicationMessage, WriteId,
 };
-use calls::{Call, Caller};
+use operator_calls::{Call, Caller};
 use passrelay_configuration::{parse_document, Configuration};
 use passrelay_dissemination::{
     Announcement, CommittedConfiguration, EndpointLoad, EndpointRecord, EndpointState, Gossip, GossipAction,
