--- a/crates/router/control-plane/src/configuration_change.rs
+++ b/crates/router/control-plane/src/configuration_change.rs
@@ -58,16 +58,6 @@
     Invalid(ValidationErrors),
 }
 
-impl Rejection {
-    /// HTTP status of the answer to the operator.
-    pub fn status(&self) -> u16 {
-        match self {
-            Rejection::GenerationMismatch { .. } => 412,
-            Rejection::Invalid(_) => 400,
-        }
-    }
-}
-
 /// Verdict of a primary on a change, given its newest state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
--- a/crates/router/control-plane/src/coordinator/operator_calls.rs
+++ b/crates/router/control-plane/src/coordinator/operator_calls.rs
@@ -1,205 +1,288 @@
-//! Operators' calls: passed on to the primary, judged there, answered once what the answer rests on is certain.
+//! Operator calls: forwarded to the primary, adjudicated there, and answered once the answer is safe to give.
+//!
+//! A call is a state machine:
+//!
+//! ```text
+//! Open --adjudicated by the established primary--> AwaitCommit                  change applied, now or before
+//!  |                                               AwaitRejectionConfirmation  change does not apply
+//!  |                                               AwaitReadConfirmation       read
+//!  |                                               HistoryTruncated            cannot be told: unavailable
+//!  +--on any other process: forwarded to the primary, whose answer completes it
+//! ```
+//!
+//! Safety: a change is adjudicated against the primary's newest state, which may not be committed yet. An
+//! acknowledgement waits until that state is committed. A rejection waits for that too, and then until a quorum has
+//! confirmed, at or after the adjudication, that there is no later primary; a read waits for such a confirmation and
+//! serves the committed state. Without the confirmation a deposed primary could answer from an old state.
+//! If the term changes while a call waits, its adjudication is void and the operator has to retry.
+//!
+//! Calls are retried at any step without harm: a change is recognised by its digest
+//! ([`ConfigurationChange::adjudicate`]). Nothing here is durable.
 
-use super::Coordinator;
-use crate::configuration_change::{Rejection, Verdict};
+use super::context::Context;
+use super::operator_outcome::{OperatorError, OperatorOutcome, OperatorReply};
+use crate::configuration_change::{ConfigurationChange, Rejection, Verdict};
 use crate::messages::{Action, CallId, Message, OperatorAnswer, OperatorMessage, OperatorRequest};
-use crate::replication::{ProtocolMutation, Replica};
-use passrelay_dissemination::{CoreHint, Peer};
+use crate::replication::{ProtocolMutation, Replica, ReplicatedState, StateVersion};
+use passrelay_dissemination::{Gossip, Peer};
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// An operator's call that has no answer after this is told to go elsewhere.
-const CALL_PATIENCE: Duration = Duration::from_millis(850);
-/// A call that was passed on is passed on again after this.
-const RELAY_AGAIN_AFTER: Duration = Duration::from_millis(300);
+/// Timeout of a call; then 503, and the operator retries elsewhere. Operators are promised an answer within a second,
+/// so this stays below it.
+const CALL_TIMEOUT: Duration = Duration::from_millis(850);
+/// Interval at which a call is forwarded again to the same primary: messages may be lost. Two retries fit into
+/// [`CALL_TIMEOUT`].
+const FORWARD_RETRY_INTERVAL: Duration = Duration::from_millis(300);
 
-#[derive(Clone, Copy, PartialEq, Eq)]
-pub(super) enum Caller {
-    Local(CallId),
-    Remote(Peer, CallId),
+/// What operator calls see of the core.
+pub(super) struct Core<'a> {
+    /// The replica of this process, on voters.
+    replica: Option<&'a mut Replica>,
+    /// Address of the primary, as far as gossip knows it.
+    primary: Option<SocketAddrV4>,
 }
 
-pub(super) enum Step {
-    /// Not yet judged: this process doesn't lead, or doesn't yet.
-    Open { relayed: Option<Relayed> },
-    /// An acknowledgement that waits for a commit.
-    Commit { term: u64, index: u64, generation: u64 },
-    /// A refusal that waits for a commit and a confirmation.
-    Refuse { term: u64, index: u64, judged_at: Duration, refusal: Rejection },
-    /// A read that waits for a confirmation.
-    Read { term: u64, asked_at: Duration },
-    /// An order of which nobody can tell any more whether it was taken.
-    HistoryTruncated { term: u64 },
+impl<'a> Core<'a> {
+    pub(super) fn new(replica: Option<&'a mut Replica>, gossip: &Gossip) -> Self {
+        Core { replica, primary: gossip.core().map(|core| core.primary) }
+    }
+
+    fn established_replica(&mut self) -> Option<&mut Replica> {
+        self.replica.as_deref_mut().filter(|replica| replica.is_established())
+    }
 }
 
-/// To whom a call was passed on, and when.
-pub(super) struct Relayed {
-    to: SocketAddrV4,
-    at: Duration,
+/// Where a call came from. Identifies the call: a forwarded one that arrives twice is one call.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(super) enum Caller {
+    /// An operator connected to this process.
+    Local(CallId),
+    /// Another process, which has the operator's connection.
+    Forwarded { origin: Peer, call: CallId },
 }
 
-pub(super) struct Call {
-    caller: Caller,
-    request: OperatorRequest,
-    began: Duration,
-    step: Step,
+/// The calls of this process that are not answered yet.
+#[derive(Default)]
+pub(super) struct OperatorCalls {
+    /// In order of arrival, one per caller.
+    pending: Vec<Call>,
 }
 
-impl Coordinator {
-    pub(super) fn take_call(
+impl OperatorCalls {
+    /// Adds a call and advances all calls. A duplicate of a pending call is ignored.
+    pub(super) fn submit(
         &mut self,
-        now: Duration,
+        core: Core<'_>,
         caller: Caller,
         request: OperatorRequest,
-        actions: &mut Vec<Action>,
+        context: &mut Context<'_>,
     ) {
-        if self.calls.iter().any(|c| c.caller == caller) {
+        if self.pending.iter().any(|call| call.caller == caller) {
             return;
         }
-        self.calls.push(Call { caller, request, began: now, step: Step::Open { relayed: None } });
-        self.advance_calls(now, actions);
+        let state = CallState::Open { forwarded: None };
+        self.pending.push(Call { caller, request, submitted_at: context.now(), state });
+        self.advance(core, context);
     }
 
-    pub(super) fn answer_local(&mut self, call: CallId, answer: OperatorAnswer, actions: &mut Vec<Action>) {
-        let before = self.calls.len();
-        self.calls.retain(|c| c.caller != Caller::Local(call));
-        if self.calls.len() != before {
-            actions.push(Action::Answer { call, answer });
+    /// The primary has answered a forwarded call. Later answers to the same call are ignored.
+    pub(super) fn complete_forwarded(
+        &mut self,
+        call: CallId,
+        answer: OperatorAnswer,
+        context: &mut Context<'_>,
+    ) {
+        let pending_before = self.pending.len();
+        self.pending.retain(|pending| pending.caller != Caller::Local(call));
+        if self.pending.len() != pending_before {
+            context.push(Action::Answer { call, answer });
         }
     }
 
-    pub(super) fn advance_calls(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        let mut calls = std::mem::take(&mut self.calls);
-        let mut waiting = Vec::new();
-        for mut call in calls.drain(..) {
-            match self.advance_call(now, &mut call, actions) {
-                Some(answer) => self.answer(call.caller, answer, actions),
-                None if now.saturating_sub(call.began) >= CALL_PATIENCE => {
-                    let answer = OperatorAnswer::unavailable("no primary answered in time, ask again");
-                    self.answer(call.caller, answer, actions);
-                }
-                None => waiting.push(call),
+    /// Advances every call as far as it goes, and answers those that are complete or timed out.
+    pub(super) fn advance(&mut self, mut core: Core<'_>, context: &mut Context<'_>) {
+        for mut call in std::mem::take(&mut self.pending) {
+            match call.advance(&mut core, context) {
+                Some(outcome) => call.answer(outcome, context),
+                None if call.is_timed_out(context.now()) => call.answer(Err(OperatorError::Timeout), context),
+                None => self.pending.push(call),
             }
         }
-        waiting.append(&mut self.calls);
-        self.calls = waiting;
     }
+}
 
-    pub(super) fn answer(&self, caller: Caller, answer: OperatorAnswer, actions: &mut Vec<Action>) {
-        match caller {
-            Caller::Local(call) => actions.push(Action::Answer { call, answer }),
-            Caller::Remote(asker, call) => {
-                let message = Message::Operator(OperatorMessage::Answer { call, answer });
-                actions.push(self.answer_to(asker, message));
-            }
-        }
-    }
+/// A call that is not answered yet.
+struct Call {
+    caller: Caller,
+    request: OperatorRequest,
+    submitted_at: Duration,
+    state: CallState,
+}
 
-    pub(super) fn advance_call(
-        &mut self,
-        now: Duration,
-        call: &mut Call,
-        actions: &mut Vec<Action>,
-    ) -> Option<OperatorAnswer> {
-        if matches!(call.step, Step::Open { .. }) {
-            if self.replica.as_ref().is_some_and(Replica::is_established) {
-                call.step = self.judge(now, &call.request, actions)?;
-            } else {
-                self.relay(now, call, actions);
-                return None;
+impl Call {
+    /// Takes the next transition, if it is possible now. Returns the outcome of a call that is complete.
+    fn advance(&mut self, core: &mut Core<'_>, context: &mut Context<'_>) -> Option<OperatorOutcome> {
+        if matches!(self.state, CallState::Open { .. }) {
+            match core.established_replica() {
+                Some(replica) => self.state = adjudicate(&self.request, replica, context)?,
+                None => {
+                    self.forward(core.primary, context);
+                    return None;
+                }
             }
         }
-        self.finish(&call.step)
+        self.state.outcome(core.replica.as_deref()?)
     }
 
-    /// Passes a call on to the primary, if another machine is that.
-    pub(super) fn relay(&self, now: Duration, call: &mut Call, actions: &mut Vec<Action>) {
-        let Step::Open { relayed } = &mut call.step else { return };
-        let Caller::Local(id) = call.caller else { return };
-        let Some(primary) =
-            self.gossip.core().map(|c: &CoreHint| c.primary).filter(|p| *p != self.own.address)
-        else {
+    /// Sends a local call to the primary, if another process is that: at once to a new primary, at intervals to the
+    /// same. Forwarded calls are not forwarded again: two processes that take each other for the primary would loop.
+    fn forward(&mut self, primary: Option<SocketAddrV4>, context: &mut Context<'_>) {
+        let CallState::Open { forwarded } = &mut self.state else { return };
+        let Caller::Local(call) = self.caller else { return };
+        let Some(primary) = primary.filter(|primary| *primary != context.own().address) else { return };
+        let now = context.now();
+        if forwarded.as_ref().is_some_and(|forwarded| forwarded.is_in_flight(now, primary)) {
             return;
-        };
-        let waits = |r: &Relayed| r.to == primary && now.saturating_sub(r.at) < RELAY_AGAIN_AFTER;
-        if !relayed.as_ref().is_some_and(waits) {
-            *relayed = Some(Relayed { to: primary, at: now });
-            let message = OperatorMessage::Call { call: id, request: call.request.clone() };
-            actions.push(self.send(primary, Message::Operator(message)));
         }
+        *forwarded = Some(Forwarded { to: primary, at: now });
+        let message = OperatorMessage::Call { call, request: self.request.clone() };
+        context.send(primary, Message::Operator(message));
     }
 
-    /// What is to become of a call on an established primary. `None` where the order can't be taken just now.
-    pub(super) fn judge(
-        &mut self,
-        now: Duration,
-        request: &OperatorRequest,
-        actions: &mut Vec<Action>,
-    ) -> Option<Step> {
-        let replica = self.replica.as_mut()?;
-        let state = replica.state().clone();
-        let (term, index) = (state.version.term, state.version.index);
-        let OperatorRequest::Change(order) = request else {
-            replica.request_confirmation();
-            return Some(Step::Read { term, asked_at: now });
-        };
-        let same_number = replica.has_mutation(ProtocolMutation::AcknowledgesByGeneration)
-            && order.generation() == Some(state.generation);
-        let verdict = if same_number { Verdict::AlreadyApplied } else { order.adjudicate(&state) };
-        let step = match verdict {
-            Verdict::HistoryTruncated => Step::HistoryTruncated { term },
-            Verdict::AlreadyApplied => Step::Commit { term, index, generation: state.generation },
-            Verdict::Reject(refusal) => {
-                replica.request_confirmation();
-                Step::Refuse { term, index, judged_at: now, refusal }
-            }
-            Verdict::Apply { generation, document, applied_change } => {
-                let mut replica_actions = Vec::new();
-                let index =
-                    replica.propose(now, generation, document, applied_change, &mut replica_actions)?;
-                self.carry_replica(replica_actions, actions);
-                Step::Commit { term, index, generation }
+    fn is_timed_out(&self, now: Duration) -> bool {
+        now.saturating_sub(self.submitted_at) >= CALL_TIMEOUT
+    }
+
+    fn answer(&self, outcome: OperatorOutcome, context: &mut Context<'_>) {
+        let answer = OperatorAnswer::from(outcome);
+        match self.caller {
+            Caller::Local(call) => context.push(Action::Answer { call, answer }),
+            Caller::Forwarded { origin, call } => {
+                let message = OperatorMessage::Answer { call, answer };
+                context.respond(origin, Message::Operator(message));
             }
-        };
-        Some(step)
+        }
     }
+}
 
-    /// The answer to a judged call, once it may be given.
-    pub(super) fn finish(&self, step: &Step) -> Option<OperatorAnswer> {
-        let replica = self.replica.as_ref()?;
-        let judged_in = match step {
-            Step::Open { .. } => return None,
-            Step::Commit { term, .. }
-            | Step::Refuse { term, .. }
-            | Step::Read { term, .. }
-            | Step::HistoryTruncated { term } => *term,
-        };
+/// The last forwarding of a call.
+struct Forwarded {
+    to: SocketAddrV4,
+    at: Duration,
+}
+
+impl Forwarded {
+    /// Whether an answer of this primary may still be on its way.
+    fn is_in_flight(&self, now: Duration, primary: SocketAddrV4) -> bool {
+        self.to == primary && now.saturating_sub(self.at) < FORWARD_RETRY_INTERVAL
+    }
+}
+
+/// How far a call has got. All states but `Open` are reached only on the primary of the term that they name, and are
+/// void in any other term.
+enum CallState {
+    /// Not adjudicated: this process is not the established primary, or not yet.
+    Open { forwarded: Option<Forwarded> },
+    /// A change that is acknowledged once the state at `position` is committed.
+    AwaitCommit { position: StateVersion, generation: u64 },
+    /// A rejection, valid once the state at `position` is committed and a quorum has confirmed the primary at or after
+    /// `adjudicated_at`.
+    AwaitRejectionConfirmation { position: StateVersion, adjudicated_at: Duration, rejection: Rejection },
+    /// A read, served once a quorum has confirmed the primary at or after `requested_at`.
+    AwaitReadConfirmation { term: u64, requested_at: Duration },
+    /// A change that may have been applied and dropped from the history since.
+    HistoryTruncated { term: u64 },
+}
+
+impl CallState {
+    /// The outcome, once it is safe to answer with.
+    fn outcome(&self, replica: &Replica) -> Option<OperatorOutcome> {
+        let term = self.adjudicated_term()?;
         let committed = replica.committed().filter(|_| replica.is_established());
-        let Some(committed) = committed.filter(|c| c.version.term == judged_in) else {
-            return Some(OperatorAnswer::unavailable("the primary changed, ask again"));
+        let Some(committed) = committed.filter(|committed| committed.version.term == term) else {
+            return Some(Err(OperatorError::PrimaryChanged));
         };
-        match step {
-            Step::Open { .. } => None,
-            Step::HistoryTruncated { .. } => Some(OperatorAnswer::unavailable(
-                "the order is too old to tell whether it was taken, read first",
-            )),
-            Step::Commit { index, generation, .. } => {
-                (committed.version.index >= *index).then(|| OperatorAnswer::acknowledged(*generation))
-            }
-            Step::Refuse { index, judged_at, refusal, .. } => {
-                let confirmed = replica.confirmed_at() >= Some(*judged_at)
+        match self {
+            CallState::Open { .. } => None,
+            CallState::AwaitCommit { position, generation } => (committed.version.index >= position.index)
+                .then_some(Ok(OperatorReply::Acknowledged { generation: *generation })),
+            CallState::AwaitRejectionConfirmation { position, adjudicated_at, rejection } => {
+                let confirmed = replica.confirmed_at() >= Some(*adjudicated_at)
                     || replica.has_mutation(ProtocolMutation::RejectsUnconfirmed);
-                (committed.version.index >= *index && confirmed)
-                    .then(|| OperatorAnswer::fault(refusal.status(), &refusal.to_string()))
+                (committed.version.index >= position.index && confirmed)
+                    .then(|| Err(OperatorError::Rejected(rejection.clone())))
             }
-            Step::Read { asked_at, .. } => {
-                let confirmed = replica.confirmed_at() >= Some(*asked_at)
+            CallState::AwaitReadConfirmation { requested_at, .. } => {
+                let confirmed = replica.confirmed_at() >= Some(*requested_at)
                     || replica.has_mutation(ProtocolMutation::ReadsUnconfirmed);
-                confirmed.then(|| match &committed.document {
-                    Some(document) => OperatorAnswer { status: 200, body: document.clone() },
-                    None => OperatorAnswer::fault(404, "there is no configuration yet"),
-                })
+                confirmed.then(|| read(committed))
+            }
+            CallState::HistoryTruncated { .. } => Some(Err(OperatorError::HistoryTruncated)),
+        }
+    }
+
+    /// The term of the primary that adjudicated the call.
+    fn adjudicated_term(&self) -> Option<u64> {
+        match self {
+            CallState::Open { .. } => None,
+            CallState::AwaitCommit { position, .. }
+            | CallState::AwaitRejectionConfirmation { position, .. } => Some(position.term),
+            CallState::AwaitReadConfirmation { term, .. } | CallState::HistoryTruncated { term } => {
+                Some(*term)
             }
         }
     }
 }
+
+/// A confirmed read of the committed state.
+fn read(committed: &ReplicatedState) -> OperatorOutcome {
+    let document = committed.document.clone().ok_or(OperatorError::NotConfigured)?;
+    Ok(OperatorReply::Document(document))
+}
+
+/// Adjudicates a request on an established primary. `None` if a change cannot be proposed right now; the call stays open.
+fn adjudicate(
+    request: &OperatorRequest,
+    replica: &mut Replica,
+    context: &mut Context<'_>,
+) -> Option<CallState> {
+    match request {
+        OperatorRequest::Read => {
+            replica.request_confirmation();
+            let term = replica.state().version.term;
+            Some(CallState::AwaitReadConfirmation { term, requested_at: context.now() })
+        }
+        OperatorRequest::Change(change) => adjudicate_change(change, replica, context),
+    }
+}
+
+/// Adjudicates a change against the newest state, committed or not: changes are proposed one on the other without
+/// waiting for the commit of the one before.
+fn adjudicate_change(
+    change: &ConfigurationChange,
+    replica: &mut Replica,
+    context: &mut Context<'_>,
+) -> Option<CallState> {
+    let now = context.now();
+    let state = replica.state().clone();
+    let position = state.version;
+    let same_number = replica.has_mutation(ProtocolMutation::AcknowledgesByGeneration)
+        && change.generation() == Some(state.generation);
+    let verdict = if same_number { Verdict::AlreadyApplied } else { change.adjudicate(&state) };
+    match verdict {
+        Verdict::HistoryTruncated => Some(CallState::HistoryTruncated { term: position.term }),
+        Verdict::AlreadyApplied => Some(CallState::AwaitCommit { position, generation: state.generation }),
+        Verdict::Reject(rejection) => {
+            replica.request_confirmation();
+            Some(CallState::AwaitRejectionConfirmation { position, adjudicated_at: now, rejection })
+        }
+        Verdict::Apply { generation, document, applied_change } => {
+            let index = context.step_replica(replica, |replica, actions| {
+                replica.propose(now, generation, document, applied_change, actions)
+            })?;
+            let position = StateVersion { term: position.term, index };
+            Some(CallState::AwaitCommit { position, generation })
+        }
+    }
+}
--- /dev/null
+++ b/crates/router/control-plane/src/coordinator/publication.rs
@@ -0,0 +1,58 @@
+//! Publication of committed state: from the established primary's replica to dissemination and to the grantor.
+//!
+//! Dissemination and grants must never run ahead of replication. Only a state committed under the primary's own term
+//! is published, with the time at which a quorum last confirmed the primary; sidecars measure the age of their
+//! configuration from that time.
+
+use super::context::Context;
+use super::Coordinator;
+use crate::replication::{ProtocolMutation, Replica, ReplicatedState};
+use passrelay_dissemination::{CommittedConfiguration, Gossip};
+
+impl Coordinator {
+    /// Publishes the core's location and the committed state, if this process is the primary, and starts, configures or
+    /// stops the grantor accordingly. Without a replica there is nothing to publish.
+    pub(super) fn publish(&mut self, context: &mut Context<'_>) {
+        let Some(replica) = &self.replica else { return };
+        let now = context.now();
+        if let Some(core) = replica.core_hint() {
+            self.gossip.observe_core(core);
+        }
+        let Some(state) = publishable_state(replica) else {
+            self.quota.resign(now);
+            return;
+        };
+        let published_index = self.gossip.configuration().map_or(0, |configuration| configuration.index);
+        publish_configuration(&mut self.gossip, replica, &state, context);
+        let started = self.quota.start_term(now, state.version.term, replica.leads_since());
+        if started || published_index != state.version.index {
+            self.quota.configure(now, &state);
+        }
+    }
+}
+
+/// The committed state of an established primary.
+fn publishable_state(replica: &Replica) -> Option<ReplicatedState> {
+    let committed = replica.committed().filter(|_| replica.is_established())?;
+    if replica.has_mutation(ProtocolMutation::PublishesUncommitted) {
+        return Some(ReplicatedState::clone(replica.state()));
+    }
+    Some(ReplicatedState::clone(committed))
+}
+
+fn publish_configuration(
+    gossip: &mut Gossip,
+    replica: &Replica,
+    state: &ReplicatedState,
+    context: &mut Context<'_>,
+) {
+    let now = context.now();
+    let configuration = state.document.clone().map(|document| CommittedConfiguration {
+        index: state.version.index,
+        generation: state.generation,
+        document,
+    });
+    context.step_gossip(gossip, |gossip, actions| {
+        gossip.committed(now, configuration.as_ref(), replica.confirmed_at(), actions);
+    });
+}
--- /dev/null
+++ b/crates/router/control-plane/src/coordinator/quota_grantor.rs
@@ -0,0 +1,139 @@
+//! Life cycle of the quota grantor: it starts with a term as primary, reports its bucket levels to the members while it
+//! grants, and ends with the term.
+//!
+//! The next grantor resumes from the levels last reported, so that a change of primary neither refills spent buckets nor
+//! forgets debts. Levels are best effort, not replicated: a grantor that has none starts nearly empty instead. The
+//! arithmetic of buckets and the fencing between grantors are in [`quota`](crate::quota).
+
+use super::context::Context;
+use super::Coordinator;
+use crate::messages::{Action, Message};
+use crate::quota::{BucketLevels, Grantor, QuotaBounds, QuotaMessage, ReportedLevels, TenantTokens};
+use crate::replication::{ProtocolMutation, Replica, ReplicatedState};
+use passrelay_configuration::{parse_document, Configuration};
+use passrelay_dissemination::{CoreHint, Peer};
+use std::time::Duration;
+
+/// Interval between reports of the bucket levels to the other members; at a failover the levels are older than the last
+/// grants by about this much.
+const LEVELS_REPORT_INTERVAL: Duration = Duration::from_millis(100);
+
+/// The grantor of this process, while it is the established primary, and what it needs to resume from a predecessor.
+pub(super) struct GrantorLifecycle {
+    bounds: QuotaBounds,
+    /// Present only while this process is the established primary; its term is that of the published state.
+    grantor: Option<Grantor>,
+    /// Levels last reported by a grantor, or the final ones of this process's own; on members. A message never replaces
+    /// levels of a later term.
+    reported_levels: Option<ReportedLevels>,
+    next_levels_report: Duration,
+}
+
+impl GrantorLifecycle {
+    pub(super) fn new(bounds: QuotaBounds) -> Self {
+        GrantorLifecycle { bounds, grantor: None, reported_levels: None, next_levels_report: Duration::ZERO }
+    }
+
+    /// Stops granting. Keeps the final levels: if this process is the next grantor too, it resumes from them.
+    pub(super) fn resign(&mut self, now: Duration) {
+        let Some(mut grantor) = self.grantor.take() else { return };
+        self.reported_levels = Some(ReportedLevels { levels: grantor.levels(now), received_at: now });
+    }
+
+    /// Starts a grantor unless there is one of this term already; returns whether it did. `primary_since` is the time
+    /// from which no earlier primary is confirmed.
+    pub(super) fn start_term(&mut self, now: Duration, term: u64, primary_since: Option<Duration>) -> bool {
+        if self.grantor.as_ref().is_some_and(|grantor| grantor.term() == term) {
+            return false;
+        }
+        self.resign(now);
+        let started_at = primary_since.unwrap_or(now);
+        self.grantor = Some(Grantor::new(started_at, term, self.bounds, self.reported_levels.as_ref()));
+        true
+    }
+
+    /// Applies the tenants' quotas of a committed state. A document that cannot be read changes nothing.
+    pub(super) fn configure(&mut self, now: Duration, state: &ReplicatedState) {
+        let document =
+            state.document.as_deref().and_then(|document| parse_document(document.as_bytes()).ok());
+        let configuration = document.and_then(|document| Configuration::read(&document).ok());
+        if let (Some(grantor), Some(configuration)) = (&mut self.grantor, configuration) {
+            grantor.configure(now, &configuration);
+        }
+    }
+
+    /// Reports the bucket levels to the other members, any of which may be the next grantor.
+    pub(super) fn report_levels(&mut self, core: Option<&CoreHint>, context: &mut Context<'_>) {
+        let now = context.now();
+        if now < self.next_levels_report {
+            return;
+        }
+        let Some(grantor) = &mut self.grantor else { return };
+        self.next_levels_report = now + LEVELS_REPORT_INTERVAL;
+        let levels = grantor.levels(now);
+        let own = context.own().address;
+        let members = core.map(|core| core.members.as_slice()).unwrap_or_default();
+        for member in members.iter().filter(|member| **member != own) {
+            context.send(*member, Message::Quota(QuotaMessage::Levels(levels.clone())));
+        }
+    }
+
+    /// Remembers the levels reported by a grantor, unless a later one has reported already.
+    fn observe_levels(&mut self, now: Duration, levels: BucketLevels) {
+        let known = self.reported_levels.as_ref();
+        if known.is_none_or(|known| known.levels.term <= levels.term) {
+            self.reported_levels = Some(ReportedLevels { levels, received_at: now });
+        }
+    }
+}
+
+/// A sidecar's request for tokens.
+struct TokenRequest {
+    requester: Peer,
+    request_id: u64,
+    wanted: Vec<TenantTokens>,
+    overdrawn: Vec<TenantTokens>,
+}
+
+impl Coordinator {
+    /// Handles a quota message: a token request if this process is the grantor, a grant for this sidecar, or levels
+    /// reported by the grantor.
+    pub(super) fn receive_quota(&mut self, from: Peer, message: QuotaMessage, context: &mut Context<'_>) {
+        match message {
+            QuotaMessage::Request { request_id, wanted, overdrawn } => {
+                let request = TokenRequest { requester: from, request_id, wanted, overdrawn };
+                self.grant_tokens(&request, context);
+            }
+            QuotaMessage::Grant { .. } => context.push(Action::QuotaGranted(message)),
+            QuotaMessage::Levels(levels) => {
+                if self.replica.is_some() {
+                    self.quota.observe_levels(context.now(), levels);
+                }
+            }
+        }
+    }
+
+    /// Responds to a token request. A grantor that no quorum has confirmed recently does not respond at all, so that the
+    /// sidecar turns to its reserve.
+    fn grant_tokens(&mut self, request: &TokenRequest, context: &mut Context<'_>) {
+        let now = context.now();
+        let unfenced =
+            self.replica.as_ref().is_some_and(|r| r.has_mutation(ProtocolMutation::GrantsUnconfirmed));
+        let confirmed_at = self.replica.as_ref().and_then(Replica::confirmed_at);
+        let confirmed_at = if unfenced { Some(now) } else { confirmed_at };
+        let Some(grantor) = &mut self.quota.grantor else { return };
+        // Sidecars that have not requested tokens yet are known from load reports, or from gossip (its view leaves out
+        // this process).
+        grantor.set_sidecar_count(self.load_totals.reporter_count().max(self.gossip.view().len() + 1));
+        let TokenRequest { requester, request_id, wanted, overdrawn } = request;
+        let Some(granted) = grantor.grant(now, confirmed_at, requester.address, wanted, overdrawn) else {
+            return;
+        };
+        let grant = QuotaMessage::Grant { request_id: *request_id, term: grantor.term(), granted };
+        if requester.address == self.own.address {
+            context.push(Action::QuotaGranted(grant));
+        } else {
+            context.respond(*requester, Message::Quota(grant));
+        }
+    }
+}
--- /dev/null
+++ b/crates/router/control-plane/src/coordinator/status.rs
@@ -0,0 +1,55 @@
+//! Summary of one process's view of the fleet, for operators and logs.
+
+use super::Coordinator;
+use crate::replication::Replica;
+use passrelay_dissemination::{EndpointRecord, EndpointState};
+use serde::Serialize;
+use std::net::SocketAddrV4;
+use std::time::Duration;
+
+/// What a process knows of the fleet. Serialised as the JSON of the status page; field names are part of that format.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize)]
+pub struct Status {
+    /// Generation of the configuration in force here; 0 before the first.
+    pub generation: u64,
+    /// Index of that configuration among all committed changes.
+    pub index: u64,
+    /// Age of the last confirmation that this configuration is the newest, in ms; `None` if there was none.
+    pub fresh_age_ms: Option<u64>,
+    /// Term of the newest epoch record known.
+    pub term: u64,
+    /// Address of the primary, if known.
+    pub primary: Option<SocketAddrV4>,
+    /// Addresses of the members of the core, if known.
+    pub members: Vec<SocketAddrV4>,
+    /// Whether this process is the established primary.
+    pub leads: bool,
+    /// Number of sidecars in the partial view.
+    pub peers: usize,
+    /// Number of endpoints known here that are not removed.
+    pub endpoints: usize,
+    /// Number of responses dropped because an earlier incarnation at this address had sent the request.
+    pub answers_dropped: u64,
+}
+
+impl Coordinator {
+    /// This process's view of the fleet at `now`.
+    pub fn status(&self, now: Duration) -> Status {
+        let configuration = self.gossip.configuration();
+        let age = self.gossip.fresh_at().map(|fresh_at| now.saturating_sub(fresh_at));
+        let core = self.gossip.core();
+        let present = |record: &&EndpointRecord| record.state != EndpointState::Removed;
+        Status {
+            generation: configuration.map_or(0, |c| c.generation),
+            index: configuration.map_or(0, |c| c.index),
+            fresh_age_ms: age.and_then(|age| u64::try_from(age.as_millis()).ok()),
+            term: core.map_or(0, |c| c.term),
+            primary: core.map(|c| c.primary),
+            members: core.map(|c| c.members.clone()).unwrap_or_default(),
+            leads: self.replica.as_ref().is_some_and(Replica::is_established),
+            peers: self.gossip.view().len(),
+            endpoints: self.gossip.registry().records().filter(present).count(),
+            answers_dropped: self.stale_responses_dropped,
+        }
+    }
+}
--- a/crates/router/control-plane/src/messages.rs
+++ b/crates/router/control-plane/src/messages.rs
@@ -1,4 +1,9 @@
-//! What processes tell each other, what operators ask and get, and what the driver of a coordinator is to do.
+//! Types at the border of the control plane: messages between processes, requests of operators, and actions for the
+//! driver.
+//!
+//! Messages are serialised (CBOR) and exchanged between processes of different versions: names, order and shape of
+//! fields and variants are fixed. Framing, connections and retransmission are the driver's; any message may be lost,
+//! duplicated or reordered.
 
 use crate::configuration_change::ConfigurationChange;
 use crate::load::LoadMessage;
@@ -9,83 +14,64 @@
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
-/// Names an operator's call at the process that took it.
+/// Identifies an operator call at the process that received it from the operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CallId(pub u64);
 
-/// What an operator asks for.
+/// A request of an operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OperatorRequest {
-    /// The newest configuration.
+    /// Read the newest committed configuration.
     Read,
-    /// A change.
+    /// Change the configuration.
     Change(ConfigurationChange),
 }
 
-/// What an operator gets.
+/// The answer to an operator call: an HTTP status and a JSON body, passed to the operator as they are.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OperatorAnswer {
-    /// Status of the answer.
+    /// HTTP status code.
     pub status: u16,
-    /// Its body, JSON.
+    /// JSON body.
     pub body: Arc<str>,
 }
 
-impl OperatorAnswer {
-    pub(crate) fn new(status: u16, body: String) -> Self {
-        OperatorAnswer { status, body: body.into() }
-    }
-
-    pub(crate) fn fault(status: u16, problem: &str) -> Self {
-        Self::new(status, serde_json::json!({ "error": problem }).to_string())
-    }
-
-    pub(crate) fn acknowledged(generation: u64) -> Self {
-        Self::new(200, serde_json::json!({ "generation": generation }).to_string())
-    }
-
-    pub(crate) fn unavailable(problem: &str) -> Self {
-        Self::fault(503, problem)
-    }
-}
-
-/// Operators' calls passed on to the primary.
+/// Messages that forward operator calls to the primary, and its answers back.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OperatorMessage {
-    /// A call.
+    /// A forwarded call.
     Call {
-        /// Its name at the sender.
+        /// Identifies the call at the sender.
         call: CallId,
-        /// What is asked for.
+        /// The request.
         request: OperatorRequest,
     },
-    /// Its answer.
+    /// The primary's answer.
     Answer {
-        /// The call.
+        /// The call, as identified by the process that forwarded it.
         call: CallId,
         /// The answer.
         answer: OperatorAnswer,
     },
 }
 
-/// All messages between processes, one variant a plane.
+/// All messages between processes, one variant per subsystem.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
     /// Replication.
     Replication(ReplicationEnvelope),
     /// Dissemination.
     Gossip(GossipMessage),
-    /// Quotas.
+    /// Token requests, grants and bucket levels.
     Quota(QuotaMessage),
-    /// Loads of endpoints.
+    /// Load reports and totals.
     Load(LoadMessage),
-    /// Operators' calls.
+    /// Forwarded operator calls.
     Operator(OperatorMessage),
 }
 
 impl Message {
-    /// Whether this answers a question, so that it is for the process that asked and for none that follows it at its
-    /// address.
+    /// Whether this responds to a request, and so is valid only for the incarnation that sent the request.
     pub fn is_answer(&self) -> bool {
         match self {
             Message::Replication(envelope) => envelope.message.is_answer(),
@@ -97,22 +83,23 @@
     }
 }
 
-/// A message, which process sent it, and for an answer which process asked.
+/// A message with its sender, and for a response the incarnation that it is addressed to.
 ///
-/// An address may be listened at by one process after the other, and what was under way for the earlier one reaches the
-/// later. Numbers of questions begin again with each process, so an answer counts only at the incarnation that asked.
+/// Several processes may listen at an address one after the other, so a message in flight to one may reach its
+/// successor. Request ids start again with each process; a response is therefore accepted only by the incarnation that
+/// sent the request, or it could be matched to a request that it does not answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
-    /// The process that sends it.
+    /// Incarnation of the sender.
     pub sender: Incarnation,
-    /// For an answer: the process that asked.
+    /// For a response: the incarnation that sent the request. `None` otherwise.
     pub addressee: Option<Incarnation>,
     /// The message.
     pub message: Message,
 }
 
 impl Envelope {
-    /// Whether this may be taken in by the process of that incarnation.
+    /// Whether the process of this incarnation may handle the message. A response without addressee is for nobody.
     pub fn is_for(&self, incarnation: Incarnation) -> bool {
         match self.addressee {
             Some(addressee) => addressee == incarnation,
@@ -121,28 +108,28 @@
     }
 }
 
-/// What the driver is to do, in this order.
+/// An action for the driver. Actions of one step are applied in their order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Send a message; it may be lost.
     Send {
-        /// Where to.
+        /// Address of the receiver.
         to: SocketAddrV4,
-        /// The message.
+        /// The message in its envelope.
         envelope: Envelope,
     },
-    /// Write and sync, then call [`Coordinator::written`](crate::Coordinator::written).
+    /// Write atomically and sync, then call [`Coordinator::written`](crate::Coordinator::written).
     Write {
-        /// Names the write.
+        /// Identifies the write in that call.
         write_id: WriteId,
-        /// What to write.
+        /// The records to write.
         write: DurableWrite,
     },
     /// A newer configuration is in force here.
     Configured(CommittedConfiguration),
-    /// The core knows what was announced of an endpoint.
+    /// The core has acknowledged an announcement about an endpoint.
     AnnouncementConfirmed(Announcement),
-    /// The answer to an operator's call.
+    /// The answer to a call that an operator made to this process.
     Answer {
         /// The call.
         call: CallId,
@@ -151,6 +138,6 @@
     },
     /// Tokens were granted to this sidecar.
     QuotaGranted(QuotaMessage),
-    /// The loads of endpoints over all sidecars.
+    /// Totals of the endpoints' load over all sidecars.
     LoadTotals(LoadMessage),
 }
--- a/crates/router/node/src/node.rs
+++ b/crates/router/node/src/node.rs
@@ -428,7 +428,7 @@
             },
             replica: None,
             incarnation: Incarnation(rand::random()),
-            counts: settings.counts_for_quorum && settings.data_dir.is_some(),
+            is_voter: settings.counts_for_quorum && settings.data_dir.is_some(),
             tolerated_losses: settings.tolerated_losses,
             quota_bounds: settings.quota_bounds,
         },
--- a/crates/testing/cluster-simulation/src/cluster.rs
+++ b/crates/testing/cluster-simulation/src/cluster.rs
@@ -584,7 +584,7 @@
                 },
                 replica,
                 incarnation,
-                counts,
+                is_voter: counts,
                 tolerated_losses,
                 quota_bounds: QuotaBounds { window_s: 8.0, overshoot: 0.1, slack: 140_000.0 },
             },
