--- a/crates/router/control-plane/src/coordinator.rs
+++ b/crates/router/control-plane/src/coordinator.rs
@@ -246,7 +246,7 @@
     }
 
     /// Runs after every event that may have moved the replica. Publication goes first, so that gossip and the grantor
-    /// are at the committed state before an operator is told of it.
+    /// are at the committed state before an operator receives its acknowledgement.
     fn advance(&mut self, context: &mut Context<'_>) {
         self.publish(context);
         let core = Core::new(self.replica.as_mut(), &self.gossip);
--- a/crates/router/control-plane/src/coordinator/operator_calls.rs
+++ b/crates/router/control-plane/src/coordinator/operator_calls.rs
@@ -6,7 +6,7 @@
 //! Open --adjudicated by the established primary--> AwaitCommit                  change applied, now or before
 //!  |                                               AwaitRejectionConfirmation  change does not apply
 //!  |                                               AwaitReadConfirmation       read
-//!  |                                               HistoryTruncated            cannot be told: unavailable
+//!  |                                               HistoryTruncated            undecidable: unavailable
 //!  +--on any other process: forwarded to the primary, whose answer completes it
 //! ```
 //!
@@ -19,6 +19,9 @@
 //! Calls are retried at any step without harm: a change is recognised by its digest
 //! ([`ConfigurationChange::adjudicate`]). Nothing here is durable.
 
+#[cfg(test)]
+mod tests;
+
 use super::context::Context;
 use super::operator_outcome::{OperatorError, OperatorOutcome, OperatorReply};
 use crate::configuration_change::{ConfigurationChange, Rejection, Verdict};
@@ -100,7 +103,7 @@
         }
     }
 
-    /// Advances every call as far as it goes, and answers those that are complete or timed out.
+    /// Advances every call as far as possible, and answers those that are complete or timed out.
     pub(super) fn advance(&mut self, mut core: Core<'_>, context: &mut Context<'_>) {
         for mut call in std::mem::take(&mut self.pending) {
             match call.advance(&mut core, context) {
@@ -136,7 +139,8 @@
     }
 
     /// Sends a local call to the primary, if another process is that: at once to a new primary, at intervals to the
-    /// same. Forwarded calls are not forwarded again: two processes that take each other for the primary would loop.
+    /// same. Forwarded calls are not forwarded again: two processes that each regard the other as the primary
+    /// would loop.
     fn forward(&mut self, primary: Option<SocketAddrV4>, context: &mut Context<'_>) {
         let CallState::Open { forwarded } = &mut self.state else { return };
         let Caller::Local(call) = self.caller else { return };
--- a/crates/router/control-plane/src/quota/grantor.rs
+++ b/crates/router/control-plane/src/quota/grantor.rs
@@ -152,7 +152,7 @@
         self.min_sidecars = sidecars;
     }
 
-    /// Charges `overdrawn` to the buckets, then grants of `wanted` what they hold. `confirmed_at` is the last time at
+    /// Charges `overdrawn` to the buckets, then grants of `wanted` what they contain. `confirmed_at` is the last time at
     /// which a quorum confirmed this grantor; `None` if that is too long ago, or the predecessor may still grant. Then
     /// nothing is charged either, and the sidecar reports the same tokens with its next request.
     pub fn grant(
@@ -175,7 +175,7 @@
         let mut granted = Vec::with_capacity(wanted.len());
         for request in wanted {
             let Some(bucket) = self.buckets.get_mut(&request.tenant) else { continue };
-            let tokens = bucket.take(now, request.tokens);
+            let tokens = bucket.consume_up_to(now, request.tokens);
             let reserve = (bucket.rate_per_s() * reserve_s / sidecars) as u64;
             granted.push(TenantGrant { tenant: request.tenant, tokens, reserve });
         }
--- a/crates/router/control-plane/src/quota/token_bucket.rs
+++ b/crates/router/control-plane/src/quota/token_bucket.rs
@@ -45,8 +45,8 @@
         (self.tokens < NEARLY_FULL_FRACTION * self.capacity).then_some(self.tokens)
     }
 
-    /// Takes as many whole tokens as there are, at most `wanted`.
-    pub(super) fn take(&mut self, now: Duration, wanted: u64) -> u64 {
+    /// Consumes as many whole tokens as the bucket contains, at most `wanted`; returns their number.
+    pub(super) fn consume_up_to(&mut self, now: Duration, wanted: u64) -> u64 {
         self.refill(now);
         let tokens = (wanted as f64).min(self.tokens).max(0.0).floor();
         self.tokens -= tokens;
