--- a/crates/testing/cluster-simulation/tests/traces.rs
+++ b/crates/testing/cluster-simulation/tests/traces.rs
@@ -276,7 +276,11 @@
     fn request_tokens(&mut self, machine: usize) -> Option<Vec<Observation>> {
         self.questions += 1;
         let wanted = vec![(TenantKey::of("t"), self.cluster.rng.random_range(1..40))];
-        let question = QuotaMessage::Request { request_id: self.questions, wanted, overdrawn: Vec::new() };
+        let question = QuotaMessage::Request {
+            request_id: self.questions,
+            wanted: wanted.into_iter().map(Into::into).collect(),
+            overdrawn: Vec::new(),
+        };
         self.cluster.request_tokens(machine, question)
     }
 
