--- a/crates/router/data-plane/tests/decision_trace.rs
+++ b/crates/router/data-plane/tests/decision_trace.rs
@@ -161,7 +161,9 @@
         self.digest.bytes(pick.address.to_string().as_bytes());
         self.digest.number(pick.tokens_to_read);
         *self.picks.entry(pick.id.clone()).or_default() += 1;
-        if self.draws.percent(3) {
+        // Some endpoints accept hardly any connection, so that their pauses grow to the longest one.
+        let refuses = pick.id.ends_with('5');
+        if self.draws.percent(if refuses { 95 } else { 3 }) {
             self.balancer.unreachable(self.now, &pick.id);
         } else {
             self.balancer.sent(self.now, &pick, prompt.as_ref());
@@ -246,10 +248,10 @@
 }
 
 #[rstest]
-#[case::few_prefixes(1, 30, 20_000, 0x3994_d31e_f9b5_726a)]
-#[case::many_prefixes(2, 5_000, 20_000, 0x0124_7ca5_c04b_8c10)]
-#[case::more_prefixes_than_are_tracked(3, u64::MAX, 200, 0x7c51_96e2_7fb7_bf5e)]
-#[case::one_prefix(4, 1, 60_000, 0x624e_3e52_c3ff_2e91)]
+#[case::few_prefixes(1, 30, 20_000, 0x4f55_c039_decd_b46d)]
+#[case::many_prefixes(2, 5_000, 20_000, 0x0fef_4db5_9885_41a8)]
+#[case::more_prefixes_than_are_tracked(3, u64::MAX, 200, 0x587f_f038_2776_f566)]
+#[case::one_prefix(4, 1, 60_000, 0x5a73_d026_cb18_66c8)]
 fn picks_of_a_history_are_those_on_record(
     #[case] seed: u64,
     #[case] prefixes: u64,
@@ -269,6 +271,8 @@
     shares: QuotaShares,
     /// Requests that wait: tenant and tokens.
     waiting: Vec<(u64, u64)>,
+    /// Chance in a hundred that the grantor's answer to a request arrives when its turn comes.
+    answer_chance: u64,
     /// Open token requests: number and what is wanted, by tenant.
     open: Vec<(u64, Vec<(u64, u64)>)>,
 }
@@ -291,7 +295,7 @@
     }
 
     fn answer_request(&mut self) {
-        if self.open.is_empty() {
+        if self.open.is_empty() || !self.draws.percent(self.answer_chance) {
             return;
         }
         let index = self.draws.below(self.open.len() as u64) as usize;
@@ -352,15 +356,21 @@
 }
 
 #[rstest]
-#[case(11, 0x8d76_0424_12a7_b1a7)]
-#[case(12, 0x0ed2_ddf7_a78b_d6cd)]
-fn quota_shares_of_a_history_are_those_on_record(#[case] seed: u64, #[case] expected: u64) {
+#[case::grantor_answers(11, 100, 0xf5c0_3348_f443_8e9c)]
+#[case::some_answers_are_lost(12, 60, 0xf679_9049_3b26_00f4)]
+#[case::grantor_is_mostly_silent(13, 5, 0x59ed_aea8_5154_8791)]
+fn quota_shares_of_a_history_are_those_on_record(
+    #[case] seed: u64,
+    #[case] answer_chance: u64,
+    #[case] expected: u64,
+) {
     let mut history = QuotaHistory {
         draws: Draws(seed),
         digest: Digest::new(),
         now: Duration::ZERO,
         shares: QuotaShares::new(Duration::from_millis(1_500)),
         waiting: Vec::new(),
+        answer_chance,
         open: Vec::new(),
     };
     (0..40_000).for_each(|_| history.step());
