--- a/crates/router/data-plane/src/balancer.rs
+++ b/crates/router/data-plane/src/balancer.rs
@@ -1,539 +1,270 @@
-//! Which endpoint gets the next request.
+//! Selects the endpoint of each request of a service.
 //!
-//! Load reports feed a formula on a time or count trigger and weighted turns pick, as in the sidecar that this
-//! fleet grew from. Around it stands the ready set: who may be picked now. For prompts it holds those endpoints at
-//! which the prompt would be read soonest: least tokens ahead of it, and shared parts that are kept there already.
-
+//! Endpoints that may not get it are filtered out first: draining, expired, ejected, stalled ([`in_flight`]) or failing
+//! too often ([`outlier`]). Where the request has a prompt, those stay at which it would be prefilled soonest, by queued
+//! tokens ([`load`], [`prefill`]) and cached prefixes ([`prefix_affinity`]). Among the rest a smooth weighted round robin
+//! decides ([`round_robin`]) by free capacity ([`weight`]) and zone.
+//!
+//! [`Balancer`] composes these and is notified of each event in a request's life; it opens no connections, sends no
+//! request and retries none.
+
+mod endpoint;
+mod in_flight;
+mod load;
+mod load_report;
+mod outlier;
+mod prefill;
+mod prefix_affinity;
+mod round_robin;
+mod weight;
+
+pub use self::load_report::LoadReport;
+
+use self::endpoint::Endpoint;
+use self::prefill::{MeanPrefill, PrefillCost};
+use self::prefix_affinity::PrefixAffinity;
 use crate::prompt::Prompt;
-use passrelay_dissemination::{EndpointLoad, EndpointRecord, EndpointState, Outcomes};
-use passrelay_load_balancing::turns::{take_turn, Candidate};
-use rustc_hash::FxHasher;
+use passrelay_dissemination::{EndpointLoad, EndpointRecord, EndpointState};
 use std::collections::{BTreeMap, HashMap};
-use std::hash::{Hash, Hasher};
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A factor is recomputed after this time ...
-const REFRESH_AFTER: Duration = Duration::from_millis(250);
-/// ... or after this many calls sent to the endpoint.
-const REFRESH_CALLS: u32 = 4;
-/// Factor before a first report.
-const UNKNOWN_FACTOR: f64 = 50.0;
-/// A report fades over this time to what the sidecar sees itself.
-const REPORT_FADES: Duration = Duration::from_millis(1_500);
-/// An endpoint with unanswered requests that has sent nothing for this long gets no more.
-const SILENCE: Duration = Duration::from_millis(700);
-/// An endpoint is suspected where its failures, of late and as far as known, come to this many ...
-const SUSPECTED_FROM: f64 = 2.0;
-/// ... and to this part of its outcomes.
-const SUSPECTED_PART: f64 = 0.25;
-/// Where more than this part of a service's endpoints would be suspected the fault is likely elsewhere, and none is.
-const MOST_SUSPECTED: f64 = 0.4;
-/// First pause for an endpoint that failed; doubles with each failure in a row.
-const FIRST_PAUSE: Duration = Duration::from_millis(400);
-/// Longest such pause.
-const LONGEST_PAUSE: Duration = Duration::from_secs(5);
-/// Weight of endpoints in other zones against those of the own zone, where nothing else tells them apart.
-const OTHER_ZONE: f64 = 0.1;
-/// Prompt tokens by which endpoints may differ and still take turns.
-const ALIKE_TOKENS: f64 = 300.0;
-/// A token that has to be read again weighs one token for each of these spans in the request's target: reading again
-/// has a price near the request's worth, and waiting costs the more the shorter the target is.
-const READ_AGAIN_PER: Duration = Duration::from_millis(50);
-/// A shared part counts as kept for this long after it was sent to an endpoint.
-const KEPT_FOR: Duration = Duration::from_secs(10);
-/// What is known of other sidecars' calls counts for this long.
-const SUMS_LAST: Duration = Duration::from_millis(1_200);
-/// Shared parts whose endpoints are remembered.
-const REMEMBERED_PARTS: usize = 4_096;
-/// Pause between searches for parts that can be forgotten, where there are too many.
-const FORGET_EVERY: Duration = Duration::from_secs(1);
-/// Weight of the newest prompt in the mean length.
-const MEAN_STEP: f64 = 0.05;
-
-/// What an endpoint reports in its answers.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct LoadReport {
-    /// Requests running.
-    pub running: f64,
-    /// Requests waiting.
-    pub waiting: f64,
-    /// Requests that it works on at the same time.
-    pub slots: f64,
-}
-
-impl LoadReport {
-    /// Reads `RUNNING,WAITING,SLOTS`.
-    pub fn read(text: &str) -> Option<Self> {
-        let mut numbers = text.split(',').map(|n| n.trim().parse::<f64>().ok().filter(|n| n.is_finite()));
-        let (running, waiting, slots) = (numbers.next()??, numbers.next()??, numbers.next()??);
-        Some(LoadReport { running, waiting, slots })
-    }
-}
-
-/// How a call to an endpoint ended, as far as placing the next one goes.
+/// How a request to an endpoint ended, as far as it matters for the selection of endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallEnd {
-    /// A whole answer came.
+    /// The response arrived completely.
     Answered,
-    /// The endpoint turned it away without running it.
+    /// The endpoint rejected the request without running it.
     Rejected,
-    /// No connection came up, or it broke, or the answer was no answer.
+    /// The connection failed or broke, or the response was not valid.
     Failed,
-    /// The caller left.
+    /// The client closed its connection first.
     Abandoned,
 }
 
-/// What is asked of a pick.
+/// What a request demands of the endpoint.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PickRequest<'a> {
     /// Name of the service.
     pub service: &'a str,
-    /// The prompt, where requests with the same parts are to be kept together.
+    /// The prompt, where requests with the same prefixes go to the same endpoints; `None` selects by weight alone.
     pub prompt: Option<Prompt>,
-    /// Time within which an answer earns its full worth.
+    /// Latency target: the time within which a response has its full value.
     pub target: Duration,
-    /// Endpoints that were tried already.
+    /// Instance ids of endpoints that earlier attempts of the request went to; these are not selected.
     pub tried: &'a [Arc<str>],
 }
 
-/// An endpoint that was picked.
+/// A selected endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Pick {
     /// Its instance id.
     pub id: Arc<str>,
     /// Its address.
     pub address: SocketAddrV4,
-    /// Prompt tokens that it has to read, without the parts that it keeps.
+    /// Prompt tokens that it has to prefill: the prompt's without the prefix that it is taken to hold. 0 without a prompt.
     pub tokens_to_read: u64,
 }
 
-#[derive(Debug)]
-struct Endpoint {
-    id: Arc<str>,
-    address: SocketAddrV4,
-    own_zone: bool,
-    state: EndpointState,
-    capacity: f64,
-    factor: f64,
-    tally: f64,
-    refreshed_at: Option<Duration>,
-    calls_since: u32,
-    report: Option<(LoadReport, Duration)>,
-    /// Own calls out now, and out when the last report came.
-    in_flight: u32,
-    in_flight_at_report: u32,
-    last_heard: Duration,
-    last_sent: Duration,
-    unanswered: u32,
-    unanswered_at_report: u32,
-    /// Prompt tokens of own calls that have no answer yet.
-    pending_prompt_tokens: f64,
-    /// What other sidecars have out here, and when that was known.
-    others: Option<(EndpointLoad, Duration)>,
-    failures: u32,
-    paused_until: Duration,
-    /// What became of own requests, and how many of these were not told yet.
-    outcomes: Outcomes,
-    untold_answered: u32,
-    untold_failed: u32,
-}
-
-impl Endpoint {
-    fn new(record: &EndpointRecord, own_zone: bool) -> Self {
-        Endpoint {
-            id: record.id.as_str().into(),
-            address: record.address,
-            own_zone,
-            state: record.state,
-            capacity: f64::from(record.capacity.max(1)),
-            factor: UNKNOWN_FACTOR,
-            tally: 0.0,
-            refreshed_at: None,
-            calls_since: 0,
-            report: None,
-            in_flight: 0,
-            in_flight_at_report: 0,
-            last_heard: Duration::ZERO,
-            last_sent: Duration::ZERO,
-            unanswered: 0,
-            unanswered_at_report: 0,
-            pending_prompt_tokens: 0.0,
-            others: None,
-            failures: 0,
-            paused_until: Duration::ZERO,
-            outcomes: Outcomes::default(),
-            untold_answered: 0,
-            untold_failed: 0,
-        }
-    }
-
-    fn others(&self, now: Duration) -> Option<EndpointLoad> {
-        let (load, at) = self.others?;
-        (now.saturating_sub(at) < SUMS_LAST).then_some(load)
-    }
-
-    /// What is out here, and what became of requests since the last account.
-    fn account(&mut self) -> EndpointLoad {
-        EndpointLoad {
-            endpoint: key_of(&self.id),
-            pending_prompt_tokens: self.pending_prompt_tokens as u32,
-            in_flight: self.in_flight,
-            answered: std::mem::take(&mut self.untold_answered),
-            failed: std::mem::take(&mut self.untold_failed),
-        }
-    }
-
-    fn note(&mut self, now: Duration, failed: bool) {
-        let (answered, failed) = (u32::from(!failed), u32::from(failed));
-        self.outcomes.add(now, answered, failed);
-        self.untold_answered += answered;
-        self.untold_failed += failed;
-    }
-
-    /// Whether many of its answers fail, by own requests or by those of several sidecars.
-    fn is_suspected(&self, now: Duration) -> bool {
-        let many = |answered: f64, failed: f64| {
-            failed >= SUSPECTED_FROM && failed >= SUSPECTED_PART * (answered + failed)
-        };
-        let (answered, failed) = self.outcomes.at_time(now);
-        let told = self.others(now).map(|o| (f64::from(o.answered), f64::from(o.failed)));
-        many(answered, failed) || told.is_some_and(|(answered, failed)| many(answered, failed))
-    }
-
-    /// Parts of its slots that are taken: the last report, corrected by what was sent and ended here since, fading
-    /// to the own calls alone.
-    fn utilization(&self, now: Duration) -> f64 {
-        let own = f64::from(self.in_flight);
-        if let Some(others) = self.others(now) {
-            let slots = self.report.map_or(self.capacity, |(report, _)| report.slots.max(1.0));
-            return (own + f64::from(others.in_flight)) / slots;
-        }
-        let Some((report, at)) = self.report else { return own / self.capacity };
-        let reported = report.running + report.waiting;
-        let fresh = (-now.saturating_sub(at).as_secs_f64() / REPORT_FADES.as_secs_f64()).exp();
-        let others = (reported - f64::from(self.in_flight_at_report)).max(0.0);
-        (others * fresh + own) / report.slots.max(1.0)
-    }
-
-    /// Prompt tokens that are to be read before a new one: the own ones, and those of requests of others that waited
-    /// when the last report was made.
-    fn tokens_ahead(&self, now: Duration, mean_tokens: f64) -> f64 {
-        if let Some(others) = self.others(now) {
-            return self.pending_prompt_tokens + f64::from(others.pending_prompt_tokens);
-        }
-        let Some((report, at)) = self.report else { return self.pending_prompt_tokens };
-        let fresh = (-now.saturating_sub(at).as_secs_f64() / REPORT_FADES.as_secs_f64()).exp();
-        let others = (report.waiting - f64::from(self.unanswered_at_report)).max(0.0);
-        self.pending_prompt_tokens + others * mean_tokens * fresh
-    }
-
-    /// The formula: spare capacity, 0 to 100.
-    fn formula(&self, now: Duration) -> f64 {
-        if self.report.is_none() && self.in_flight == 0 {
-            return UNKNOWN_FACTOR;
-        }
-        ((1.0 - self.utilization(now)) * 100.0).max(0.0)
-    }
-
-    fn refresh(&mut self, now: Duration) {
-        let due = self.refreshed_at.is_none_or(|at| now.saturating_sub(at) >= REFRESH_AFTER);
-        if due || self.calls_since >= REFRESH_CALLS {
-            self.factor = self.formula(now);
-            self.refreshed_at = Some(now);
-            self.calls_since = 0;
-        }
-    }
-
-    fn is_silent(&self, now: Duration) -> bool {
-        self.unanswered > 0 && now.saturating_sub(self.last_heard.max(self.last_sent)) > SILENCE
-    }
-
-    fn is_well(&self, now: Duration) -> bool {
-        self.state == EndpointState::Ready && now >= self.paused_until && !self.is_silent(now)
-    }
-}
-
-/// The endpoints of all services as this sidecar sees them.
+/// The endpoints of all services as this router sees them.
 #[derive(Debug)]
 pub struct Balancer {
+    /// The router's own zone.
     zone: String,
+    /// All endpoints that are not removed, by instance id.
     endpoints: HashMap<Arc<str>, Endpoint>,
+    /// Instance ids by service, in the order of the registry. Each one is a key of `endpoints`.
     services: HashMap<String, Vec<Arc<str>>>,
-    /// Where shared parts were sent lately, and when.
-    kept: HashMap<u64, Vec<(Arc<str>, Duration)>>,
-    next_forgetting: Duration,
-    mean_tokens: f64,
+    /// Endpoints that are taken to hold prompt prefixes.
+    prefixes: PrefixAffinity,
+    /// Mean tokens to prefill, over all services.
+    mean_prefill: MeanPrefill,
 }
 
 impl Balancer {
-    /// A balancer of a sidecar in a zone.
+    /// A balancer without endpoints, of a router in `zone`.
     pub fn new(zone: &str) -> Self {
         Balancer {
             zone: zone.to_owned(),
             endpoints: HashMap::new(),
             services: HashMap::new(),
-            kept: HashMap::new(),
-            next_forgetting: Duration::ZERO,
-            mean_tokens: 0.0,
+            prefixes: PrefixAffinity::default(),
+            mean_prefill: MeanPrefill::default(),
         }
     }
 
-    /// Takes the registry as it is now. What was seen of endpoints that stay is kept.
+    // ---- Endpoints ----
+
+    /// Replaces the endpoints by those of the registry. What was observed of endpoints that stay is kept.
     pub fn update<'a>(&mut self, records: impl Iterator<Item = &'a EndpointRecord>) {
         let mut services: BTreeMap<&str, Vec<Arc<str>>> = BTreeMap::new();
-        let mut before = std::mem::take(&mut self.endpoints);
-        for record in records.filter(|r| r.state != EndpointState::Removed) {
-            let own_zone = record.zone == self.zone;
+        let mut previous = std::mem::take(&mut self.endpoints);
+        for record in records.filter(|record| record.state != EndpointState::Removed) {
             let mut endpoint =
-                before.remove(record.id.as_str()).unwrap_or_else(|| Endpoint::new(record, own_zone));
-            endpoint.state = record.state;
-            endpoint.address = record.address;
-            let id = endpoint.id.clone();
+                previous.remove(record.id.as_str()).unwrap_or_else(|| Endpoint::new(record, &self.zone));
+            endpoint.update(record);
+            let id = endpoint.id().clone();
             self.endpoints.insert(id.clone(), endpoint);
             services.entry(&record.service).or_default().push(id);
         }
         self.services = services.into_iter().map(|(service, ids)| (service.to_owned(), ids)).collect();
     }
 
-    /// Shared parts whose endpoints are remembered.
+    /// Number of prompt prefixes whose endpoints are tracked.
     pub fn remembered_parts(&self) -> usize {
-        self.kept.len()
+        self.prefixes.len()
     }
 
-    /// Whether any endpoint of any service may be sent to.
+    /// Whether any endpoint of any service is ready.
     pub fn has_ready(&self) -> bool {
-        self.endpoints.values().any(|e| e.state == EndpointState::Ready)
+        self.endpoints.values().any(|endpoint| endpoint.state() == EndpointState::Ready)
     }
 
-    /// Whether an endpoint may still be sent to.
+    /// Whether a request may still be sent to an endpoint that was selected earlier. One whose heartbeats have stopped
+    /// may get it, one that drains or is removed may not.
     pub fn may_send(&self, id: &str) -> bool {
         self.endpoints
             .get(id)
-            .is_some_and(|e| matches!(e.state, EndpointState::Ready | EndpointState::Expired))
+            .is_some_and(|endpoint| matches!(endpoint.state(), EndpointState::Ready | EndpointState::Expired))
     }
 
-    /// Picks an endpoint.
+    // ---- Selection ----
+
+    /// Selects an endpoint. `None` where the service is unknown, or all its endpoints drain or were tried already.
     pub fn pick(&mut self, now: Duration, request: &PickRequest) -> Option<Pick> {
-        let ids = self.services.get(request.service)?;
-        let known = |id: &&Arc<str>| {
-            let endpoint = &self.endpoints[*id];
-            endpoint.state != EndpointState::Draining && !request.tried.contains(id)
-        };
-        let candidates: Vec<Arc<str>> = ids.iter().filter(known).cloned().collect();
-        let suspected: Vec<bool> = candidates.iter().map(|id| self.endpoints[id].is_suspected(now)).collect();
-        let count = suspected.iter().filter(|s| **s).count();
-        let believes = count as f64 <= MOST_SUSPECTED * candidates.len() as f64;
-        let well: Vec<Arc<str>> = candidates
-            .iter()
-            .zip(&suspected)
-            .filter(|(id, suspected)| self.endpoints[*id].is_well(now) && !(believes && **suspected))
-            .map(|(id, _)| id.clone())
-            .collect();
-        // With nobody well, whoever may be there is tried: the trouble may be over.
-        let ready = if well.is_empty() { candidates } else { well };
-        for id in &ready {
+        let eligible = self.eligible(now, request)?;
+        for id in &eligible {
             if let Some(endpoint) = self.endpoints.get_mut(id) {
-                endpoint.refresh(now);
+                endpoint.refresh_weight(now);
+            }
+        }
+        match &request.prompt {
+            Some(prompt) => self.pick_by_prefill(now, &eligible, prompt, request.target),
+            None => {
+                let id = round_robin::pick_by_weight(&mut self.endpoints, &eligible)?;
+                self.picked(&id, 0)
             }
         }
-        let (chosen, tokens_to_read) = match &request.prompt {
-            Some(prompt) => self.pick_for_prompt(now, &ready, prompt, request.target),
-            None => self.pick_by_turn(&ready).map(|id| (id, 0)),
-        }?;
-        let endpoint = self.endpoints.get(&chosen)?;
-        Some(Pick { id: endpoint.id.clone(), address: endpoint.address, tokens_to_read })
     }
 
-    /// Turns among all ready endpoints.
-    fn pick_by_turn(&mut self, ready: &[Arc<str>]) -> Option<Arc<str>> {
-        let spared = ready.iter().any(|id| self.endpoints[id].factor > 0.0);
-        let crowded = ready.iter().any(|id| self.endpoints[id].own_zone && self.endpoints[id].factor > 50.0);
-        let weight = |e: &Endpoint| {
-            let factor = if spared { e.factor } else { 1.0 };
-            factor * if e.own_zone || !crowded { 1.0 } else { OTHER_ZONE }
+    /// The healthy endpoints of the service; where there is none, all that neither drain nor were tried, for the fault
+    /// may be over. `None` where the service is unknown.
+    fn eligible(&self, now: Duration, request: &PickRequest) -> Option<Vec<Arc<str>>> {
+        let ids = self.services.get(request.service)?;
+        let is_candidate = |id: &&Arc<str>| {
+            self.endpoints[*id].state() != EndpointState::Draining && !request.tried.contains(id)
         };
-        self.turn(ready, weight)
-    }
-
-    /// The endpoints that are taken to keep the shared parts of a prompt: their home, and where they were sent lately.
-    fn keepers(&self, now: Duration, ready: &[Arc<str>], prompt: &Prompt) -> Vec<Arc<str>> {
-        let Some(part) = prompt.shared_part else { return Vec::new() };
-        let home = ready.iter().max_by_key(|id| rendezvous(part, id));
-        let places = self.kept.get(&part).into_iter().flatten();
-        let lately = places.filter(|(_, when)| now.saturating_sub(*when) < KEPT_FOR).map(|(at, _)| at);
-        home.into_iter().chain(lately).cloned().collect()
+        let candidates: Vec<Arc<str>> = ids.iter().filter(is_candidate).cloned().collect();
+        let outliers: Vec<bool> = candidates.iter().map(|id| self.endpoints[id].is_outlier(now)).collect();
+        let outlier_count = outliers.iter().filter(|is_outlier| **is_outlier).count();
+        let ejects_outliers = outlier::may_eject(outlier_count, candidates.len());
+        let healthy: Vec<Arc<str>> = candidates
+            .iter()
+            .zip(&outliers)
+            .filter(|(id, is_outlier)| {
+                self.endpoints[*id].is_healthy(now) && !(ejects_outliers && **is_outlier)
+            })
+            .map(|(id, _)| id.clone())
+            .collect();
+        Some(if healthy.is_empty() { candidates } else { healthy })
     }
 
-    /// Turns among the endpoints at which the prompt would be read soonest; with the tokens to be read there.
-    fn pick_for_prompt(
+    /// Selects by weight among the endpoints of least prefill cost.
+    fn pick_by_prefill(
         &mut self,
         now: Duration,
-        ready: &[Arc<str>],
+        eligible: &[Arc<str>],
         prompt: &Prompt,
-        target: Duration,
-    ) -> Option<(Arc<str>, u64)> {
-        let keepers = self.keepers(now, ready, prompt);
-        let read_again = target.as_secs_f64() / READ_AGAIN_PER.as_secs_f64();
-        let cost = |id: &Arc<str>| {
-            let ahead = self.endpoints[id].tokens_ahead(now, self.mean_tokens);
-            ahead + if keepers.contains(id) { 0.0 } else { read_again * prompt.shared_tokens as f64 }
+        latency_target: Duration,
+    ) -> Option<Pick> {
+        let holders = match prompt.shared_part {
+            Some(prefix) => self.prefixes.holders(now, eligible, prefix),
+            None => Vec::new(),
         };
-        let costs: Vec<f64> = ready.iter().map(cost).collect();
-        let least = costs.iter().copied().fold(f64::INFINITY, f64::min);
-        let near = ready.iter().zip(&costs).filter(|(_, cost)| **cost <= least + ALIKE_TOKENS);
-        let soonest: Vec<Arc<str>> = near.map(|(id, _)| id.clone()).collect();
-        let chosen = self.pick_by_turn(&soonest)?;
-        let kept_tokens = if keepers.contains(&chosen) { prompt.shared_tokens } else { 0 };
-        Some((chosen, prompt.input_tokens.saturating_sub(kept_tokens)))
+        let cost = PrefillCost::new(now, &self.mean_prefill, &holders, prompt, latency_target);
+        let cheapest = cost.cheapest(&self.endpoints, eligible);
+        let id = round_robin::pick_by_weight(&mut self.endpoints, &cheapest)?;
+        let cached_tokens = if holders.contains(&id) { prompt.shared_tokens } else { 0 };
+        self.picked(&id, prompt.input_tokens.saturating_sub(cached_tokens))
     }
 
-    fn remember_part(&mut self, now: Duration, part: u64, id: &Arc<str>) {
-        if self.kept.len() >= REMEMBERED_PARTS && !self.kept.contains_key(&part) {
-            if now < self.next_forgetting {
-                return;
-            }
-            self.next_forgetting = now + FORGET_EVERY;
-            self.kept.retain(|_, places| {
-                places.retain(|(_, when)| now.saturating_sub(*when) < KEPT_FOR);
-                !places.is_empty()
-            });
-            if self.kept.len() >= REMEMBERED_PARTS {
-                return;
-            }
-        }
-        let places = self.kept.entry(part).or_default();
-        places.retain(|(at, when)| at != id && now.saturating_sub(*when) < KEPT_FOR);
-        places.push((id.clone(), now));
+    fn picked(&self, id: &Arc<str>, prefill_tokens: u64) -> Option<Pick> {
+        let endpoint = self.endpoints.get(id)?;
+        Some(Pick { id: endpoint.id().clone(), address: endpoint.address(), tokens_to_read: prefill_tokens })
     }
 
-    fn turn(&mut self, among: &[Arc<str>], weight: impl Fn(&Endpoint) -> f64) -> Option<Arc<str>> {
-        let mut chosen: Vec<(&Arc<str>, &mut Endpoint)> =
-            self.endpoints.iter_mut().filter(|(id, _)| among.contains(id)).collect();
-        chosen.sort_by(|a, b| a.0.cmp(b.0));
-        let ids: Vec<Arc<str>> = chosen.iter().map(|(id, _)| (*id).clone()).collect();
-        let candidates = chosen.into_iter().enumerate().map(|(index, (_, endpoint))| {
-            let factor = weight(endpoint);
-            Candidate { item: index, factor, tally: &mut endpoint.tally }
-        });
-        take_turn(candidates).map(|index| ids[index].clone())
-    }
+    // ---- Life of a request ----
 
-    /// What this sidecar has out, by endpoint, and what became of its requests since the last account.
-    pub fn account(&mut self) -> Vec<EndpointLoad> {
-        let has_news = |e: &&mut Endpoint| e.in_flight + e.untold_answered + e.untold_failed > 0;
-        self.endpoints.values_mut().filter(has_news).map(Endpoint::account).collect()
-    }
-
-    /// Takes in what all sidecars have out, this one with what it told among them.
-    pub fn learn_sums(&mut self, now: Duration, told: &[EndpointLoad], sums: &HashMap<u64, EndpointLoad>) {
-        for endpoint in self.endpoints.values_mut() {
-            let key = key_of(&endpoint.id);
-            let own = told.iter().find(|l| l.endpoint == key);
-            let sum = sums.get(&key);
-            let rest =
-                |part: fn(&EndpointLoad) -> u32| sum.map_or(0, part).saturating_sub(own.map_or(0, part));
-            let others = EndpointLoad {
-                endpoint: key,
-                pending_prompt_tokens: rest(|l| l.pending_prompt_tokens),
-                in_flight: rest(|l| l.in_flight),
-                answered: sum.map_or(0, |l| l.answered),
-                failed: sum.map_or(0, |l| l.failed),
-            };
-            endpoint.others = Some((others, now));
-        }
-    }
-
-    /// A call was sent to an endpoint that was picked.
+    /// A request was sent to the endpoint that was selected for it.
     pub fn sent(&mut self, now: Duration, pick: &Pick, prompt: Option<&Prompt>) {
         if let Some(prompt) = prompt {
-            self.mean_tokens += MEAN_STEP * (pick.tokens_to_read as f64 - self.mean_tokens);
-            if let Some(part) = prompt.shared_part {
-                self.remember_part(now, part, &pick.id);
+            self.mean_prefill.observe(pick.tokens_to_read);
+            if let Some(prefix) = prompt.shared_part {
+                self.prefixes.record(now, prefix, &pick.id);
             }
         }
         if let Some(endpoint) = self.endpoints.get_mut(&pick.id) {
-            endpoint.pending_prompt_tokens += pick.tokens_to_read as f64;
-            endpoint.in_flight += 1;
-            endpoint.calls_since += 1;
-            if endpoint.unanswered == 0 {
-                endpoint.last_sent = now;
-            }
-            endpoint.unanswered += 1;
+            endpoint.request_sent(now, pick.tokens_to_read);
         }
     }
 
-    /// The head of an answer came; `failed` tells whether it tells of an error at the endpoint.
-    pub fn answered(&mut self, now: Duration, pick: &Pick, report: Option<LoadReport>, failed: bool) {
+    /// The head of a response arrived, with the endpoint's load report where it sends one; `is_error` where the response
+    /// shows an error of the endpoint.
+    pub fn answered(&mut self, now: Duration, pick: &Pick, report: Option<LoadReport>, is_error: bool) {
         if let Some(endpoint) = self.endpoints.get_mut(&pick.id) {
-            endpoint.note(now, failed);
-            endpoint.last_heard = now;
-            endpoint.forget_unread(pick);
-            endpoint.unanswered = endpoint.unanswered.saturating_sub(1);
-            endpoint.failures = 0;
-            endpoint.paused_until = Duration::ZERO;
-            if let Some(report) = report {
-                endpoint.report = Some((report, now));
-                endpoint.in_flight_at_report = endpoint.in_flight;
-                endpoint.unanswered_at_report = endpoint.unanswered;
-            }
+            endpoint.response_head_received(now, pick.tokens_to_read, report, is_error);
         }
     }
 
-    /// A piece of an answer came.
+    /// A chunk of a response body arrived.
     pub fn heard(&mut self, now: Duration, id: &str) {
         if let Some(endpoint) = self.endpoints.get_mut(id) {
-            endpoint.last_heard = now;
+            endpoint.response_chunk_received(now);
         }
     }
 
-    /// A call that was sent has ended; `answered` tells whether the head of an answer had come.
-    pub fn ended(&mut self, now: Duration, pick: &Pick, answered: bool, end: CallEnd) {
+    /// A request that was sent has ended; `has_response` where the head of its response had arrived. A request that the
+    /// client abandons counts as a failure where the endpoint had been silent since.
+    pub fn ended(&mut self, now: Duration, pick: &Pick, has_response: bool, end: CallEnd) {
         let Some(endpoint) = self.endpoints.get_mut(&pick.id) else { return };
-        endpoint.in_flight = endpoint.in_flight.saturating_sub(1);
-        if !answered {
-            endpoint.unanswered = endpoint.unanswered.saturating_sub(1);
-            endpoint.forget_unread(pick);
-        }
-        let silent = !answered && endpoint.last_heard < endpoint.last_sent;
-        if end == CallEnd::Failed || (end == CallEnd::Abandoned && silent) {
-            endpoint.note(now, true);
-            endpoint.pause(now);
+        endpoint.request_ended(has_response, pick.tokens_to_read);
+        let is_silent = !has_response && endpoint.is_silent_since_sending();
+        if end == CallEnd::Failed || (end == CallEnd::Abandoned && is_silent) {
+            endpoint.fail(now);
         }
     }
 
-    /// No connection to an endpoint came up.
+    /// No connection to an endpoint could be established; the request was not sent.
     pub fn unreachable(&mut self, now: Duration, id: &str) {
         if let Some(endpoint) = self.endpoints.get_mut(id) {
-            endpoint.note(now, true);
-            endpoint.pause(now);
+            endpoint.fail(now);
         }
     }
-}
 
-impl Endpoint {
-    fn forget_unread(&mut self, pick: &Pick) {
-        self.pending_prompt_tokens = (self.pending_prompt_tokens - pick.tokens_to_read as f64).max(0.0);
-    }
+    // ---- Load of the fleet ----
 
-    fn pause(&mut self, now: Duration) {
-        let pause = FIRST_PAUSE * 2_u32.saturating_pow(self.failures.min(8));
-        self.failures = self.failures.saturating_add(1);
-        self.paused_until = now + pause.min(LONGEST_PAUSE);
+    /// This router's load report: requests in flight by endpoint, and their outcomes since the last report. In no
+    /// particular order.
+    pub fn account(&mut self) -> Vec<EndpointLoad> {
+        self.endpoints
+            .values_mut()
+            .filter(|endpoint| endpoint.has_load_to_report())
+            .map(Endpoint::take_load_report)
+            .collect()
     }
-}
-
-fn key_of(id: &str) -> u64 {
-    let mut hasher = FxHasher::default();
-    id.hash(&mut hasher);
-    hasher.finish()
-}
 
-fn rendezvous(part: u64, id: &str) -> u64 {
-    let mut hasher = FxHasher::default();
-    (part, id).hash(&mut hasher);
-    // FxHasher leaves the low bits weak; one more round of mixing evens the order out.
-    let mixed = (hasher.finish() ^ (hasher.finish() >> 29)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    mixed ^ (mixed >> 32)
+    /// Takes the load totals of all routers by endpoint key, and the own load report that is among them.
+    pub fn learn_sums(
+        &mut self,
+        now: Duration,
+        own_report: &[EndpointLoad],
+        totals: &HashMap<u64, EndpointLoad>,
+    ) {
+        for endpoint in self.endpoints.values_mut() {
+            let key = endpoint.load_key();
+            let own = own_report.iter().find(|load| load.endpoint == key);
+            endpoint.observe_fleet_load(now, own, totals.get(&key));
+        }
+    }
 }
