--- a/crates/router/data-plane/src/balancer.rs
+++ b/crates/router/data-plane/src/balancer.rs
@@ -34,7 +34,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallEnd {
     /// The response arrived completely.
-    Answered,
+    Completed,
     /// The endpoint rejected the request without running it.
     Rejected,
     /// The connection failed or broke, or the response was not valid.
@@ -53,7 +53,7 @@
     /// Latency target: the time within which a response has its full value.
     pub target: Duration,
     /// Instance ids of endpoints that earlier attempts of the request went to; these are not selected.
-    pub tried: &'a [Arc<str>],
+    pub attempted: &'a [Arc<str>],
 }
 
 /// A selected endpoint.
@@ -64,7 +64,7 @@
     /// Its address.
     pub address: SocketAddrV4,
     /// Prompt tokens that it has to prefill: the prompt's without the prefix that it is taken to hold. 0 without a prompt.
-    pub tokens_to_read: u64,
+    pub prefill_tokens: u64,
 }
 
 /// The endpoints of all services as this router sees them.
@@ -112,7 +112,7 @@
     }
 
     /// Number of prompt prefixes whose endpoints are tracked.
-    pub fn remembered_parts(&self) -> usize {
+    pub fn tracked_prefixes(&self) -> usize {
         self.prefixes.len()
     }
 
@@ -153,7 +153,7 @@
     fn eligible(&self, now: Duration, request: &PickRequest) -> Option<Vec<Arc<str>>> {
         let ids = self.services.get(request.service)?;
         let is_candidate = |id: &&Arc<str>| {
-            self.endpoints[*id].state() != EndpointState::Draining && !request.tried.contains(id)
+            self.endpoints[*id].state() != EndpointState::Draining && !request.attempted.contains(id)
         };
         let candidates: Vec<Arc<str>> = ids.iter().filter(is_candidate).cloned().collect();
         let outliers: Vec<bool> = candidates.iter().map(|id| self.endpoints[id].is_outlier(now)).collect();
@@ -178,47 +178,53 @@
         prompt: &Prompt,
         latency_target: Duration,
     ) -> Option<Pick> {
-        let holders = match prompt.shared_part {
+        let holders = match prompt.shared_prefix {
             Some(prefix) => self.prefixes.holders(now, eligible, prefix),
             None => Vec::new(),
         };
         let cost = PrefillCost::new(now, &self.mean_prefill, &holders, prompt, latency_target);
         let cheapest = cost.cheapest(&self.endpoints, eligible);
         let id = round_robin::pick_by_weight(&mut self.endpoints, &cheapest)?;
-        let cached_tokens = if holders.contains(&id) { prompt.shared_tokens } else { 0 };
+        let cached_tokens = if holders.contains(&id) { prompt.shared_prefix_tokens } else { 0 };
         self.picked(&id, prompt.input_tokens.saturating_sub(cached_tokens))
     }
 
     fn picked(&self, id: &Arc<str>, prefill_tokens: u64) -> Option<Pick> {
         let endpoint = self.endpoints.get(id)?;
-        Some(Pick { id: endpoint.id().clone(), address: endpoint.address(), tokens_to_read: prefill_tokens })
+        Some(Pick { id: endpoint.id().clone(), address: endpoint.address(), prefill_tokens })
     }
 
     // ---- Life of a request ----
 
     /// A request was sent to the endpoint that was selected for it.
-    pub fn sent(&mut self, now: Duration, pick: &Pick, prompt: Option<&Prompt>) {
+    pub fn request_sent(&mut self, now: Duration, pick: &Pick, prompt: Option<&Prompt>) {
         if let Some(prompt) = prompt {
-            self.mean_prefill.observe(pick.tokens_to_read);
-            if let Some(prefix) = prompt.shared_part {
+            self.mean_prefill.observe(pick.prefill_tokens);
+            if let Some(prefix) = prompt.shared_prefix {
                 self.prefixes.record(now, prefix, &pick.id);
             }
         }
         if let Some(endpoint) = self.endpoints.get_mut(&pick.id) {
-            endpoint.request_sent(now, pick.tokens_to_read);
+            endpoint.request_sent(now, pick.prefill_tokens);
         }
     }
 
     /// The head of a response arrived, with the endpoint's load report where it sends one; `is_error` where the response
     /// shows an error of the endpoint.
-    pub fn answered(&mut self, now: Duration, pick: &Pick, report: Option<LoadReport>, is_error: bool) {
+    pub fn response_head_received(
+        &mut self,
+        now: Duration,
+        pick: &Pick,
+        report: Option<LoadReport>,
+        is_error: bool,
+    ) {
         if let Some(endpoint) = self.endpoints.get_mut(&pick.id) {
-            endpoint.response_head_received(now, pick.tokens_to_read, report, is_error);
+            endpoint.response_head_received(now, pick.prefill_tokens, report, is_error);
         }
     }
 
     /// A chunk of a response body arrived.
-    pub fn heard(&mut self, now: Duration, id: &str) {
+    pub fn response_chunk_received(&mut self, now: Duration, id: &str) {
         if let Some(endpoint) = self.endpoints.get_mut(id) {
             endpoint.response_chunk_received(now);
         }
@@ -226,9 +232,9 @@
 
     /// A request that was sent has ended; `has_response` where the head of its response had arrived. A request that the
     /// client abandons counts as a failure where the endpoint had been silent since.
-    pub fn ended(&mut self, now: Duration, pick: &Pick, has_response: bool, end: CallEnd) {
+    pub fn request_ended(&mut self, now: Duration, pick: &Pick, has_response: bool, end: CallEnd) {
         let Some(endpoint) = self.endpoints.get_mut(&pick.id) else { return };
-        endpoint.request_ended(has_response, pick.tokens_to_read);
+        endpoint.request_ended(has_response, pick.prefill_tokens);
         let is_silent = !has_response && endpoint.is_silent_since_sending();
         if end == CallEnd::Failed || (end == CallEnd::Abandoned && is_silent) {
             endpoint.fail(now);
@@ -236,7 +242,7 @@
     }
 
     /// No connection to an endpoint could be established; the request was not sent.
-    pub fn unreachable(&mut self, now: Duration, id: &str) {
+    pub fn connect_failed(&mut self, now: Duration, id: &str) {
         if let Some(endpoint) = self.endpoints.get_mut(id) {
             endpoint.fail(now);
         }
@@ -246,7 +252,7 @@
 
     /// This router's load report: requests in flight by endpoint, and their outcomes since the last report. In no
     /// particular order.
-    pub fn account(&mut self) -> Vec<EndpointLoad> {
+    pub fn take_load_report(&mut self) -> Vec<EndpointLoad> {
         self.endpoints
             .values_mut()
             .filter(|endpoint| endpoint.has_load_to_report())
@@ -255,7 +261,7 @@
     }
 
     /// Takes the load totals of all routers by endpoint key, and the own load report that is among them.
-    pub fn learn_sums(
+    pub fn observe_fleet_load(
         &mut self,
         now: Duration,
         own_report: &[EndpointLoad],
--- a/crates/router/data-plane/src/balancer/prefill.rs
+++ b/crates/router/data-plane/src/balancer/prefill.rs
@@ -55,7 +55,7 @@
             now,
             mean_prefill_tokens: mean.tokens(),
             prefix_holders,
-            recompute_cost: cost_per_token * prompt.shared_tokens as f64,
+            recompute_cost: cost_per_token * prompt.shared_prefix_tokens as f64,
         }
     }
 
--- a/crates/router/data-plane/src/prompt.rs
+++ b/crates/router/data-plane/src/prompt.rs
@@ -8,9 +8,9 @@
     /// Most tokens that the answer may have.
     pub output_tokens: u64,
     /// The deepest part that the prompt shares with others, if there is one.
-    pub shared_part: Option<u64>,
+    pub shared_prefix: Option<u64>,
     /// Tokens of all shared parts together.
-    pub shared_tokens: u64,
+    pub shared_prefix_tokens: u64,
 }
 
 impl Prompt {
@@ -25,8 +25,8 @@
         let parts: Vec<(u64, u64)> = prefix_hash.map(read_parts).unwrap_or_default();
         // The last part belongs to the request itself or to its session.
         if let Some((_, shared)) = parts.split_last() {
-            prompt.shared_part = shared.last().map(|(id, _)| *id);
-            prompt.shared_tokens = shared.iter().map(|(_, tokens)| tokens).sum();
+            prompt.shared_prefix = shared.last().map(|(id, _)| *id);
+            prompt.shared_prefix_tokens = shared.iter().map(|(_, tokens)| tokens).sum();
         }
         prompt
     }
--- a/crates/router/data-plane/tests/decision_trace.rs
+++ b/crates/router/data-plane/tests/decision_trace.rs
@@ -134,12 +134,12 @@
         if self.draws.percent(30) {
             return None;
         }
-        let shared_part = self.draws.percent(80).then_some(self.draws.below(self.prefixes));
+        let shared_prefix = self.draws.percent(80).then_some(self.draws.below(self.prefixes));
         Some(Prompt {
             input_tokens: 200 + self.draws.below(8_000),
             output_tokens: self.draws.below(500),
-            shared_part,
-            shared_tokens: if shared_part.is_some() { self.draws.below(6_000) } else { 0 },
+            shared_prefix,
+            shared_prefix_tokens: if shared_prefix.is_some() { self.draws.below(6_000) } else { 0 },
         })
     }
 
@@ -153,20 +153,20 @@
         let target = Duration::from_millis(200 + self.draws.below(5_000));
         let attempted: Vec<Arc<str>> =
             (0..self.draws.below(4)).map(|_| format!("i-{}", self.draws.below(14)).into()).collect();
-        let request = PickRequest { service, prompt, target, tried: &attempted };
+        let request = PickRequest { service, prompt, target, attempted: &attempted };
         let Some(pick) = self.balancer.pick(self.now, &request) else {
             return self.digest.number(u64::MAX);
         };
         self.digest.bytes(pick.id.as_bytes());
         self.digest.bytes(pick.address.to_string().as_bytes());
-        self.digest.number(pick.tokens_to_read);
+        self.digest.number(pick.prefill_tokens);
         *self.picks.entry(pick.id.clone()).or_default() += 1;
         // Some endpoints accept hardly any connection, so that their pauses grow to the longest one.
         let refuses = pick.id.ends_with('5');
         if self.draws.percent(if refuses { 95 } else { 3 }) {
-            self.balancer.unreachable(self.now, &pick.id);
+            self.balancer.connect_failed(self.now, &pick.id);
         } else {
-            self.balancer.sent(self.now, &pick, prompt.as_ref());
+            self.balancer.request_sent(self.now, &pick, prompt.as_ref());
             self.calls.push(Call { pick, is_answered: false });
         }
     }
@@ -186,25 +186,25 @@
                 waiting: self.draws.below(5) as f64,
                 slots: self.draws.below(9) as f64,
             });
-            self.balancer.answered(self.now, &pick, report, fails);
+            self.balancer.response_head_received(self.now, &pick, report, fails);
             self.calls[index].is_answered = true;
         } else if self.calls[index].is_answered && self.draws.percent(40) {
-            self.balancer.heard(self.now, &pick.id);
+            self.balancer.response_chunk_received(self.now, &pick.id);
         } else {
             let call = self.calls.swap_remove(index);
             let end = match self.draws.below(20) {
                 0 => CallEnd::Abandoned,
                 1 => CallEnd::Rejected,
                 _ if fails => CallEnd::Failed,
-                _ => CallEnd::Answered,
+                _ => CallEnd::Completed,
             };
-            self.balancer.ended(self.now, &call.pick, call.is_answered, end);
+            self.balancer.request_ended(self.now, &call.pick, call.is_answered, end);
         }
     }
 
     /// Reports the own load and takes in the fleet's, which is the own one and that of drawn other sidecars.
     fn exchange_loads(&mut self) {
-        let mut own = self.balancer.account();
+        let mut own = self.balancer.take_load_report();
         own.sort_by_key(|load| load.endpoint);
         let mut fleet = HashMap::new();
         for load in &own {
@@ -225,7 +225,7 @@
             }
         }
         if self.draws.percent(85) {
-            self.balancer.learn_sums(self.now, &own, &fleet);
+            self.balancer.observe_fleet_load(self.now, &own, &fleet);
         }
     }
 
@@ -243,7 +243,7 @@
         let id = format!("i-{}", self.draws.below(20));
         self.digest.number(u64::from(self.balancer.may_send(&id)));
         self.digest.number(u64::from(self.balancer.has_ready()));
-        self.digest.number(self.balancer.remembered_parts() as u64);
+        self.digest.number(self.balancer.tracked_prefixes() as u64);
     }
 }
 
--- a/crates/router/node/src/node.rs
+++ b/crates/router/node/src/node.rs
@@ -331,7 +331,7 @@
     }
 
     fn report_load(self: &Rc<Self>) {
-        let loads = self.balancer.borrow_mut().account();
+        let loads = self.balancer.borrow_mut().take_load_report();
         let request_id = self.told_load.borrow().0 + 1;
         *self.told_load.borrow_mut() = (request_id, loads.clone());
         self.drive(|c, now, actions| c.report_load(now, request_id, loads, actions));
@@ -345,7 +345,7 @@
         }
         self.sidecars.set(sidecars.max(1));
         let sums: HashMap<u64, EndpointLoad> = loads.into_iter().map(|l| (l.endpoint, l)).collect();
-        self.balancer.borrow_mut().learn_sums(self.now(), &told.1, &sums);
+        self.balancer.borrow_mut().observe_fleet_load(self.now(), &told.1, &sums);
     }
 
     fn follow_registry(&self) {
--- a/crates/router/node/src/proxy.rs
+++ b/crates/router/node/src/proxy.rs
@@ -289,25 +289,25 @@
 
 impl Call {
     fn begin(node: &Rc<Node>, pick: Pick, prompt: Option<&Prompt>) -> Self {
-        node.balancer.borrow_mut().sent(node.now(), &pick, prompt);
+        node.balancer.borrow_mut().request_sent(node.now(), &pick, prompt);
         Call { node: node.clone(), pick, answered: Cell::new(false), open: Cell::new(true) }
     }
 
     fn answered(&self, report: Option<LoadReport>, failed: bool) {
         self.answered.set(true);
-        self.node.balancer.borrow_mut().answered(self.node.now(), &self.pick, report, failed);
+        self.node.balancer.borrow_mut().response_head_received(self.node.now(), &self.pick, report, failed);
     }
 
     /// A piece of the answer came.
     pub fn heard(&self) {
-        self.node.balancer.borrow_mut().heard(self.node.now(), &self.pick.id);
+        self.node.balancer.borrow_mut().response_chunk_received(self.node.now(), &self.pick.id);
     }
 
     /// The call is over.
     pub fn end(&self, end: CallEnd) {
         if self.open.replace(false) {
             let now = self.node.now();
-            self.node.balancer.borrow_mut().ended(now, &self.pick, self.answered.get(), end);
+            self.node.balancer.borrow_mut().request_ended(now, &self.pick, self.answered.get(), end);
         }
     }
 }
@@ -432,7 +432,7 @@
         let node = self.node.clone();
         let prompt = Some(self.inbound.prompt).filter(|_| terms.route.session_affinity);
         let target = Duration::from_millis(terms.route.target_latency_ms);
-        let request = PickRequest { service, prompt, target, tried: &self.tried };
+        let request = PickRequest { service, prompt, target, attempted: &self.tried };
         let pick = node.balancer.borrow_mut().pick(node.now(), &request);
         let Some(pick) = pick else { return Err(self.exhausted()) };
         self.offers += 1;
@@ -442,7 +442,7 @@
             None => node.pool.connect(node.executor, pick.address).await,
         };
         let Ok(mut connection) = connection else {
-            node.balancer.borrow_mut().unreachable(node.now(), &pick.id);
+            node.balancer.borrow_mut().connect_failed(node.now(), &pick.id);
             self.tried.push(pick.id);
             return Ok(Outcome::NotRun);
         };
--- a/crates/router/node/src/relay_body.rs
+++ b/crates/router/node/src/relay_body.rs
@@ -109,7 +109,7 @@
     /// The answer is whole.
     fn finish(&mut self) {
         self.over = true;
-        self.call.end(CallEnd::Answered);
+        self.call.end(CallEnd::Completed);
         if let Some(connection) = self.connection.take() {
             let node = self.attempts.node();
             node.pool.put(node.now(), connection);
