--- a/crates/router/data-plane/tests/decision_trace.rs
+++ b/crates/router/data-plane/tests/decision_trace.rs
@@ -6,7 +6,7 @@
 use passrelay_configuration::Configuration;
 use passrelay_data_plane::balancer::{Balancer, CallEnd, LoadReport, Pick, PickRequest};
 use passrelay_data_plane::prompt::Prompt;
-use passrelay_data_plane::quota::{Grant, QuotaShares};
+use passrelay_data_plane::quota::{Grant, QuotaShares, TenantTokens};
 use passrelay_data_plane::retry_budget::RetryBudget;
 use passrelay_data_plane::traffic_split::TrafficSplits;
 use passrelay_dissemination::{EndpointLoad, EndpointRecord, EndpointState};
@@ -274,19 +274,19 @@
     /// Chance in a hundred that the grantor's answer to a request arrives when its turn comes.
     answer_chance: u64,
     /// Open token requests: number and what is wanted, by tenant.
-    open: Vec<(u64, Vec<(u64, u64)>)>,
+    open: Vec<(u64, Vec<TenantTokens>)>,
 }
 
 impl QuotaHistory {
     fn request_tokens(&mut self) {
-        let Some(request) = self.shares.question(self.now) else { return };
+        let Some(request) = self.shares.next_request(self.now) else { return };
         self.digest.number(request.request_id);
         let mut wanted = request.wanted;
         let mut overdrawn = request.overdrawn;
         // The order of tenants in a request is that of a hash map, which differs from run to run.
-        wanted.sort_unstable();
-        overdrawn.sort_unstable();
-        for (tenant, tokens) in wanted.iter().chain(&overdrawn) {
+        wanted.sort_by_key(|wanted| wanted.tenant);
+        overdrawn.sort_by_key(|overdrawn| overdrawn.tenant);
+        for TenantTokens { tenant, tokens } in wanted.iter().chain(&overdrawn) {
             self.digest.number(*tenant);
             self.digest.number(*tokens);
         }
@@ -301,13 +301,13 @@
         let index = self.draws.below(self.open.len() as u64) as usize;
         let (request_id, wanted) = self.open.swap_remove(index);
         let mut grants = Vec::new();
-        for (tenant, tokens) in wanted {
+        for TenantTokens { tenant, tokens } in wanted {
             if self.draws.percent(90) {
                 let granted = if self.draws.percent(60) { tokens * 2 } else { self.draws.below(tokens + 1) };
                 grants.push(Grant { tenant, tokens: granted, reserve: self.draws.below(900) });
             }
         }
-        self.shares.answered(self.now, request_id, &grants);
+        self.shares.apply_grants(self.now, request_id, &grants);
     }
 
     fn advance_waiting(&mut self) {
@@ -319,11 +319,11 @@
         let spent = self.shares.spend(self.now, tenant, tokens);
         self.digest.number(u64::from(spent));
         if spent && self.draws.percent(10) {
-            self.shares.give_back(self.now, tenant, tokens);
+            self.shares.refund(self.now, tenant, tokens);
         }
         if spent || self.draws.percent(15) {
             self.waiting.swap_remove(index);
-            self.shares.stop_waiting(tenant, tokens);
+            self.shares.remove_demand(tenant, tokens);
         }
     }
 
@@ -337,7 +337,7 @@
             0..=29 => {
                 let tenant = self.draws.below(6);
                 let tokens = self.draws.below(300);
-                self.shares.want(tenant, tokens);
+                self.shares.add_demand(tenant, tokens);
                 self.waiting.push((tenant, tokens));
             }
             30..=54 => self.request_tokens(),
@@ -350,8 +350,8 @@
         }
         let tenant = self.draws.below(7);
         let since = self.now.saturating_sub(Duration::from_millis(self.draws.below(400)));
-        self.digest.number(u64::from(self.shares.is_short(tenant, since)));
-        self.digest.number(u64::from(self.shares.is_deserted(tenant, self.now)));
+        self.digest.number(u64::from(self.shares.is_exhausted_since(tenant, since)));
+        self.digest.number(u64::from(self.shares.is_grantor_unreachable(tenant, self.now)));
     }
 }
 
--- a/crates/router/data-plane/tests/limits.rs
+++ b/crates/router/data-plane/tests/limits.rs
@@ -1,7 +1,7 @@
 //! Routes, retry budget and quota shares.
 
 use passrelay_configuration::Configuration;
-use passrelay_data_plane::quota::{Grant, QuotaShares};
+use passrelay_data_plane::quota::{Grant, QuotaShares, TenantTokens};
 use passrelay_data_plane::retry_budget::RetryBudget;
 use passrelay_data_plane::routing::{Denial, RoutingTable};
 use rstest::rstest;
@@ -78,34 +78,34 @@
 #[test]
 fn tokens_are_asked_for_by_requests_that_wait_and_end_in_time() {
     let mut shares = shares();
-    shares.want(1, 100);
+    shares.add_demand(1, 100);
     assert!(!shares.spend(ms(0), 1, 100));
-    let question = shares.question(ms(0)).unwrap();
-    assert_eq!(question.wanted, [(1, 100)]);
-    assert_eq!(shares.question(ms(10)), None, "it is asked for already");
-    shares.answered(ms(20), question.request_id, &grant(100, 0));
+    let question = shares.next_request(ms(0)).unwrap();
+    assert_eq!(question.wanted, [TenantTokens { tenant: 1, tokens: 100 }]);
+    assert_eq!(shares.next_request(ms(10)), None, "it is asked for already");
+    shares.apply_grants(ms(20), question.request_id, &grant(100, 0));
     assert!(shares.spend(ms(30), 1, 100) && !shares.spend(ms(30), 1, 1));
-    shares.want(1, 50);
-    let question = shares.question(ms(40)).unwrap();
+    shares.add_demand(1, 50);
+    let question = shares.next_request(ms(40)).unwrap();
     // The answer was under way for so long that nothing of it may be spent.
-    shares.answered(ms(2_000), question.request_id, &grant(150, 0));
+    shares.apply_grants(ms(2_000), question.request_id, &grant(150, 0));
     assert!(!shares.spend(ms(2_000), 1, 50));
 }
 
 #[test]
 fn the_reserve_serves_only_while_the_grantor_is_silent_and_is_reported() {
     let mut shares = shares();
-    shares.want(1, 10);
-    let question = shares.question(ms(0)).unwrap();
-    shares.answered(ms(5), question.request_id, &grant(10, 30));
+    shares.add_demand(1, 10);
+    let question = shares.next_request(ms(0)).unwrap();
+    shares.apply_grants(ms(5), question.request_id, &grant(10, 30));
     assert!(shares.spend(ms(6), 1, 10));
     assert!(!shares.spend(ms(7), 1, 10), "the grantor answers");
-    shares.question(ms(8)).unwrap();
+    shares.next_request(ms(8)).unwrap();
     assert!(shares.spend(ms(100), 1, 10));
-    let told = shares.question(ms(101)).unwrap();
-    assert_eq!(told.overdrawn, [(1, 10)]);
+    let told = shares.next_request(ms(101)).unwrap();
+    assert_eq!(told.overdrawn, [TenantTokens { tenant: 1, tokens: 10 }]);
     assert!(shares.spend(ms(102), 1, 20) && !shares.spend(ms(103), 1, 1));
-    shares.answered(ms(104), told.request_id, &grant(0, 0));
+    shares.apply_grants(ms(104), told.request_id, &grant(0, 0));
     // What was spent after the question was sent is still to be told.
-    assert_eq!(shares.question(ms(110)).unwrap().overdrawn, [(1, 20)]);
+    assert_eq!(shares.next_request(ms(110)).unwrap().overdrawn, [TenantTokens { tenant: 1, tokens: 20 }]);
 }
--- a/crates/router/node/src/node.rs
+++ b/crates/router/node/src/node.rs
@@ -16,7 +16,7 @@
     Action, CallId, Coordinator, CoordinatorSettings, OperatorAnswer, OperatorRequest,
 };
 use passrelay_data_plane::balancer::Balancer;
-use passrelay_data_plane::quota::{Grant, Question, QuotaShares};
+use passrelay_data_plane::quota::{Grant, QuotaShares, TenantTokens, TokenRequest};
 use passrelay_data_plane::retry_budget::RetryBudget;
 use passrelay_data_plane::routing::RoutingTable;
 use passrelay_data_plane::traffic_split::TrafficSplits;
@@ -255,9 +255,10 @@
 
     /// Asks the grantor for the tokens that are wanted now.
     pub fn ask_for_quota(self: &Rc<Self>) {
-        let question = self.quota.borrow_mut().question(self.now());
-        let Some(Question { request_id, wanted, overdrawn }) = question else { return };
-        let keyed = |all: Vec<(u64, u64)>| all.into_iter().map(|(key, n)| (TenantKey(key), n)).collect();
+        let question = self.quota.borrow_mut().next_request(self.now());
+        let Some(TokenRequest { request_id, wanted, overdrawn }) = question else { return };
+        let keyed =
+            |all: Vec<TenantTokens>| all.into_iter().map(|t| (TenantKey(t.tenant), t.tokens)).collect();
         let message =
             QuotaMessage::Request { request_id, wanted: keyed(wanted), overdrawn: keyed(overdrawn) };
         self.drive(|c, now, actions| c.request_tokens(now, message, actions));
@@ -326,7 +327,7 @@
         let QuotaMessage::Grant { request_id, granted, .. } = grant else { return };
         let grant = |a: TenantGrant| Grant { tenant: a.tenant.0, tokens: a.tokens, reserve: a.reserve };
         let grants: Vec<Grant> = granted.into_iter().map(grant).collect();
-        self.quota.borrow_mut().answered(self.now(), request_id, &grants);
+        self.quota.borrow_mut().apply_grants(self.now(), request_id, &grants);
         self.quota_granted.notify(usize::MAX);
     }
 
--- a/crates/router/node/src/proxy.rs
+++ b/crates/router/node/src/proxy.rs
@@ -129,7 +129,7 @@
         Ok(answered) => Ok(relay_body::respond(answered, attempts, resumable)),
         Err(failure) => {
             if let Some((tenant, tokens)) = tokens.filter(|_| attempts.runs == 0) {
-                node.quota.borrow_mut().give_back(node.now(), tenant.0, tokens);
+                node.quota.borrow_mut().refund(node.now(), tenant.0, tokens);
             }
             Err(failure)
         }
@@ -237,7 +237,7 @@
 
 impl Drop for Waiting<'_> {
     fn drop(&mut self) {
-        self.node.quota.borrow_mut().stop_waiting(self.tenant.0, self.tokens);
+        self.node.quota.borrow_mut().remove_demand(self.tenant.0, self.tokens);
     }
 }
 
@@ -254,7 +254,7 @@
         TokenUnit::TokenUsage => inbound.prompt.total_tokens().unwrap_or(tenant.uncached_tokens),
     };
     let began = node.now();
-    node.quota.borrow_mut().want(key.0, tokens);
+    node.quota.borrow_mut().add_demand(key.0, tokens);
     let waiting = Waiting { node, tenant: key, tokens };
     node.ask_for_quota();
     let patience = Duration::from_millis(terms.route.target_latency_ms).mul_f64(QUOTA_PATIENCE);
@@ -264,11 +264,11 @@
             drop(waiting);
             return Ok(Some((key, tokens)));
         }
-        if node.quota.borrow().is_short(key.0, began) {
+        if node.quota.borrow().is_exhausted_since(key.0, began) {
             return Err(Failure::OverQuota);
         }
         let now = node.now();
-        if now >= began + patience || node.quota.borrow().is_deserted(key.0, now) {
+        if now >= began + patience || node.quota.borrow().is_grantor_unreachable(key.0, now) {
             return Err(Failure::NoGrantor);
         }
         node.ask_for_quota();
--- a/crates/testing/cluster-simulation/src/limits.rs
+++ b/crates/testing/cluster-simulation/src/limits.rs
@@ -8,7 +8,7 @@
 use passrelay_control_plane::configuration_change::{ChangeKind, ConfigurationChange};
 use passrelay_control_plane::quota::{QuotaMessage, TenantKey, GRANT_LIFETIME};
 use passrelay_control_plane::OperatorRequest;
-use passrelay_data_plane::quota::{Grant, QuotaShares};
+use passrelay_data_plane::quota::{Grant, QuotaShares, TenantTokens};
 use passrelay_data_plane::retry_budget::RetryBudget;
 use passrelay_data_plane::routing::RoutingTable;
 use passrelay_dissemination::{Announcement, EndpointRecord, EndpointState, Heartbeat};
@@ -261,7 +261,7 @@
                         .iter()
                         .map(|a| Grant { tenant: a.tenant.0, tokens: a.tokens, reserve: a.reserve })
                         .collect();
-                    self.gate(machine, incarnation).shares.answered(now, request_id, &grants);
+                    self.gate(machine, incarnation).shares.apply_grants(now, request_id, &grants);
                 }
             }
         }
@@ -448,7 +448,7 @@
         let limited = gate.tenant(&client.key).filter(|t| t.is_limited()).map(|t| TenantKey::of(&t.name).0);
         match limited {
             Some(tenant) => {
-                gate.shares.want(tenant, client.tokens);
+                gate.shares.add_demand(tenant, client.tokens);
                 gate.waiting.push(Waiting { client, tenant, began: now });
                 self.ask(machine);
             }
@@ -515,8 +515,9 @@
     fn ask(&mut self, machine: usize) {
         let now = self.cluster.local_now(machine);
         let gate = self.gate(machine, self.cluster.incarnation(machine));
-        let Some(question) = gate.shares.question(now) else { return };
-        let keyed = |all: Vec<(u64, u64)>| all.into_iter().map(|(key, n)| (TenantKey(key), n)).collect();
+        let Some(question) = gate.shares.next_request(now) else { return };
+        let keyed =
+            |all: Vec<TenantTokens>| all.into_iter().map(|t| (TenantKey(t.tenant), t.tokens)).collect();
         let (wanted, overdrawn) = (keyed(question.wanted), keyed(question.overdrawn));
         let want = QuotaMessage::Request { request_id: question.request_id, wanted, overdrawn };
         let seen = self.cluster.request_tokens(machine, want).unwrap_or_default();
@@ -527,13 +528,14 @@
         let gate = self.gate(machine, self.cluster.incarnation(machine));
         let tokens = waiting.client.tokens;
         let spent = gate.shares.spend(now, waiting.tenant, tokens);
-        let short = gate.shares.is_short(waiting.tenant, waiting.began);
-        let over = now >= waiting.began + QUOTA_PATIENCE || gate.shares.is_deserted(waiting.tenant, now);
+        let short = gate.shares.is_exhausted_since(waiting.tenant, waiting.began);
+        let over =
+            now >= waiting.began + QUOTA_PATIENCE || gate.shares.is_grantor_unreachable(waiting.tenant, now);
         if !spent && !short && !over {
             gate.waiting.push(waiting);
             return;
         }
-        gate.shares.stop_waiting(waiting.tenant, tokens);
+        gate.shares.remove_demand(waiting.tenant, tokens);
         if spent {
             self.begin_sending(machine, waiting.client);
         } else {
