--- a/crates/router/data-plane/src/lib.rs
+++ b/crates/router/data-plane/src/lib.rs
@@ -1,6 +1,14 @@
-//! The data plane's decisions: which route and tenant a request has, which endpoint gets it, whether it may be
-//! sent again, whether the tenant's quota allows it. No I/O and no clock: `now` is the time since the process
-//! started.
+//! The decisions that a router takes for each request, in the order in which a request meets them:
+//!
+//! 1. [`routing`]: its route and tenant;
+//! 2. [`quota`]: whether the tenant's quota, which binds over all routers, allows it;
+//! 3. [`traffic_split`]: the service, where the route has several;
+//! 4. [`balancer`]: the endpoint, by load, health, zone and the [`prompt`];
+//! 5. [`retry_budget`]: whether it may be sent again after a failed attempt.
+//!
+//! No I/O, no clock and no concurrency: the caller passes events in, with `now` as the time since the process started, and
+//! carries the decisions out. Sockets, deadlines and retries are in `passrelay-node`; what other routers know arrives
+//! through `passrelay-dissemination` and `passrelay-control-plane`.
 
 pub mod balancer;
 pub mod prompt;
--- a/crates/router/data-plane/src/retry_budget.rs
+++ b/crates/router/data-plane/src/retry_budget.rs
@@ -1,53 +1,60 @@
-//! The part of the fleet's retry budget that this sidecar lives on: a ratio of its own requests and a small reserve.
+//! This router's part of the retry budget: a bound on the ratio of retries to requests of each service, so that retries
+//! don't multiply the load of a service that fails.
 //!
-//! The budget binds all sidecars together and none knows how many there are, so each keeps well below the ratio and
-//! its reserve is small enough for hundreds of them.
+//! The budget binds over all routers and none knows how many there are. Each therefore deposits only a fraction of the
+//! ratio, and its balance is bounded by so few retries that hundreds of routers together stay within the budget's slack.
+//! Whether a request may be retried at all (idempotence, deadline) is decided elsewhere.
 
 use std::collections::HashMap;
 
-/// Part of the fleet's ratio that a sidecar uses.
-const RATIO_USED: f64 = 0.6;
-/// Repeats that a sidecar may send before it has seen requests.
-const FIRST: f64 = 1.0;
-/// Repeats that it may save up.
-const MOST: f64 = 3.0;
+/// Fraction of the fleet's ratio that a router uses; the rest is the margin for balances that all routers spend at once.
+const USED_RATIO_FRACTION: f64 = 0.6;
+/// Balance of a service upon its first request, in retries.
+const INITIAL_BALANCE: f64 = 1.0;
+/// Bound on a service's balance, in retries.
+const MAX_BALANCE: f64 = 3.0;
+/// What one retry costs.
+const RETRY_COST: f64 = 1.0;
 
-/// Tokens for repeats, by service.
+/// Token buckets for retries, one a service.
 #[derive(Debug)]
 pub struct RetryBudget {
-    ratio: f64,
-    tokens: HashMap<String, f64>,
+    /// Deposit of one request, in retries.
+    deposit_per_request: f64,
+    /// Balances by service, in retries; from 0 to [`MAX_BALANCE`].
+    balances: HashMap<String, f64>,
 }
 
 impl RetryBudget {
-    /// A budget under a fleet-wide ratio of repeats to requests.
+    /// A budget under a fleet-wide ratio of retries to requests.
     pub fn new(fleet_ratio: f64) -> Self {
-        RetryBudget { ratio: fleet_ratio * RATIO_USED, tokens: HashMap::new() }
+        RetryBudget { deposit_per_request: fleet_ratio * USED_RATIO_FRACTION, balances: HashMap::new() }
     }
 
-    /// A client's request for a service.
-    pub fn request(&mut self, service: &str) {
-        match self.tokens.get_mut(service) {
-            Some(tokens) => *tokens = (*tokens + self.ratio).min(MOST),
+    /// Deposits for a client's request to a service.
+    pub fn deposit(&mut self, service: &str) {
+        match self.balances.get_mut(service) {
+            Some(balance) => *balance = (*balance + self.deposit_per_request).min(MAX_BALANCE),
             None => {
-                self.tokens.insert(service.to_owned(), FIRST);
+                self.balances.insert(service.to_owned(), INITIAL_BALANCE);
             }
         }
     }
 
-    /// Whether one more arrival may be caused; it is counted if so.
-    pub fn spend(&mut self, service: &str) -> bool {
-        match self.tokens.get_mut(service) {
-            Some(tokens) if *tokens >= 1.0 => {
-                *tokens -= 1.0;
+    /// Withdraws one retry. `false` where the balance doesn't suffice or the service had no request; then the retry must
+    /// not be sent.
+    pub fn withdraw(&mut self, service: &str) -> bool {
+        match self.balances.get_mut(service) {
+            Some(balance) if *balance >= RETRY_COST => {
+                *balance -= RETRY_COST;
                 true
             }
             _ => false,
         }
     }
 
-    /// Keeps only services that a predicate names.
+    /// Drops the balances of services for which `keep` is false.
     pub fn retain(&mut self, keep: impl Fn(&str) -> bool) {
-        self.tokens.retain(|service, _| keep(service));
+        self.balances.retain(|service, _| keep(service));
     }
 }
--- a/crates/router/data-plane/src/traffic_split.rs
+++ b/crates/router/data-plane/src/traffic_split.rs
@@ -1,60 +1,69 @@
-//! Which service of a split route a request goes to: turns by weight, so that shares are kept over short stretches too.
+//! Distributes the requests of a route over its services by weight, so that the shares hold over few requests too.
 //!
-//! A lot drawn for each request strays by several in a hundred over some hundred requests. Here each route has a point in
-//! 0 to 1 that moves on by the golden ratio with each request; the points of any stretch lie evenly. Each sidecar starts
-//! from another point, so that all together keep the shares as well.
+//! Independent random draws deviate by several percent over some hundred requests. Here each route has a position in 0 to 1
+//! that advances by the golden ratio with each request (a low-discrepancy sequence): the positions of any stretch are
+//! evenly distributed. Each router starts at another position, so that the shares hold over all routers together as well.
 
-use passrelay_configuration::{Configuration, Route};
+use passrelay_configuration::{Backend, Configuration, Route};
 use std::collections::{HashMap, HashSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// Fractional part of the golden ratio: of all steps the one whose multiples lie most evenly.
-const STEP: f64 = 0.618_033_988_749_894_9;
+/// Fractional part of the golden ratio: of all steps the one whose multiples, modulo 1, are distributed most evenly.
+const GOLDEN_RATIO_STEP: f64 = 0.618_033_988_749_894_9;
 
-/// The turns of all split routes of one sidecar.
+/// Positions of all routes with a traffic split at one router.
 #[derive(Debug)]
 pub struct TrafficSplits {
+    /// Determines where each route starts; different in each router.
     seed: u64,
-    points: HashMap<String, f64>,
+    /// Positions by the route's name; at least 0 and below 1.
+    positions: HashMap<String, f64>,
 }
 
 impl TrafficSplits {
-    /// Turns that start where `seed` tells.
+    /// Splits that start where `seed` determines.
     pub fn new(seed: u64) -> Self {
-        TrafficSplits { seed, points: HashMap::new() }
+        TrafficSplits { seed, positions: HashMap::new() }
     }
 
-    /// The service whose turn it is; the empty name where a route has none.
+    /// The service of the next request of a route; the empty name where the route has none.
     pub fn choose<'a>(&mut self, route: &'a Route) -> &'a str {
-        let mut weighted = route.backends.iter().filter(|b| b.weight > 0.0);
-        if weighted.clone().nth(1).is_none() {
-            return weighted.next().or(route.backends.last()).map_or("", |b| b.service.as_str());
+        let mut weighted = route.backends.iter().filter(|backend| backend.weight > 0.0);
+        let is_split = weighted.clone().nth(1).is_some();
+        if !is_split {
+            return service_of(weighted.next().or(route.backends.last()));
         }
-        let all: f64 = weighted.clone().map(|b| b.weight).sum();
-        let mut left = self.next_point(&route.name) * all;
-        let chosen = weighted.clone().find(|b| {
-            left -= b.weight;
-            left < 0.0
+        let total_weight: f64 = weighted.clone().map(|backend| backend.weight).sum();
+        let mut remaining = self.next_position(&route.name) * total_weight;
+        let chosen = weighted.clone().find(|backend| {
+            remaining -= backend.weight;
+            remaining < 0.0
         });
-        chosen.or(weighted.next_back()).map_or("", |b| b.service.as_str())
+        // Rounding may leave a remainder after the last one.
+        service_of(chosen.or(weighted.next_back()))
     }
 
-    /// Forgets routes that are no more.
+    /// Drops the positions of routes that the configuration doesn't have.
     pub fn retain(&mut self, configuration: &Configuration) {
-        let names: HashSet<&str> = configuration.routes.iter().map(|r| r.name.as_str()).collect();
-        self.points.retain(|name, _| names.contains(name.as_str()));
+        let names: HashSet<&str> = configuration.routes.iter().map(|route| route.name.as_str()).collect();
+        self.positions.retain(|name, _| names.contains(name.as_str()));
     }
 
-    fn next_point(&mut self, route: &str) -> f64 {
+    fn next_position(&mut self, route: &str) -> f64 {
         let seed = self.seed;
-        let point = self.points.entry(route.to_owned()).or_insert_with(|| first_point(seed, route));
-        *point = (*point + STEP).fract();
-        *point
+        let position =
+            self.positions.entry(route.to_owned()).or_insert_with(|| initial_position(seed, route));
+        *position = (*position + GOLDEN_RATIO_STEP).fract();
+        *position
     }
 }
 
-/// Where a route starts at one sidecar, 0 to 1.
-fn first_point(seed: u64, route: &str) -> f64 {
+fn service_of(backend: Option<&Backend>) -> &str {
+    backend.map_or("", |backend| backend.service.as_str())
+}
+
+/// Where a route starts at one router, 0 to 1.
+fn initial_position(seed: u64, route: &str) -> f64 {
     let mut hasher = DefaultHasher::new();
     (seed, route).hash(&mut hasher);
     hasher.finish() as f64 / u64::MAX as f64
--- a/crates/router/data-plane/tests/decision_trace.rs
+++ b/crates/router/data-plane/tests/decision_trace.rs
@@ -386,8 +386,8 @@
     for _ in 0..20_000 {
         let service = services[draws.below(3) as usize];
         match draws.below(100) {
-            0..=69 => budget.request(service),
-            70..=98 => digest.number(u64::from(budget.spend(service))),
+            0..=69 => budget.deposit(service),
+            70..=98 => digest.number(u64::from(budget.withdraw(service))),
             _ => budget.retain(|name| name != service),
         }
     }
--- a/crates/router/data-plane/tests/limits.rs
+++ b/crates/router/data-plane/tests/limits.rs
@@ -3,7 +3,7 @@
 use passrelay_configuration::Configuration;
 use passrelay_data_plane::quota::{Grant, QuotaShares, TenantTokens};
 use passrelay_data_plane::retry_budget::RetryBudget;
-use passrelay_data_plane::routing::{Denial, RoutingTable};
+use passrelay_data_plane::routing::{RoutingError, RoutingTable};
 use rstest::rstest;
 use serde_json::json;
 use std::time::Duration;
@@ -30,14 +30,14 @@
 #[case("lot.example", "/a/b/c", Some("k"), Ok("deep"))]
 #[case("LOT.example:8080", "/a/x", Some("k"), Ok("all"))]
 #[case("lot.example", "/open/1", None, Ok("open"))]
-#[case("lot.example", "/a", None, Err(Denial::UnknownKey))]
-#[case("lot.example", "/a", Some("other"), Err(Denial::UnknownKey))]
-#[case("other.example", "/a", Some("k"), Err(Denial::NoRoute))]
+#[case("lot.example", "/a", None, Err(RoutingError::UnknownKey))]
+#[case("lot.example", "/a", Some("other"), Err(RoutingError::UnknownKey))]
+#[case("other.example", "/a", Some("k"), Err(RoutingError::NoRoute))]
 fn the_longest_prefix_of_the_host_is_found(
     #[case] host: &str,
     #[case] path: &str,
     #[case] key: Option<&str>,
-    #[case] expected: Result<&str, Denial>,
+    #[case] expected: Result<&str, RoutingError>,
 ) {
     let table = table();
     let found = table.find(host, path, key).map(|m| m.route.name.as_str());
@@ -58,8 +58,8 @@
         for _ in 0..sidecars {
             let mut budget = RetryBudget::new(0.2);
             for _ in 0..requests_each {
-                budget.request("s");
-                repeats += u32::from(budget.spend("s"));
+                budget.deposit("s");
+                repeats += u32::from(budget.withdraw("s"));
             }
         }
         let slack = 64.0 * f64::from(sidecars) / 12.0;
--- a/crates/router/node/src/proxy.rs
+++ b/crates/router/node/src/proxy.rs
@@ -17,7 +17,7 @@
 use passrelay_control_plane::quota::TenantKey;
 use passrelay_data_plane::balancer::{CallEnd, LoadReport, Pick, PickRequest};
 use passrelay_data_plane::prompt::Prompt;
-use passrelay_data_plane::routing::Denial;
+use passrelay_data_plane::routing::RoutingError;
 use smol::Timer;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -175,8 +175,8 @@
     let snapshot = node.snapshot().ok_or(Failure::NotConfigured)?;
     let found = snapshot.table.find(&inbound.host, inbound.uri.path(), inbound.key.as_deref());
     let found = found.map_err(|denial| match denial {
-        Denial::NoRoute => Failure::NoRoute,
-        Denial::UnknownKey => Failure::UnknownKey,
+        RoutingError::NoRoute => Failure::NoRoute,
+        RoutingError::UnknownKey => Failure::UnknownKey,
     })?;
     if found.tenant.is_some() && !node.is_fresh() {
         return Err(Failure::NotFresh);
@@ -400,7 +400,7 @@
             let service = kept.unwrap_or_else(|| terms.service(&self.node));
             self.service = Some(service.clone());
             if self.offers == 0 {
-                self.node.budget.borrow_mut().request(&service);
+                self.node.budget.borrow_mut().deposit(&service);
             }
             match self.attempt(&terms, &service, after).await? {
                 Outcome::Answered(answered) => return Ok(*answered),
@@ -452,7 +452,7 @@
             return Ok(Outcome::NotRun);
         }
         // Every arrival beyond the first draws on the budget that all sidecars share.
-        if self.runs + self.rejected > 0 && !node.budget.borrow_mut().spend(service) {
+        if self.runs + self.rejected > 0 && !node.budget.borrow_mut().withdraw(service) {
             node.pool.put(node.now(), connection);
             return Err(self.exhausted());
         }
--- a/crates/testing/cluster-simulation/src/limits.rs
+++ b/crates/testing/cluster-simulation/src/limits.rs
@@ -131,7 +131,7 @@
     }
 
     fn may_repeat(&mut self) -> bool {
-        if self.budget.spend(SERVICE) {
+        if self.budget.withdraw(SERVICE) {
             return true;
         }
         let spare = self.spare_repeats >= 1.0;
@@ -444,7 +444,7 @@
             return self.refuse(&client);
         }
         let gate = self.gate(machine, self.cluster.incarnation(machine));
-        gate.budget.request(SERVICE);
+        gate.budget.deposit(SERVICE);
         let limited = gate.tenant(&client.key).filter(|t| t.is_limited()).map(|t| TenantKey::of(&t.name).0);
         match limited {
             Some(tenant) => {
