--- a/crates/router/data-plane/tests/balancer.rs
+++ b/crates/router/data-plane/tests/balancer.rs
@@ -1,21 +1,24 @@
-//! Where requests go: turns by factors, kept prompt parts, silent and failing endpoints.
+//! Selection of endpoints: weights by load, prefix affinity, zones, stalled and failing endpoints.
 
 use passrelay_data_plane::balancer::{Balancer, CallEnd, LoadReport, Pick, PickRequest};
 use passrelay_data_plane::prompt::Prompt;
 use passrelay_dissemination::{EndpointLoad, EndpointRecord, EndpointState};
 use rstest::rstest;
 use std::collections::{HashMap, HashSet};
+use std::sync::Arc;
 use std::time::Duration;
 
+const OWN_ZONE: &str = "here";
+
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-fn record(n: u16, zone: &str, state: EndpointState) -> EndpointRecord {
+fn record(index: u16, zone: &str, state: EndpointState) -> EndpointRecord {
     EndpointRecord {
-        id: format!("i-{n}"),
+        id: format!("i-{index}"),
         service: "s".to_owned(),
-        address: format!("10.0.0.1:{n}").parse().unwrap(),
+        address: format!("10.0.0.1:{index}").parse().unwrap(),
         zone: zone.to_owned(),
         capacity: 8,
         state,
@@ -23,10 +26,11 @@
     }
 }
 
+/// A balancer with ready endpoints `i-0`, `i-1` ... in its own zone.
 fn balancer(endpoints: u16) -> Balancer {
-    let mut balancer = Balancer::new("here");
+    let mut balancer = Balancer::new(OWN_ZONE);
     let records: Vec<EndpointRecord> =
-        (0..endpoints).map(|n| record(n, "here", EndpointState::Ready)).collect();
+        (0..endpoints).map(|index| record(index, OWN_ZONE, EndpointState::Ready)).collect();
     balancer.update(records.iter());
     balancer
 }
@@ -39,66 +43,91 @@
     balancer.pick(now, &request(prompt)).unwrap()
 }
 
-fn prompt(part: u64) -> Prompt {
-    Prompt { input_tokens: 6_000, output_tokens: 300, shared_prefix: Some(part), shared_prefix_tokens: 5_000 }
+/// The endpoints that a number of requests without prompts are sent to, 1 ms apart.
+fn picked_ids(balancer: &mut Balancer, from: Duration, requests: u64) -> Vec<Arc<str>> {
+    (0..requests).map(|index| pick(balancer, from + ms(index), None).id).collect()
+}
+
+/// A response head without a load report arrives, and the response is complete.
+fn complete(balancer: &mut Balancer, now: Duration, pick: &Pick, is_error: bool) {
+    balancer.response_head_received(now, pick, None, is_error);
+    balancer.request_ended(now, pick, true, CallEnd::Completed);
+}
+
+/// A prompt of which 1 000 tokens are not in the shared prefix.
+fn prompt(prefix: u64) -> Prompt {
+    Prompt {
+        input_tokens: 6_000,
+        output_tokens: 300,
+        shared_prefix: Some(prefix),
+        shared_prefix_tokens: 5_000,
+    }
 }
 
 #[rstest]
-#[case::usual("1460,80", "5c1e07a2:800,91bd3f06:410,e4402b7d:250", 1_460, Some(0x91bd_3f06), 1_210)]
-#[case::own_part_only("10,5", "aa:10", 10, None, 0)]
-#[case::nonsense("many", "zz:1,:,", 0, None, 0)]
-#[case::empty("", "", 0, None, 0)]
-fn prompts_are_read_as_far_as_they_can_be(
-    #[case] usage: &str,
-    #[case] parts: &str,
-    #[case] input: u64,
-    #[case] part: Option<u64>,
-    #[case] shared: u64,
+#[case::complete("3,1,8", Some((3.0, 1.0, 8.0)))]
+#[case::spaces_and_further_fields(" 3 , 1.5, 8 ,9", Some((3.0, 1.5, 8.0)))]
+#[case::missing_field("3,1", None)]
+#[case::not_a_number("3,x,8", None)]
+#[case::not_finite("3,inf,8", None)]
+fn a_load_report_is_read_only_where_all_its_fields_are_finite_numbers(
+    #[case] header: &str,
+    #[case] expected: Option<(f64, f64, f64)>,
 ) {
-    let prompt = Prompt::read(Some(usage), Some(parts));
-    assert_eq!(
-        (prompt.input_tokens, prompt.shared_prefix, prompt.shared_prefix_tokens),
-        (input, part, shared)
-    );
+    let expected = expected.map(|(running, waiting, slots)| LoadReport { running, waiting, slots });
+    assert_eq!(LoadReport::read(header), expected);
 }
 
 #[test]
-fn turns_go_round_evenly_and_by_reported_load() {
+fn requests_are_distributed_by_reported_load() {
     let mut balancer = balancer(2);
     let mut counts: HashMap<String, u32> = HashMap::new();
-    for n in 0..100 {
-        let now = ms(n * 300);
+    for index in 0..100 {
+        let now = ms(index * 300);
         let pick = pick(&mut balancer, now, None);
         *counts.entry(pick.id.to_string()).or_default() += 1;
         balancer.request_sent(now, &pick, None);
         let running = if &*pick.id == "i-0" { 6.0 } else { 0.0 };
-        balancer.response_head_received(
-            now,
-            &pick,
-            Some(LoadReport { running, waiting: 0.0, slots: 8.0 }),
-            false,
-        );
+        let report = LoadReport { running, waiting: 0.0, slots: 8.0 };
+        balancer.response_head_received(now, &pick, Some(report), false);
         balancer.request_ended(now, &pick, true, CallEnd::Completed);
     }
     assert!(counts["i-1"] > counts["i-0"], "{counts:?}");
-    assert!(counts["i-0"] > 10, "a busy endpoint still gets its turns: {counts:?}");
+    assert!(counts["i-0"] > 10, "a loaded endpoint still gets requests: {counts:?}");
+}
+
+#[test]
+fn endpoints_of_the_own_zone_are_preferred_while_they_have_capacity() {
+    let mut balancer = Balancer::new(OWN_ZONE);
+    let records = [record(0, OWN_ZONE, EndpointState::Ready), record(1, "elsewhere", EndpointState::Ready)];
+    balancer.update(records.iter());
+    // An idle endpoint has a weight above that of an unknown one.
+    for record in &records {
+        let pick = Pick { id: record.id.as_str().into(), address: record.address, prefill_tokens: 0 };
+        balancer.request_sent(ms(0), &pick, None);
+        let idle = LoadReport { running: 0.0, waiting: 0.0, slots: 8.0 };
+        balancer.response_head_received(ms(0), &pick, Some(idle), false);
+        balancer.request_ended(ms(0), &pick, true, CallEnd::Completed);
+    }
+    let ids = picked_ids(&mut balancer, ms(300), 110);
+    assert_eq!(ids.iter().filter(|id| &***id == "i-1").count(), 10, "a tenth of the weight");
 }
 
 #[test]
-fn requests_with_the_same_part_keep_together_and_parts_spread_over_the_endpoints() {
+fn requests_with_the_same_prefix_go_to_one_endpoint_and_prefixes_are_spread_over_all() {
     let mut balancer = balancer(9);
     let mut homes = HashSet::new();
-    for part in 0..60 {
-        let first = pick(&mut balancer, ms(0), Some(prompt(part)));
+    for prefix in 0..60 {
+        let first = pick(&mut balancer, ms(0), Some(prompt(prefix)));
         homes.insert(first.id.clone());
-        assert_eq!(pick(&mut balancer, ms(1), Some(prompt(part))).id, first.id);
+        assert_eq!(pick(&mut balancer, ms(1), Some(prompt(prefix))).id, first.id);
         assert_eq!(first.prefill_tokens, 1_000);
     }
     assert_eq!(homes.len(), 9);
 }
 
 #[test]
-fn a_hot_part_moves_on_when_its_home_has_far_more_to_read() {
+fn a_hot_prefix_spreads_once_far_more_tokens_are_queued_at_its_home() {
     let mut balancer = balancer(3);
     let home = pick(&mut balancer, ms(0), Some(prompt(7)));
     let mut used = HashSet::new();
@@ -111,111 +140,113 @@
 }
 
 #[test]
-fn what_other_sidecars_have_out_counts() {
+fn load_of_other_routers_counts_until_it_is_outdated() {
     let mut balancer = balancer(2);
     let home = pick(&mut balancer, ms(0), Some(prompt(7)));
     balancer.request_sent(ms(0), &home, Some(&prompt(7)));
-    let told = balancer.take_load_report();
-    let key = told[0].endpoint;
-    let sums = HashMap::from([(
-        key,
-        EndpointLoad {
-            endpoint: key,
-            pending_prompt_tokens: 500_000,
-            in_flight: 40,
-            ..EndpointLoad::default()
-        },
-    )]);
-    balancer.observe_fleet_load(ms(10), &told, &sums);
+    let own_report = balancer.take_load_report();
+    let key = own_report[0].endpoint;
+    let total = EndpointLoad {
+        endpoint: key,
+        pending_prompt_tokens: 500_000,
+        in_flight: 40,
+        ..EndpointLoad::default()
+    };
+    balancer.observe_fleet_load(ms(10), &own_report, &HashMap::from([(key, total)]));
     assert_ne!(pick(&mut balancer, ms(20), Some(prompt(8))).id, home.id);
     assert_ne!(pick(&mut balancer, ms(20), Some(prompt(7))).id, home.id);
-    balancer.response_head_received(ms(30), &home, None, false);
-    balancer.request_ended(ms(30), &home, true, CallEnd::Completed);
-    // Old sums count no more.
+    complete(&mut balancer, ms(30), &home, false);
     assert_eq!(pick(&mut balancer, ms(5_000), Some(prompt(7))).id, home.id);
 }
 
 #[test]
-fn an_endpoint_that_owes_answers_and_is_silent_gets_no_more() {
+fn a_stalled_endpoint_gets_no_requests_until_it_responds() {
     let mut balancer = balancer(2);
-    let dark = pick(&mut balancer, ms(0), None);
-    balancer.request_sent(ms(0), &dark, None);
-    for n in 0..10 {
-        assert_ne!(pick(&mut balancer, ms(1_000 + n), None).id, dark.id);
-    }
-    // It speaks again.
-    balancer.response_head_received(ms(1_100), &dark, None, false);
-    balancer.request_ended(ms(1_100), &dark, true, CallEnd::Completed);
-    assert!((0..4).any(|n| pick(&mut balancer, ms(1_200 + n), None).id == dark.id));
+    let stalled = pick(&mut balancer, ms(0), None);
+    balancer.request_sent(ms(0), &stalled, None);
+    assert!(picked_ids(&mut balancer, ms(1_000), 10).iter().all(|id| *id != stalled.id));
+    complete(&mut balancer, ms(1_100), &stalled, false);
+    assert!(picked_ids(&mut balancer, ms(1_200), 4).contains(&stalled.id));
 }
 
 #[test]
-fn a_failing_endpoint_rests_longer_each_time_and_is_tried_when_nobody_else_is_there() {
+fn consecutive_failures_eject_for_longer_each_time_unless_no_endpoint_is_healthy() {
     let mut balancer = balancer(2);
     balancer.connect_failed(ms(0), "i-0");
-    assert!((0..5).all(|n| &*pick(&mut balancer, ms(300 + n), None).id == "i-1"));
-    assert!((0..5).any(|n| &*pick(&mut balancer, ms(500 + n), None).id == "i-0"));
+    assert!(picked_ids(&mut balancer, ms(300), 5).iter().all(|id| &**id == "i-1"));
+    assert!(picked_ids(&mut balancer, ms(500), 5).iter().any(|id| &**id == "i-0"));
     balancer.connect_failed(ms(600), "i-0");
-    assert!((0..5).all(|n| &*pick(&mut balancer, ms(1_300 + n), None).id == "i-1"));
+    assert!(picked_ids(&mut balancer, ms(1_300), 5).iter().all(|id| &**id == "i-1"));
     balancer.connect_failed(ms(1_300), "i-1");
-    assert!((0..5).any(|n| &*pick(&mut balancer, ms(1_310 + n), None).id == "i-0"));
+    assert!(picked_ids(&mut balancer, ms(1_310), 5).iter().any(|id| &**id == "i-0"));
 }
 
 #[rstest]
-#[case(EndpointState::Draining, false, false)]
-#[case(EndpointState::Removed, false, false)]
-#[case(EndpointState::Expired, true, true)]
-fn who_may_be_sent_to_follows_the_state(
+#[case::draining(EndpointState::Draining, false, false)]
+#[case::removed(EndpointState::Removed, false, false)]
+#[case::expired(EndpointState::Expired, true, true)]
+fn the_state_decides_whether_an_endpoint_may_get_requests(
     #[case] state: EndpointState,
     #[case] may_send: bool,
-    #[case] picked_if_alone: bool,
+    #[case] is_picked_if_alone: bool,
 ) {
     let mut balancer = balancer(1);
-    balancer.update([record(0, "here", state)].iter());
+    balancer.update([record(0, OWN_ZONE, state)].iter());
     assert_eq!(balancer.may_send("i-0"), may_send);
-    assert_eq!(balancer.pick(ms(0), &request(None)).is_some(), picked_if_alone);
+    assert_eq!(balancer.pick(ms(0), &request(None)).is_some(), is_picked_if_alone);
 }
 
 #[test]
-fn memory_of_parts_does_not_grow_without_end() {
+fn endpoints_of_earlier_attempts_are_not_picked() {
+    let mut balancer = balancer(2);
+    let attempted: [Arc<str>; 2] = ["i-0".into(), "i-1".into()];
+    let request = |attempted| PickRequest { service: "s", prompt: None, target: ms(500), attempted };
+    for index in 0..10 {
+        let pick = balancer.pick(ms(index), &request(&attempted[..1])).unwrap();
+        assert_eq!(pick.id, attempted[1]);
+    }
+    assert_eq!(balancer.pick(ms(20), &request(&attempted)), None);
+}
+
+#[test]
+fn the_number_of_tracked_prefixes_is_bounded() {
     let mut balancer = balancer(3);
-    for part in 0..100_000 {
-        let pick = pick(&mut balancer, ms(part / 100), Some(prompt(part)));
-        balancer.request_sent(ms(part / 100), &pick, Some(&prompt(part)));
-        balancer.response_head_received(ms(part / 100), &pick, None, false);
-        balancer.request_ended(ms(part / 100), &pick, true, CallEnd::Completed);
+    for prefix in 0..100_000 {
+        let now = ms(prefix / 100);
+        let pick = pick(&mut balancer, now, Some(prompt(prefix)));
+        balancer.request_sent(now, &pick, Some(&prompt(prefix)));
+        complete(&mut balancer, now, &pick, false);
     }
     assert!(balancer.tracked_prefixes() <= 4_096);
 }
 
 #[test]
-fn an_endpoint_that_fails_part_of_its_requests_gets_none_for_a_while() {
+fn an_endpoint_with_a_high_failure_rate_gets_no_requests_until_the_rate_has_decayed() {
     let mut balancer = balancer(4);
-    let mut fail = |now| {
-        let pick = Pick { id: "i-1".into(), address: "10.0.0.1:1".parse().unwrap(), prefill_tokens: 0 };
-        balancer.request_sent(now, &pick, None);
-        balancer.response_head_received(now, &pick, None, true);
-        balancer.request_ended(now, &pick, true, CallEnd::Completed);
-    };
-    (0..3).for_each(|n| fail(ms(n * 10)));
-    assert!((0..30).all(|n| &*pick(&mut balancer, ms(100 + n), None).id != "i-1"));
-    // What was seen fades, and it is tried again.
-    assert!((0..30).any(|n| &*pick(&mut balancer, ms(4_000 + n), None).id == "i-1"));
+    let failing = Pick { id: "i-1".into(), address: "10.0.0.1:1".parse().unwrap(), prefill_tokens: 0 };
+    for index in 0..3 {
+        let now = ms(index * 10);
+        balancer.request_sent(now, &failing, None);
+        complete(&mut balancer, now, &failing, true);
+    }
+    assert!(picked_ids(&mut balancer, ms(100), 30).iter().all(|id| *id != failing.id));
+    assert!(picked_ids(&mut balancer, ms(4_000), 30).contains(&failing.id));
 }
 
 #[test]
-fn failures_that_several_sidecars_tell_of_count_and_where_most_endpoints_fail_none_stands_aside() {
+fn failures_that_other_routers_report_count_but_where_most_endpoints_fail_none_is_ejected() {
     let mut balancer = balancer(4);
-    let all: Vec<Pick> = (0..40).map(|n| pick(&mut balancer, ms(n), None)).collect();
-    all.iter().for_each(|one| balancer.request_sent(ms(50), one, None));
-    let told = balancer.take_load_report();
+    let picks: Vec<Pick> = (0..40).map(|index| pick(&mut balancer, ms(index), None)).collect();
+    picks.iter().for_each(|pick| balancer.request_sent(ms(50), pick, None));
+    let own_report = balancer.take_load_report();
     let failing = |count: usize| -> HashMap<u64, EndpointLoad> {
-        told.iter().take(count).map(|l| (l.endpoint, EndpointLoad { failed: 5, answered: 3, ..*l })).collect()
+        let endpoints = own_report.iter().take(count);
+        endpoints.map(|load| (load.endpoint, EndpointLoad { failed: 5, answered: 3, ..*load })).collect()
     };
-    balancer.observe_fleet_load(ms(60), &told, &failing(1));
-    let used: HashSet<_> = (0..40).map(|n| pick(&mut balancer, ms(100 + n), None).id).collect();
+    balancer.observe_fleet_load(ms(60), &own_report, &failing(1));
+    let used: HashSet<Arc<str>> = picked_ids(&mut balancer, ms(100), 40).into_iter().collect();
     assert_eq!(used.len(), 3);
-    balancer.observe_fleet_load(ms(200), &told, &failing(3));
-    let used: HashSet<_> = (0..40).map(|n| pick(&mut balancer, ms(210 + n), None).id).collect();
+    balancer.observe_fleet_load(ms(200), &own_report, &failing(3));
+    let used: HashSet<Arc<str>> = picked_ids(&mut balancer, ms(210), 40).into_iter().collect();
     assert_eq!(used.len(), 4);
 }
