--- a/crates/router/node/src/node.rs
+++ b/crates/router/node/src/node.rs
@@ -16,7 +16,7 @@
     Action, CallId, Coordinator, CoordinatorSettings, OperatorAnswer, OperatorRequest,
 };
 use passrelay_data_plane::balancer::Balancer;
-use passrelay_data_plane::quota::{Grant, Question, QuotaShares};
+use passrelay_data_plane::quota::{Grant, QuotaShares, TenantTokens, TokenRequest};
 use passrelay_data_plane::retry_budget::RetryBudget;
 use passrelay_data_plane::routing::RoutingTable;
 use passrelay_data_plane::traffic_split::TrafficSplits;
@@ -255,10 +255,11 @@
 
     /// Asks the grantor for the tokens that are wanted now.
     pub fn ask_for_quota(self: &Rc<Self>) {
-        let question = self.quota.borrow_mut().question(self.now());
-        let Some(Question { request_id, wanted, overdrawn }) = question else { return };
-        let keyed =
-            |all: Vec<(u64, u64)>| all.into_iter().map(|(key, n)| (TenantKey(key), n).into()).collect();
+        let question = self.quota.borrow_mut().next_request(self.now());
+        let Some(TokenRequest { request_id, wanted, overdrawn }) = question else { return };
+        let keyed = |all: Vec<TenantTokens>| {
+            all.into_iter().map(|t| (TenantKey(t.tenant), t.tokens).into()).collect()
+        };
         let message =
             QuotaMessage::Request { request_id, wanted: keyed(wanted), overdrawn: keyed(overdrawn) };
         self.drive(|c, now, actions| c.request_tokens(now, message, actions));
@@ -327,12 +328,12 @@
         let QuotaMessage::Grant { request_id, granted, .. } = grant else { return };
         let grant = |a: TenantGrant| Grant { tenant: a.tenant.0, tokens: a.tokens, reserve: a.reserve };
         let grants: Vec<Grant> = granted.into_iter().map(grant).collect();
-        self.quota.borrow_mut().answered(self.now(), request_id, &grants);
+        self.quota.borrow_mut().apply_grants(self.now(), request_id, &grants);
         self.quota_granted.notify(usize::MAX);
     }
 
     fn report_load(self: &Rc<Self>) {
-        let loads = self.balancer.borrow_mut().account();
+        let loads = self.balancer.borrow_mut().take_load_report();
         let request_id = self.told_load.borrow().0 + 1;
         *self.told_load.borrow_mut() = (request_id, loads.clone());
         self.drive(|c, now, actions| c.report_load(now, request_id, loads, actions));
@@ -346,7 +347,7 @@
         }
         self.sidecars.set(sidecars.max(1));
         let sums: HashMap<u64, EndpointLoad> = loads.into_iter().map(|l| (l.endpoint, l)).collect();
-        self.balancer.borrow_mut().learn_sums(self.now(), &told.1, &sums);
+        self.balancer.borrow_mut().observe_fleet_load(self.now(), &told.1, &sums);
     }
 
     fn follow_registry(&self) {
--- a/crates/router/node/src/proxy.rs
+++ b/crates/router/node/src/proxy.rs
@@ -17,7 +17,7 @@
 use passrelay_control_plane::quota::TenantKey;
 use passrelay_data_plane::balancer::{CallEnd, LoadReport, Pick, PickRequest};
 use passrelay_data_plane::prompt::Prompt;
-use passrelay_data_plane::routing::Denial;
+use passrelay_data_plane::routing::RoutingError;
 use smol::Timer;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -129,7 +129,7 @@
         Ok(answered) => Ok(relay_body::respond(answered, attempts, resumable)),
         Err(failure) => {
             if let Some((tenant, tokens)) = tokens.filter(|_| attempts.runs == 0) {
-                node.quota.borrow_mut().give_back(node.now(), tenant.0, tokens);
+                node.quota.borrow_mut().refund(node.now(), tenant.0, tokens);
             }
             Err(failure)
         }
@@ -175,8 +175,8 @@
     let snapshot = node.snapshot().ok_or(Failure::NotConfigured)?;
     let found = snapshot.table.find(&inbound.host, inbound.uri.path(), inbound.key.as_deref());
     let found = found.map_err(|denial| match denial {
-        Denial::NoRoute => Failure::NoRoute,
-        Denial::UnknownKey => Failure::UnknownKey,
+        RoutingError::NoRoute => Failure::NoRoute,
+        RoutingError::UnknownKey => Failure::UnknownKey,
     })?;
     if found.tenant.is_some() && !node.is_fresh() {
         return Err(Failure::NotFresh);
@@ -237,7 +237,7 @@
 
 impl Drop for Waiting<'_> {
     fn drop(&mut self) {
-        self.node.quota.borrow_mut().stop_waiting(self.tenant.0, self.tokens);
+        self.node.quota.borrow_mut().remove_demand(self.tenant.0, self.tokens);
     }
 }
 
@@ -254,7 +254,7 @@
         TokenUnit::TokenUsage => inbound.prompt.total_tokens().unwrap_or(tenant.uncached_tokens),
     };
     let began = node.now();
-    node.quota.borrow_mut().want(key.0, tokens);
+    node.quota.borrow_mut().add_demand(key.0, tokens);
     let waiting = Waiting { node, tenant: key, tokens };
     node.ask_for_quota();
     let patience = Duration::from_millis(terms.route.target_latency_ms).mul_f64(QUOTA_PATIENCE);
@@ -264,11 +264,11 @@
             drop(waiting);
             return Ok(Some((key, tokens)));
         }
-        if node.quota.borrow().is_short(key.0, began) {
+        if node.quota.borrow().is_exhausted_since(key.0, began) {
             return Err(Failure::OverQuota);
         }
         let now = node.now();
-        if now >= began + patience || node.quota.borrow().is_deserted(key.0, now) {
+        if now >= began + patience || node.quota.borrow().is_grantor_unreachable(key.0, now) {
             return Err(Failure::NoGrantor);
         }
         node.ask_for_quota();
@@ -289,25 +289,25 @@
 
 impl Call {
     fn begin(node: &Rc<Node>, pick: Pick, prompt: Option<&Prompt>) -> Self {
-        node.balancer.borrow_mut().sent(node.now(), &pick, prompt);
+        node.balancer.borrow_mut().request_sent(node.now(), &pick, prompt);
         Call { node: node.clone(), pick, answered: Cell::new(false), open: Cell::new(true) }
     }
 
     fn answered(&self, report: Option<LoadReport>, failed: bool) {
         self.answered.set(true);
-        self.node.balancer.borrow_mut().answered(self.node.now(), &self.pick, report, failed);
+        self.node.balancer.borrow_mut().response_head_received(self.node.now(), &self.pick, report, failed);
     }
 
     /// A piece of the answer came.
     pub fn heard(&self) {
-        self.node.balancer.borrow_mut().heard(self.node.now(), &self.pick.id);
+        self.node.balancer.borrow_mut().response_chunk_received(self.node.now(), &self.pick.id);
     }
 
     /// The call is over.
     pub fn end(&self, end: CallEnd) {
         if self.open.replace(false) {
             let now = self.node.now();
-            self.node.balancer.borrow_mut().ended(now, &self.pick, self.answered.get(), end);
+            self.node.balancer.borrow_mut().request_ended(now, &self.pick, self.answered.get(), end);
         }
     }
 }
@@ -400,7 +400,7 @@
             let service = kept.unwrap_or_else(|| terms.service(&self.node));
             self.service = Some(service.clone());
             if self.offers == 0 {
-                self.node.budget.borrow_mut().request(&service);
+                self.node.budget.borrow_mut().deposit(&service);
             }
             match self.attempt(&terms, &service, after).await? {
                 Outcome::Answered(answered) => return Ok(*answered),
@@ -432,7 +432,7 @@
         let node = self.node.clone();
         let prompt = Some(self.inbound.prompt).filter(|_| terms.route.session_affinity);
         let target = Duration::from_millis(terms.route.target_latency_ms);
-        let request = PickRequest { service, prompt, target, tried: &self.tried };
+        let request = PickRequest { service, prompt, target, attempted: &self.tried };
         let pick = node.balancer.borrow_mut().pick(node.now(), &request);
         let Some(pick) = pick else { return Err(self.exhausted()) };
         self.offers += 1;
@@ -442,7 +442,7 @@
             None => node.pool.connect(node.executor, pick.address).await,
         };
         let Ok(mut connection) = connection else {
-            node.balancer.borrow_mut().unreachable(node.now(), &pick.id);
+            node.balancer.borrow_mut().connect_failed(node.now(), &pick.id);
             self.tried.push(pick.id);
             return Ok(Outcome::NotRun);
         };
@@ -452,7 +452,7 @@
             return Ok(Outcome::NotRun);
         }
         // Every arrival beyond the first draws on the budget that all sidecars share.
-        if self.runs + self.rejected > 0 && !node.budget.borrow_mut().spend(service) {
+        if self.runs + self.rejected > 0 && !node.budget.borrow_mut().withdraw(service) {
             node.pool.put(node.now(), connection);
             return Err(self.exhausted());
         }
