--- a/crates/router/control-plane/src/coordinator.rs
+++ b/crates/router/control-plane/src/coordinator.rs
@@ -7,8 +7,8 @@
 use crate::messages::{Action, CallId, Envelope, Message, OperatorMessage, OperatorRequest};
 use crate::quota::{Grantor, QuotaBounds, QuotaMessage, ReportedLevels};
 use crate::replication::{
-    DurableState, Member, MemberId, NonVotingSeed, ProtocolMutation, Replica, ReplicaAction, ReplicaSettings,
-    ReplicatedState, ReplicationEnvelope, ReplicationMessage, WriteId,
+    DurableState, Member, MemberId, NonVotingSeed, Replica, ReplicaAction, ReplicaSettings, ReplicatedState,
+    ReplicationEnvelope, ReplicationMessage, WriteId,
 };
 use calls::{Call, Caller};
 use passrelay_configuration::{parse_document, Configuration};
@@ -365,10 +365,10 @@
                 return;
             }
         };
-        let unfenced =
-            self.replica.as_ref().is_some_and(|r| r.has_mutation(ProtocolMutation::GrantsUnconfirmed));
-        let confirmed_at = self.replica.as_ref().and_then(Replica::confirmed_at);
-        let confirmed_at = if unfenced { Some(now) } else { confirmed_at };
+        let confirmed_at = self
+            .replica
+            .as_ref()
+            .and_then(|replica| replica.mutation().grant_confirmation_time(now, replica.confirmed_at()));
         let Some(grantor) = &mut self.grantor else { return };
         grantor.set_sidecar_count(self.load_sums.sidecars().max(self.gossip.view().len() + 1));
         let Some(granted) = grantor.grant(now, confirmed_at, from.address, &wanted, &overdrawn) else {
@@ -409,13 +409,11 @@
         if let Some(hint) = replica.core_hint() {
             self.gossip.observe_core(hint);
         }
-        let Some(mut committed) = replica.committed().filter(|_| replica.is_established()).cloned() else {
+        let Some(committed) = replica.committed().filter(|_| replica.is_established()).cloned() else {
             self.reported_levels = last_levels(&mut self.grantor, now).or(self.reported_levels.take());
             return;
         };
-        if replica.has_mutation(ProtocolMutation::PublishesUncommitted) {
-            committed = replica.state().clone();
-        }
+        let committed = replica.mutation().state_to_publish(committed, replica.state());
         let configuration = committed.document.clone().map(|document| CommittedConfiguration {
             index: committed.version.index,
             generation: committed.generation,
--- a/crates/router/control-plane/src/coordinator/calls.rs
+++ b/crates/router/control-plane/src/coordinator/calls.rs
@@ -3,7 +3,7 @@
 use super::Coordinator;
 use crate::configuration_change::{Rejection, Verdict};
 use crate::messages::{Action, CallId, Message, OperatorAnswer, OperatorMessage, OperatorRequest};
-use crate::replication::{ProtocolMutation, Replica};
+use crate::replication::Replica;
 use passrelay_dissemination::{CoreHint, Peer};
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -143,8 +143,7 @@
             replica.request_confirmation();
             return Some(Step::Read { term, asked_at: now });
         };
-        let same_number = replica.has_mutation(ProtocolMutation::AcknowledgesByGeneration)
-            && order.generation() == Some(state.generation);
+        let same_number = replica.mutation().is_applied_by_generation(order, &state);
         let verdict = if same_number { Verdict::AlreadyApplied } else { order.judge(&state) };
         let step = match verdict {
             Verdict::HistoryTruncated => Step::HistoryTruncated { term },
@@ -186,14 +185,14 @@
                 (committed.version.index >= *index).then(|| OperatorAnswer::acknowledged(*generation))
             }
             Step::Refuse { index, judged_at, refusal, .. } => {
-                let confirmed = replica.confirmed_at() >= Some(*judged_at)
-                    || replica.has_mutation(ProtocolMutation::RejectsUnconfirmed);
+                let confirmed =
+                    replica.confirmed_at() >= Some(*judged_at) || replica.mutation().rejects_unconfirmed();
                 (committed.version.index >= *index && confirmed)
                     .then(|| OperatorAnswer::fault(refusal.status(), &refusal.to_string()))
             }
             Step::Read { asked_at, .. } => {
-                let confirmed = replica.confirmed_at() >= Some(*asked_at)
-                    || replica.has_mutation(ProtocolMutation::ReadsUnconfirmed);
+                let confirmed =
+                    replica.confirmed_at() >= Some(*asked_at) || replica.mutation().reads_unconfirmed();
                 confirmed.then(|| match &committed.document {
                     Some(document) => OperatorAnswer { status: 200, body: document.clone() },
                     None => OperatorAnswer::fault(404, "there is no configuration yet"),
--- a/crates/router/control-plane/src/replication.rs
+++ b/crates/router/control-plane/src/replication.rs
@@ -7,16 +7,19 @@
 
 mod bootstrap_election;
 mod leadership;
+mod mutation;
 mod non_voting_seed;
 mod replica;
 mod rounds;
 mod types;
 mod voter_discovery;
 
+pub use mutation::Mutations;
+#[cfg(feature = "mutations")]
+pub use mutation::ProtocolMutation;
 pub use non_voting_seed::NonVotingSeed;
 pub use replica::Replica;
 pub use types::{
-    AppliedChange, DurableState, DurableWrite, EpochRecord, Member, MemberId, ProtocolMutation,
-    ReplicaAction, ReplicaSettings, ReplicatedState, ReplicationEnvelope, ReplicationMessage, Sender,
-    StateVersion, WitnessState, WriteId,
+    AppliedChange, DurableState, DurableWrite, EpochRecord, Member, MemberId, ReplicaAction, ReplicaSettings,
+    ReplicatedState, ReplicationEnvelope, ReplicationMessage, Sender, StateVersion, WitnessState, WriteId,
 };
--- a/crates/router/control-plane/src/replication/bootstrap_election.rs
+++ b/crates/router/control-plane/src/replication/bootstrap_election.rs
@@ -5,7 +5,8 @@
 //! Two parts of a divided system can't both have that, and a record that some seed has stored is found by whoever
 //! stands after that. A seed is taken to count until it says that it doesn't.
 
-use super::types::{EpochRecord, Member, MemberId, ProtocolMutation, ReplicaSettings};
+use super::mutation::Mutations;
+use super::types::{EpochRecord, Member, MemberId, ReplicaSettings};
 use super::voter_discovery::VoterDiscovery;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
@@ -22,7 +23,7 @@
     electors: BTreeMap<SocketAddrV4, MemberId>,
     /// Seeds that don't count.
     without_disk: BTreeSet<SocketAddrV4>,
-    fault: Option<ProtocolMutation>,
+    mutation: Mutations,
 }
 
 impl Bootstrap {
@@ -34,7 +35,7 @@
             voter_discovery: VoterDiscovery::new(now),
             electors: BTreeMap::new(),
             without_disk: BTreeSet::new(),
-            fault: settings.fault,
+            mutation: settings.mutation,
         }
     }
 
@@ -54,11 +55,8 @@
     /// The record before the first, of term 0, that nobody stores: it only says who votes on the first. `None` if this
     /// machine is no elector.
     pub(super) fn electorate(&self, now: Duration) -> Option<EpochRecord> {
-        let members = match self.fault {
-            Some(ProtocolMutation::BootstrapsAgain) => vec![self.own],
-            Some(ProtocolMutation::BootstrapsWithoutSeeds) => self.voter_discovery.members(now),
-            _ => self.counted_seeds()?,
-        };
+        let mutated = self.mutation.bootstrap_electorate(self.own, || self.voter_discovery.members(now));
+        let members = mutated.or_else(|| self.counted_seeds())?;
         Some(EpochRecord {
             term: 0,
             sequence: 0,
@@ -80,7 +78,7 @@
 
     /// Whether it is time to stand with what has gathered.
     pub(super) fn may_found(&self, now: Duration) -> bool {
-        if self.fault == Some(ProtocolMutation::BootstrapsAgain) {
+        if self.mutation.bootstraps_alone() {
             return true;
         }
         let place = self.seeds.iter().position(|seed| *seed == self.own.address);
@@ -90,10 +88,8 @@
     /// The first record, for the elector that has the promises of a majority of which none has stored any.
     pub(super) fn first_record(&self, now: Duration, term: u64) -> Option<EpochRecord> {
         let electorate = self.electorate(now)?;
-        let members = match self.fault {
-            Some(ProtocolMutation::BootstrapsAgain) => vec![self.own],
-            _ => self.voter_discovery.members(now),
-        };
+        let mutated = self.mutation.bootstrap_members(self.own);
+        let members = mutated.unwrap_or_else(|| self.voter_discovery.members(now));
         let own_is_there = members.iter().any(|m| m.id == self.own.id);
         own_is_there.then(|| EpochRecord {
             term,
--- a/crates/router/control-plane/src/replication/leadership.rs
+++ b/crates/router/control-plane/src/replication/leadership.rs
@@ -1,9 +1,10 @@
 //! What a primary keeps: the record in force, the one proposed, how far each member has come.
 
+use super::mutation::Mutations;
 use super::rounds::Rounds;
 use super::types::{
-    EpochRecord, Member, MemberId, ProtocolMutation, ReplicaAction, ReplicaSettings, ReplicatedState,
-    ReplicationMessage, StateVersion,
+    EpochRecord, Member, MemberId, ReplicaAction, ReplicaSettings, ReplicatedState, ReplicationMessage,
+    StateVersion,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -71,7 +72,7 @@
     uncommitted: BTreeMap<u64, Arc<ReplicatedState>>,
     committed: Option<Arc<ReplicatedState>>,
     joiners: BTreeMap<MemberId, Joiner>,
-    fault: Option<ProtocolMutation>,
+    mutation: Mutations,
 }
 
 impl Leadership {
@@ -83,7 +84,7 @@
             term,
             in_force: None,
             proposal: Some(Proposal { record, accepted: BTreeSet::new(), sent_at: None }),
-            rounds: Rounds::default(),
+            rounds: Rounds::new(settings.mutation),
             next_ping: now,
             began: now,
             heard: BTreeMap::new(),
@@ -93,7 +94,7 @@
             uncommitted: BTreeMap::new(),
             committed: None,
             joiners: BTreeMap::new(),
-            fault: settings.fault,
+            mutation: settings.mutation,
         }
     }
 
@@ -217,8 +218,7 @@
         }
         self.synced(now, by, term, synced, state, actions);
         if let Some(record) = &self.in_force {
-            let at_arrival = self.fault == Some(ProtocolMutation::ConfirmsAtArrival);
-            self.rounds.answered(round, by, record, at_arrival.then_some(now));
+            self.rounds.answered(now, round, by, record);
         }
         self.accepted(now, by, position, state, actions);
         let missed = self.in_force.as_ref().filter(|r| position < r.position() && self.proposal.is_none());
@@ -353,9 +353,7 @@
             .or_else(|| self.with_newcomer(now, record));
         if let Some(mut next) = next {
             next.sequence = record.sequence + 1;
-            if self.fault == Some(ProtocolMutation::ShrinksInSyncSetWithoutQuorum)
-                && next.in_sync.len() < record.in_sync.len()
-            {
+            if self.mutation.shrinks_without_quorum(record, &next) {
                 self.in_force = Some(next);
                 self.commit();
                 return;
@@ -371,7 +369,7 @@
     }
 
     fn shrunk(&self, now: Duration, record: &EpochRecord) -> Option<EpochRecord> {
-        if record.in_sync.len() <= self.min_in_sync && !self.removes_last_copies() {
+        if record.in_sync.len() <= self.mutation.min_in_sync(self.min_in_sync) {
             return None;
         }
         let all = u32::try_from(record.members.len()).unwrap_or(u32::MAX);
@@ -415,7 +413,6 @@
         self.joiners
             .retain(|id, j| now.saturating_sub(j.asked_at) < JOINER_LATELY && record.member(*id).is_none());
         let joiner = self.joiners.values().next()?;
-        let unsynced = self.fault == Some(ProtocolMutation::AdmitsUnsyncedMember);
         let at_same_address = record.members.iter().find(|m| m.address == joiner.member.address);
         let leaves = match at_same_address {
             Some(former) => Some(*former),
@@ -427,18 +424,15 @@
             },
         };
         let mut next = record.clone();
-        let keeps = self.fault == Some(ProtocolMutation::CountsReplacedMember);
-        if let Some(former) = leaves.filter(|_| !keeps) {
+        if let Some(former) = self.mutation.member_to_remove(leaves) {
             next.members.retain(|m| m.id != former.id);
             next.in_sync.remove(&former.id);
-            if next.in_sync.len() < self.min_in_sync && !self.removes_last_copies() {
+            if next.in_sync.len() < self.mutation.min_in_sync(self.min_in_sync) {
                 return None;
             }
         }
         next.members.push(joiner.member);
-        if unsynced {
-            next.in_sync.insert(joiner.member.id);
-        }
+        next.in_sync.extend(self.mutation.unsynced_member_to_admit(joiner.member.id));
         next.previous_members.clone_from(&record.members);
         Some(next)
     }
@@ -452,10 +446,6 @@
         few && record.members.iter().all(|m| m.id == self.own.id || heard(m))
     }
 
-    fn removes_last_copies(&self) -> bool {
-        self.fault == Some(ProtocolMutation::RemovesLastReplicas)
-    }
-
     fn longest_silent(&self, now: Duration, record: &EpochRecord) -> Option<Member> {
         let others = record.members.iter().filter(|m| m.id != self.own.id);
         others
--- a/crates/router/control-plane/src/replication/replica.rs
+++ b/crates/router/control-plane/src/replication/replica.rs
@@ -5,10 +5,10 @@
 
 use super::bootstrap_election::Bootstrap;
 use super::leadership::{Leadership, PongReport};
+use super::mutation::Mutations;
 use super::types::{
-    AppliedChange, DurableState, DurableWrite, EpochRecord, Member, MemberId, ProtocolMutation,
-    ReplicaAction, ReplicaSettings, ReplicatedState, ReplicationEnvelope, ReplicationMessage, Sender,
-    WitnessState, WriteId,
+    AppliedChange, DurableState, DurableWrite, EpochRecord, Member, MemberId, ReplicaAction, ReplicaSettings,
+    ReplicatedState, ReplicationEnvelope, ReplicationMessage, Sender, WitnessState, WriteId,
 };
 use passrelay_dissemination::{CoreHint, Incarnation};
 use rand::{Rng, SeedableRng};
@@ -74,7 +74,7 @@
     /// A member with what its disk holds.
     pub fn new(now: Duration, settings: ReplicaSettings, durable: DurableState) -> Self {
         let state = Arc::new(durable.state);
-        let founds = settings.founding || settings.fault == Some(ProtocolMutation::BootstrapsAgain);
+        let founds = settings.mutation.may_bootstrap(settings.founding);
         let mut replica = Replica {
             bootstrap_election: (founds && durable.witness.record.is_none())
                 .then(|| Bootstrap::new(now, &settings)),
@@ -122,9 +122,9 @@
         )
     }
 
-    /// Whether this member breaks the protocol in that way.
-    pub fn has_mutation(&self, fault: ProtocolMutation) -> bool {
-        self.settings.fault == Some(fault)
+    /// The rule that this member breaks on purpose, in the cluster simulation.
+    pub(crate) fn mutation(&self) -> Mutations {
+        self.settings.mutation
     }
 
     /// Whether it is primary, its record is in force and its state is committed under its own term.
@@ -239,7 +239,7 @@
         let Some(pending) = self.writes.remove(&write_id) else { return };
         if !succeeded {
             self.disk_failed(now);
-            if self.has_mutation(ProtocolMutation::PromisesOnFullDisk) {
+            if self.settings.mutation.replies_after_failed_write() {
                 actions.extend(pending.replies.into_iter().map(|(asker, message)| reply(asker, message)));
             }
             return;
--- a/crates/router/control-plane/src/replication/replica/election.rs
+++ b/crates/router/control-plane/src/replication/replica/election.rs
@@ -3,8 +3,7 @@
 use super::{reply, Replica, Role, CANDIDACY, PRE_CANDIDACY};
 use crate::replication::leadership::Leadership;
 use crate::replication::types::{
-    EpochRecord, MemberId, ProtocolMutation, ReplicaAction, ReplicatedState, ReplicationMessage, Sender,
-    StateVersion,
+    EpochRecord, MemberId, ReplicaAction, ReplicatedState, ReplicationMessage, Sender, StateVersion,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
@@ -14,8 +13,8 @@
 impl Replica {
     /// Whether this member is to stand for the first term of all: no record is known anywhere, as far as it has heard.
     pub(super) fn may_found(&self, now: Duration) -> bool {
-        let again = self.has_mutation(ProtocolMutation::BootstrapsAgain);
-        let unfounded = self.witness.record.is_none() && (self.hint.is_none() || again);
+        let knows_cluster = self.settings.mutation.knows_cluster(self.hint.is_some());
+        let unfounded = self.witness.record.is_none() && !knows_cluster;
         unfounded
             && self
                 .bootstrap_election
@@ -175,10 +174,8 @@
         }
         let voters: BTreeSet<MemberId> = promises.keys().copied().collect();
         let newest = promises.values().flatten().max_by_key(|r| r.position()).cloned();
-        let newest = match self.settings.fault {
-            Some(ProtocolMutation::CampaignsWithOldRecord) => self.durable_witness.record.clone(),
-            _ => newest,
-        };
+        let own_record = self.durable_witness.record.as_ref();
+        let newest = self.settings.mutation.record_to_campaign_with(newest, own_record);
         let Some(newest) = newest else {
             self.found(now, term, &voters, actions);
             return;
@@ -225,10 +222,8 @@
         self.store_proposal(now, actions);
         // The state goes out under the own term, so that older primaries' unfinished changes give way to it.
         let version = StateVersion { term, index: self.state.version.index };
-        let mut state = ReplicatedState { version, ..(*self.state).clone() };
-        if self.has_mutation(ProtocolMutation::DropsAppliedChangesAtFailover) {
-            state.applied_changes.clear();
-        }
+        let state = ReplicatedState { version, ..(*self.state).clone() };
+        let state = self.settings.mutation.state_at_failover(state);
         self.take_state(now, Arc::new(state), actions);
     }
 }
--- a/crates/router/control-plane/src/replication/replica/follower.rs
+++ b/crates/router/control-plane/src/replication/replica/follower.rs
@@ -2,7 +2,7 @@
 
 use super::{reply, PendingWrite, Replica, Role};
 use crate::replication::types::{
-    DurableWrite, EpochRecord, ProtocolMutation, ReplicaAction, ReplicatedState, ReplicationMessage, Sender,
+    DurableWrite, EpochRecord, ReplicaAction, ReplicatedState, ReplicationMessage, Sender,
 };
 use std::sync::Arc;
 use std::time::Duration;
@@ -39,7 +39,7 @@
         if self.witness.record.as_ref().is_none_or(|r| r.position() < position) {
             self.witness.record = Some(record);
         }
-        if self.has_mutation(ProtocolMutation::AcceptsBeforeSync) && self.durable_witness.record.is_some() {
+        if self.settings.mutation.accepts_before_sync(&self.durable_witness) {
             self.durable_witness = self.witness.clone();
             actions.push(reply(from, accepted));
             return;
@@ -78,12 +78,7 @@
             return;
         }
         self.follow(now);
-        let state = match self.settings.fault {
-            Some(ProtocolMutation::OmitsAppliedChanges) => {
-                Arc::new(ReplicatedState { applied_changes: Default::default(), ..(*state).clone() })
-            }
-            _ => state,
-        };
+        let state = self.settings.mutation.state_to_store(state);
         let version = state.version;
         let synced = ReplicationMessage::Synced { term, version };
         if self.durable_state.version >= version {
--- a/crates/router/control-plane/src/replication/rounds.rs
+++ b/crates/router/control-plane/src/replication/rounds.rs
@@ -1,5 +1,6 @@
 //! Rounds of pings: when did a majority last say that nothing higher was promised?
 
+use super::mutation::Mutations;
 use super::types::{EpochRecord, MemberId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -8,20 +9,25 @@
 const OPEN_ROUNDS: usize = 32;
 
 /// Open rounds of one primary.
-#[derive(Debug, Default)]
+#[derive(Debug)]
 pub(super) struct Rounds {
     open: BTreeMap<u64, (Duration, BTreeSet<MemberId>)>,
     last: u64,
+    mutation: Mutations,
     confirmed_at: Option<Duration>,
 }
 
 impl Rounds {
+    pub(super) fn new(mutation: Mutations) -> Self {
+        Rounds { open: BTreeMap::new(), last: 0, mutation, confirmed_at: None }
+    }
+
     /// Begins a round, which the primary itself has answered; where it is alone, that is enough.
     pub(super) fn begin(&mut self, now: Duration, own: MemberId, record: Option<&EpochRecord>) -> u64 {
         self.last += 1;
         self.open.insert(self.last, (now, BTreeSet::new()));
         if let Some(record) = record {
-            self.answered(self.last, own, record, None);
+            self.answered(now, self.last, own, record);
         }
         while self.open.len() > OPEN_ROUNDS {
             self.open.pop_first();
@@ -29,18 +35,13 @@
         self.last
     }
 
-    /// Takes in an answer. `instead` counts in place of the beginning of the round, in simulations of a broken primary.
-    pub(super) fn answered(
-        &mut self,
-        round: u64,
-        by: MemberId,
-        record: &EpochRecord,
-        instead: Option<Duration>,
-    ) {
+    /// Takes in an answer.
+    pub(super) fn answered(&mut self, now: Duration, round: u64, by: MemberId, record: &EpochRecord) {
         let Some((began, answers)) = self.open.get_mut(&round) else { return };
         answers.insert(by);
         if record.is_quorum(answers) {
-            self.confirmed_at = self.confirmed_at.max(Some(instead.unwrap_or(*began)));
+            self.confirmed_at =
+                self.confirmed_at.max(Some(self.mutation.quorum_confirmation_time(*began, now)));
             self.open.remove(&round);
         }
     }
--- a/crates/router/control-plane/src/replication/types.rs
+++ b/crates/router/control-plane/src/replication/types.rs
@@ -1,5 +1,6 @@
 //! Records, messages and actions of replication.
 
+use super::mutation::Mutations;
 use passrelay_dissemination::Incarnation;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeSet, VecDeque};
@@ -317,48 +318,6 @@
     },
 }
 
-/// A way in which a member is made to break the protocol, so that the checker of simulated histories can itself be
-/// checked. The program never sets one.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ProtocolMutation {
-    /// A newer record is answered for without being written.
-    AcceptsBeforeSync,
-    /// The in-sync set shrinks without a majority's word.
-    ShrinksInSyncSetWithoutQuorum,
-    /// A member whose place was given away still counts.
-    CountsReplacedMember,
-    /// Taken orders are not replicated.
-    OmitsAppliedChanges,
-    /// A read is answered although no majority has confirmed the primary since.
-    ReadsUnconfirmed,
-    /// An order is refused although no majority has confirmed the primary since.
-    RejectsUnconfirmed,
-    /// A state is told on before it is committed.
-    PublishesUncommitted,
-    /// Quota is granted without a majority's word, and without waiting for the grantor before.
-    GrantsUnconfirmed,
-    /// A machine whose disk was lost founds the system a second time, alone.
-    BootstrapsAgain,
-    /// The machines that have found each other found the system, without a majority of the seeds.
-    BootstrapsWithoutSeeds,
-    /// Questions of a process begin with the same numbers as those of the one before, and nothing tells them apart.
-    ReusesRequestIds,
-    /// A majority counts as confirming a primary from the moment at which its answers arrive.
-    ConfirmsAtArrival,
-    /// An order counts as taken before if the order taken last brought the same generation.
-    AcknowledgesByGeneration,
-    /// A newcomer is put into the in-sync set before it has synced the state.
-    AdmitsUnsyncedMember,
-    /// Members leave the in-sync set, or their place, although too few others hold the state.
-    RemovesLastReplicas,
-    /// A candidate goes on from the record on its own disk, not from the newest that it was told.
-    CampaignsWithOldRecord,
-    /// The orders taken are forgotten when the primary changes.
-    DropsAppliedChangesAtFailover,
-    /// A promise is told although the disk refused to hold it.
-    PromisesOnFullDisk,
-}
-
 /// What a member has to know from the start.
 #[derive(Clone, Debug)]
 pub struct ReplicaSettings {
@@ -375,6 +334,6 @@
     pub election_timeout: Duration,
     /// Sets this member's random choices apart from those of others.
     pub random_seed: u64,
-    /// A broken rule, in simulations only.
-    pub fault: Option<ProtocolMutation>,
+    /// A deliberately broken rule, in the cluster simulation only; [`Mutations::NONE`] otherwise.
+    pub mutation: Mutations,
 }
--- a/crates/router/node/src/node.rs
+++ b/crates/router/node/src/node.rs
@@ -11,7 +11,7 @@
 use passrelay_configuration::{parse_document, Configuration};
 use passrelay_control_plane::load::LoadMessage;
 use passrelay_control_plane::quota::{QuotaMessage, TenantGrant, TenantKey, GRANT_LIFETIME};
-use passrelay_control_plane::replication::{Member, ReplicaSettings};
+use passrelay_control_plane::replication::{Member, Mutations, ReplicaSettings};
 use passrelay_control_plane::{
     Action, CallId, Coordinator, CoordinatorSettings, OperatorAnswer, OperatorRequest,
 };
@@ -376,7 +376,7 @@
             seeds: settings.internal_seeds(),
             election_timeout: ELECTION_TIMEOUT,
             random_seed: rand::random(),
-            fault: None,
+            mutation: Mutations::NONE,
         };
         drop(settings);
         log::info!("event=disk_open member={:016x} index={}", id.0, durable.state.version.index);
--- a/crates/testing/cluster-simulation/src/cluster.rs
+++ b/crates/testing/cluster-simulation/src/cluster.rs
@@ -568,7 +568,7 @@
                 seeds: seeds.clone(),
                 election_timeout: Duration::from_millis(320),
                 random_seed,
-                fault,
+                mutation: fault.into(),
             };
             (settings, durable)
         });
