--- a/crates/router/control-plane/src/replication/bootstrap_election.rs
+++ b/crates/router/control-plane/src/replication/bootstrap_election.rs
@@ -5,8 +5,10 @@
 //! Two parts of a divided system can't both have that, and a record that some seed has stored is found by whoever
 //! stands after that. A seed is taken to count until it says that it doesn't.
 
+use super::epoch::EpochRecord;
+use super::identity::{Member, MemberId};
 use super::mutation::Mutations;
-use super::types::{EpochRecord, Member, MemberId, ReplicaSettings};
+use super::settings::ReplicaSettings;
 use super::voter_discovery::VoterDiscovery;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
--- a/crates/router/control-plane/src/replication/leadership.rs
+++ b/crates/router/control-plane/src/replication/leadership.rs
@@ -1,11 +1,13 @@
 //! What a primary keeps: the record in force, the one proposed, how far each member has come.
 
+use super::action::ReplicaAction;
+use super::epoch::{EpochRecord, RecordPosition};
+use super::identity::{Member, MemberId};
+use super::message::ReplicationMessage;
 use super::mutation::Mutations;
 use super::rounds::Rounds;
-use super::types::{
-    EpochRecord, Member, MemberId, ReplicaAction, ReplicaSettings, ReplicatedState, ReplicationMessage,
-    StateVersion,
-};
+use super::settings::ReplicaSettings;
+use super::state::{ReplicatedState, StateVersion};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
@@ -35,7 +37,7 @@
 
 struct Joiner {
     member: Member,
-    founding: bool,
+    bootstrapping: bool,
     asked_at: Duration,
 }
 
@@ -48,7 +50,7 @@
     /// Round of the ping.
     pub(super) round: u64,
     /// Position of the record that the member has stored.
-    pub(super) position: (u64, u64),
+    pub(super) position: RecordPosition,
     /// The state that it has synced.
     pub(super) synced: StateVersion,
 }
@@ -175,15 +177,15 @@
         sent.is_some_and(|(version, at)| *version > has && now.saturating_sub(*at) < patience)
     }
 
-    pub(super) fn wants_to_join(&mut self, now: Duration, member: Member, founding: bool) {
-        self.joiners.insert(member.id, Joiner { member, founding, asked_at: now });
+    pub(super) fn wants_to_join(&mut self, now: Duration, member: Member, bootstrapping: bool) {
+        self.joiners.insert(member.id, Joiner { member, bootstrapping, asked_at: now });
     }
 
     pub(super) fn accepted(
         &mut self,
         now: Duration,
         by: MemberId,
-        position: (u64, u64),
+        position: RecordPosition,
         state: &Arc<ReplicatedState>,
         actions: &mut Vec<ReplicaAction>,
     ) {
@@ -268,7 +270,7 @@
         }
         self.next_ping = now + PING_EVERY;
         let answered = self.rounds.confirmed_at().unwrap_or(self.began);
-        let position = self.in_force.as_ref().map_or((0, 0), EpochRecord::position);
+        let position = self.in_force.as_ref().map(EpochRecord::position).unwrap_or_default();
         let round = self.rounds.begin(now, self.own.id, self.in_force.as_ref());
         // Without a majority the others are to elect; members it can still reach are asked all the same, but rarely.
         if now.saturating_sub(answered) > DEPOSED_AFTER {
@@ -416,7 +418,7 @@
         let at_same_address = record.members.iter().find(|m| m.address == joiner.member.address);
         let leaves = match at_same_address {
             Some(former) => Some(*former),
-            None if joiner.founding => None,
+            None if joiner.bootstrapping => None,
             None => match self.longest_silent(now, record) {
                 None if self.lacks_members(now, record) => None,
                 None => return None,
--- a/crates/router/control-plane/src/replication/mutation.rs
+++ b/crates/router/control-plane/src/replication/mutation.rs
@@ -5,7 +5,10 @@
 //! that some [`ProtocolMutation`] alters. Only the feature `mutations`, which only the cluster simulation turns on, can
 //! make an answer differ from the correct protocol's; without it the type has no size and every answer is constant.
 
-use super::types::{EpochRecord, Member, MemberId, ReplicatedState, WitnessState};
+use super::durable::WitnessState;
+use super::epoch::EpochRecord;
+use super::identity::{Member, MemberId};
+use super::state::ReplicatedState;
 use crate::configuration_change::ConfigurationChange;
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/router/control-plane/src/replication/non_voting_seed.rs
+++ b/crates/router/control-plane/src/replication/non_voting_seed.rs
@@ -5,7 +5,10 @@
 //! two parts of a divided system from founding one each; the order of the seeds and the wait for machines to gather make
 //! it unlikely. `docs/design/consistency.md` says so.
 
-use super::types::{EpochRecord, Member, ReplicaAction, ReplicationMessage};
+use super::action::ReplicaAction;
+use super::epoch::EpochRecord;
+use super::identity::Member;
+use super::message::ReplicationMessage;
 use super::voter_discovery::VoterDiscovery;
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
--- a/crates/router/control-plane/src/replication/replica.rs
+++ b/crates/router/control-plane/src/replication/replica.rs
@@ -3,13 +3,16 @@
 mod election;
 mod follower;
 
+use super::action::ReplicaAction;
 use super::bootstrap_election::Bootstrap;
+use super::durable::{DurableState, DurableWrite, WitnessState, WriteId};
+use super::epoch::{EpochRecord, RecordPosition};
+use super::identity::{Member, MemberId, Sender};
 use super::leadership::{Leadership, PongReport};
+use super::message::{ReplicationEnvelope, ReplicationMessage};
 use super::mutation::Mutations;
-use super::types::{
-    AppliedChange, DurableState, DurableWrite, EpochRecord, Member, MemberId, ReplicaAction, ReplicaSettings,
-    ReplicatedState, ReplicationEnvelope, ReplicationMessage, Sender, WitnessState, WriteId,
-};
+use super::settings::ReplicaSettings;
+use super::state::{AppliedChange, ReplicatedState};
 use passrelay_dissemination::{CoreHint, Incarnation};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -74,7 +77,7 @@
     /// A member with what its disk holds.
     pub fn new(now: Duration, settings: ReplicaSettings, durable: DurableState) -> Self {
         let state = Arc::new(durable.state);
-        let founds = settings.mutation.may_bootstrap(settings.founding);
+        let founds = settings.mutation.may_bootstrap(settings.bootstrapping);
         let mut replica = Replica {
             bootstrap_election: (founds && durable.witness.record.is_none())
                 .then(|| Bootstrap::new(now, &settings)),
@@ -169,7 +172,7 @@
     /// Takes in where the core is.
     pub fn observe_core(&mut self, hint: Option<&CoreHint>) {
         if let Some(hint) = hint {
-            let newer = |known: &CoreHint| (hint.term, hint.sequence) > (known.term, known.sequence);
+            let newer = |known: &CoreHint| RecordPosition::from(hint) > RecordPosition::from(known);
             if self.hint.as_ref().is_none_or(newer) {
                 self.hint = Some(hint.clone());
             }
@@ -276,9 +279,9 @@
                     bootstrap_election.without_disk(address);
                 }
             }
-            ReplicationMessage::Join { member, founding } => {
+            ReplicationMessage::Join { member, bootstrapping } => {
                 if let Role::Primary(leadership) = &mut self.role {
-                    leadership.wants_to_join(now, member, founding);
+                    leadership.wants_to_join(now, member, bootstrapping);
                 }
             }
             ReplicationMessage::PreVote { term } => self.answer_pre_vote(now, from, term, actions),
@@ -402,7 +405,7 @@
             return false;
         }
         let replaced = |hint: &CoreHint| {
-            (hint.term, hint.sequence) > record.position()
+            RecordPosition::from(hint) > record.position()
                 && !hint.members.contains(&self.settings.own.address)
         };
         !self.hint.as_ref().is_some_and(replaced)
--- a/crates/router/control-plane/src/replication/replica/election.rs
+++ b/crates/router/control-plane/src/replication/replica/election.rs
@@ -1,10 +1,12 @@
 //! Elections: asking for votes, giving them, and taking the lead; before the first record, among the seeds.
 
 use super::{reply, Replica, Role, CANDIDACY, PRE_CANDIDACY};
+use crate::replication::action::ReplicaAction;
+use crate::replication::epoch::EpochRecord;
+use crate::replication::identity::{MemberId, Sender};
 use crate::replication::leadership::Leadership;
-use crate::replication::types::{
-    EpochRecord, MemberId, ReplicaAction, ReplicatedState, ReplicationMessage, Sender, StateVersion,
-};
+use crate::replication::message::ReplicationMessage;
+use crate::replication::state::{ReplicatedState, StateVersion};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -30,14 +32,14 @@
 
     pub(super) fn ask_for_place(&mut self, now: Duration, actions: &mut Vec<ReplicaAction>) {
         let member = self.settings.own;
-        let founding = self.bootstrap_election.is_some() && self.witness.record.is_none();
+        let bootstrapping = self.bootstrap_election.is_some() && self.witness.record.is_none();
         if let Some(bootstrap_election) = &mut self.bootstrap_election {
             bootstrap_election.present(now, member);
         }
         if let Some(hint) = &self.hint {
-            let message = ReplicationMessage::Join { member, founding };
+            let message = ReplicationMessage::Join { member, bootstrapping };
             actions.push(ReplicaAction::Send { to: hint.primary, addressee: None, message });
-        } else if founding {
+        } else if bootstrapping {
             for to in self.settings.seeds.clone() {
                 actions.push(ReplicaAction::Send {
                     to,
--- a/crates/router/control-plane/src/replication/replica/follower.rs
+++ b/crates/router/control-plane/src/replication/replica/follower.rs
@@ -1,9 +1,12 @@
 //! What a member does for a primary: it stores records and states, answers pings, and refuses lower terms.
 
 use super::{reply, PendingWrite, Replica, Role};
-use crate::replication::types::{
-    DurableWrite, EpochRecord, ReplicaAction, ReplicatedState, ReplicationMessage, Sender,
-};
+use crate::replication::action::ReplicaAction;
+use crate::replication::durable::DurableWrite;
+use crate::replication::epoch::EpochRecord;
+use crate::replication::identity::Sender;
+use crate::replication::message::ReplicationMessage;
+use crate::replication::state::ReplicatedState;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -60,7 +63,7 @@
             return;
         }
         self.follow(now);
-        let position = self.durable_witness.record.as_ref().map_or((0, 0), EpochRecord::position);
+        let position = self.durable_witness.record.as_ref().map(EpochRecord::position).unwrap_or_default();
         let synced = self.durable_state.version;
         actions.push(reply(from, ReplicationMessage::Pong { term, round, position, synced }));
     }
--- a/crates/router/control-plane/src/replication/rounds.rs
+++ b/crates/router/control-plane/src/replication/rounds.rs
@@ -1,7 +1,8 @@
 //! Rounds of pings: when did a majority last say that nothing higher was promised?
 
+use super::epoch::EpochRecord;
+use super::identity::MemberId;
 use super::mutation::Mutations;
-use super::types::{EpochRecord, MemberId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
--- /dev/null
+++ b/crates/router/control-plane/src/replication/settings.rs
@@ -0,0 +1,26 @@
+//! Settings of one member.
+
+use super::identity::Member;
+use super::mutation::Mutations;
+use std::net::SocketAddrV4;
+use std::time::Duration;
+
+/// What a member has to know when it starts.
+#[derive(Clone, Debug)]
+pub struct ReplicaSettings {
+    /// This member.
+    pub own: Member,
+    /// Number of members that may be lost at the same time without losing a committed state.
+    pub tolerated_losses: usize,
+    /// Whether this member was started for the first start of the cluster and its disk has held no record since. Stored
+    /// on the disk, so that a process that is killed during the bootstrap continues with it.
+    pub bootstrapping: bool,
+    /// Addresses of the seeds for internal messages; the voters among them elect the first record.
+    pub seeds: Vec<SocketAddrV4>,
+    /// Minimum time without contact to a primary before an election starts.
+    pub election_timeout: Duration,
+    /// Seed of this member's random choices; differs between members, so that their timers do.
+    pub random_seed: u64,
+    /// A deliberately broken rule, in the cluster simulation only; [`Mutations::NONE`] otherwise.
+    pub mutation: Mutations,
+}
--- /dev/null
+++ b/crates/router/control-plane/src/replication/state.rs
@@ -0,0 +1,74 @@
+//! The replicated state: the configuration document, its version, and the changes applied last.
+//!
+//! The state is replicated as a whole, not as a log: it is small, and a backup that has fallen behind needs only the
+//! newest version.
+
+use serde::{Deserialize, Serialize};
+use std::collections::VecDeque;
+use std::sync::Arc;
+use std::time::Duration;
+
+/// Number of applied changes that are remembered, so that a retry of one of them is acknowledged again.
+const MAX_APPLIED_CHANGES: usize = 512;
+
+/// Time allowed for the transfer of a state to one member over a slow link, in microseconds per KiB of the document.
+const TRANSFER_MICROS_PER_KIB: u64 = 1_500;
+
+/// Version of a state. Ordered by the term of the primary that wrote it, then by the number of changes.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+pub struct StateVersion {
+    /// Term of the primary that replicates it. Invariant: within a term only its one primary assigns indexes, so two
+    /// states of the same version are equal.
+    pub term: u64,
+    /// Number of changes since the first start of the cluster.
+    pub index: u64,
+}
+
+/// A configuration change that was applied, as far as a retry of it has to be recognised.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct AppliedChange {
+    /// The generation that it produced.
+    pub generation: u64,
+    /// SHA-256 digest of its kind, base generation and body.
+    pub digest: [u8; 32],
+}
+
+/// The replicated state.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub struct ReplicatedState {
+    /// Its version.
+    pub version: StateVersion,
+    /// The operators' version number; 0 before the first configuration.
+    pub generation: u64,
+    /// The document, as JSON; `None` before the first configuration.
+    pub document: Option<Arc<str>>,
+    /// The changes applied last, oldest first; at most 512. Invariant: replicated with the document, so that a new
+    /// primary recognises a retry of a change that an earlier one acknowledged.
+    #[serde(rename = "orders")]
+    pub applied_changes: VecDeque<AppliedChange>,
+}
+
+impl ReplicatedState {
+    /// Time allowed for its transfer to one member over a slow link, on top of the usual timeouts.
+    pub fn transfer_time(&self) -> Duration {
+        let bytes = self.document.as_ref().map_or(0, |document| document.len());
+        Duration::from_micros(u64::try_from(bytes).unwrap_or(u64::MAX) * TRANSFER_MICROS_PER_KIB / 1_024)
+    }
+
+    /// Whether a change on top of this generation may have been applied and dropped from the applied changes since.
+    pub fn may_have_truncated(&self, base: u64) -> bool {
+        let oldest = self.applied_changes.front().map_or(0, |change| change.generation);
+        self.applied_changes.len() >= MAX_APPLIED_CHANGES && base < oldest
+    }
+
+    /// The state after one more change, replicated by the primary of `term`.
+    pub fn after(&self, term: u64, generation: u64, document: Arc<str>, change: AppliedChange) -> Self {
+        let mut applied_changes = self.applied_changes.clone();
+        applied_changes.push_back(change);
+        while applied_changes.len() > MAX_APPLIED_CHANGES {
+            applied_changes.pop_front();
+        }
+        let version = StateVersion { term, index: self.version.index + 1 };
+        ReplicatedState { version, generation, document: Some(document), applied_changes }
+    }
+}
--- a/crates/router/control-plane/src/replication/voter_discovery.rs
+++ b/crates/router/control-plane/src/replication/voter_discovery.rs
@@ -1,6 +1,6 @@
 //! Which machines that count are there before the system is founded, and whether they are enough.
 
-use super::types::{Member, MemberId};
+use super::identity::{Member, MemberId};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/crates/router/node/src/node.rs
+++ b/crates/router/node/src/node.rs
@@ -372,7 +372,7 @@
         let replica = ReplicaSettings {
             own: Member { id, address: settings.internal_address() },
             tolerated_losses: settings.tolerated_losses,
-            founding,
+            bootstrapping: founding,
             seeds: settings.internal_seeds(),
             election_timeout: ELECTION_TIMEOUT,
             random_seed: rand::random(),
--- a/crates/testing/cluster-simulation/src/cluster.rs
+++ b/crates/testing/cluster-simulation/src/cluster.rs
@@ -564,7 +564,7 @@
             let settings = ReplicaSettings {
                 own: Member { id, address: own },
                 tolerated_losses,
-                founding,
+                bootstrapping: founding,
                 seeds: seeds.clone(),
                 election_timeout: Duration::from_millis(320),
                 random_seed,
