--- a/crates/router/control-plane/src/coordinator.rs
+++ b/crates/router/control-plane/src/coordinator.rs
@@ -331,8 +331,10 @@
             replica.receive(now, sender, envelope, &mut replica_actions);
         } else if let Some(seed) = &mut self.non_voting_seed {
             match envelope.message {
-                ReplicationMessage::Present { member } => seed.present(now, member, &mut replica_actions),
-                ReplicationMessage::NonVotingSeed { address } => seed.without_disk(address),
+                ReplicationMessage::Present { member } => {
+                    seed.handle_present(now, member, &mut replica_actions)
+                }
+                ReplicationMessage::NonVotingSeed { address } => seed.handle_non_voting_seed(address),
                 _ => {}
             }
         }
--- a/crates/router/control-plane/src/replication.rs
+++ b/crates/router/control-plane/src/replication.rs
@@ -7,6 +7,7 @@
 
 mod action;
 mod bootstrap_election;
+mod context;
 mod durable;
 mod epoch;
 mod identity;
@@ -15,7 +16,6 @@
 mod mutation;
 mod non_voting_seed;
 mod replica;
-mod rounds;
 mod settings;
 mod state;
 mod voter_discovery;
--- /dev/null
+++ b/crates/router/control-plane/src/replication/leadership/state_transfer.rs
@@ -0,0 +1,94 @@
+//! Replication of states to the backups, and their commit.
+
+use super::{Leadership, RESEND_TIMEOUT};
+use crate::replication::context::Context;
+use crate::replication::identity::{Member, MemberId};
+use crate::replication::message::ReplicationMessage;
+use crate::replication::state::{ReplicatedState, StateVersion};
+use std::collections::BTreeSet;
+use std::sync::Arc;
+use std::time::Duration;
+
+/// The newest state of a primary, committed or not.
+pub(super) struct NewestState {
+    pub(super) state: Arc<ReplicatedState>,
+    /// When the primary began to replicate it.
+    pub(super) replicated_at: Duration,
+}
+
+impl Leadership {
+    /// Sends a new state to all peers. It replaces the newest one, which may not be committed yet.
+    pub(in crate::replication) fn replicate(&mut self, context: &mut Context, state: &Arc<ReplicatedState>) {
+        self.newest = Some(NewestState { state: state.clone(), replicated_at: context.now });
+        self.uncommitted.insert(state.version.index, state.clone());
+        let peers = self.peers();
+        let timeout = transfer_timeout(state, peers.len());
+        for member in peers {
+            if !self.progress.is_transfer_in_flight(context.now, member.id, timeout) {
+                self.send_state(context, member, state);
+            }
+        }
+    }
+
+    /// A version is durable at a member, this one or another. The newest state follows where that isn't it.
+    pub(in crate::replication) fn handle_synced(
+        &mut self,
+        context: &mut Context,
+        from: MemberId,
+        term: u64,
+        version: StateVersion,
+    ) {
+        if term != self.term {
+            return;
+        }
+        self.progress.record_synced(context.now, from, version);
+        self.advance_commit();
+        self.send_lagging_states(context);
+    }
+
+    /// Sends the newest state to each member of the record in force that lacks it, unless a transfer is in flight.
+    pub(super) fn send_lagging_states(&mut self, context: &mut Context) {
+        let Some(record) = &self.in_force else { return };
+        let Some(newest) = &self.newest else { return };
+        let state = newest.state.clone();
+        let timeout = transfer_timeout(&state, self.peers().len());
+        let lagging: Vec<Member> = record
+            .members
+            .iter()
+            .filter(|member| member.id != self.own.id)
+            .filter(|member| self.progress.synced(member.id) < state.version)
+            .filter(|member| !self.progress.is_transfer_in_flight(context.now, member.id, timeout))
+            .copied()
+            .collect();
+        for member in lagging {
+            self.send_state(context, member, &state);
+        }
+    }
+
+    /// Commits the newest state that every in-sync member has synced. While a record is proposed, its in-sync set has to
+    /// hold the state as well as that of the record in force: either may be the one that a later primary is elected by.
+    /// A state of an earlier term is never committed by count; the primary replicates it again under its own term.
+    pub(super) fn advance_commit(&mut self) {
+        let Some(record) = &self.in_force else { return };
+        let proposed = self.proposal.iter().flat_map(|proposal| &proposal.record.in_sync);
+        let replicas: BTreeSet<MemberId> = record.in_sync.iter().chain(proposed).copied().collect();
+        let lowest = replicas.iter().map(|id| self.progress.synced(*id)).min();
+        let Some(lowest) = lowest.filter(|version| version.term == self.term) else { return };
+        let still_uncommitted = self.uncommitted.split_off(&(lowest.index + 1));
+        let mut newly_committed = std::mem::replace(&mut self.uncommitted, still_uncommitted);
+        if let Some((_, state)) = newly_committed.pop_last() {
+            self.committed = Some(state);
+        }
+    }
+
+    fn send_state(&mut self, context: &mut Context, member: Member, state: &Arc<ReplicatedState>) {
+        self.progress.record_sent(context.now, member.id, state.version);
+        let message = ReplicationMessage::Replicate { term: self.term, state: state.clone() };
+        context.send(member.address, message);
+    }
+}
+
+/// How long a state may be in flight before it is sent again, when it is sent to so many peers over one slow link.
+fn transfer_timeout(state: &ReplicatedState, peers: usize) -> Duration {
+    RESEND_TIMEOUT + state.transfer_time() * u32::try_from(peers).unwrap_or(u32::MAX)
+}
--- a/crates/router/control-plane/src/replication/non_voting_seed.rs
+++ b/crates/router/control-plane/src/replication/non_voting_seed.rs
@@ -1,11 +1,12 @@
-//! A seed that doesn't count: before the system is founded it tells the others that it takes no part, and where no seed
-//! counts, the first of them proposes the first record.
+//! A seed that is no voter: during the bootstrap it announces that to the others, and where no seed is a voter, the
+//! first of them proposes the first record.
 //!
-//! Where some seed counts, all of this leaves the founding to those that do. Where none does, nothing on a disk can keep
-//! two parts of a divided system from founding one each; the order of the seeds and the wait for machines to gather make
-//! it unlikely. `docs/design/consistency.md` says so.
+//! Where some seed is a voter, the bootstrap is left to the voting seeds. Where none is, nothing on a disk can keep two
+//! sides of a partition from bootstrapping a cluster each; the backoff by seed rank and the discovery of voters make it
+//! unlikely. `docs/design/consistency.md` says so.
 
 use super::action::ReplicaAction;
+use super::context::Context;
 use super::epoch::EpochRecord;
 use super::identity::Member;
 use super::message::ReplicationMessage;
@@ -14,20 +15,21 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// Pause between messages to the others.
-const TELL_EVERY: Duration = Duration::from_millis(250);
+/// Interval of announcements to the other seeds, and of the proposal to its members.
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The decider of such a seed.
+/// The decider of a non-voting seed.
 #[derive(Debug)]
 pub struct NonVotingSeed {
     own: SocketAddrV4,
     seeds: Vec<SocketAddrV4>,
     tolerated_losses: usize,
-    /// Seeds that have told that they don't count, this one among them.
-    uncounted: BTreeSet<SocketAddrV4>,
+    /// Seeds that have announced that they are no voters, this one among them.
+    non_voting_seeds: BTreeSet<SocketAddrV4>,
     voter_discovery: VoterDiscovery,
-    record: Option<EpochRecord>,
-    next_tell: Duration,
+    /// The first record, once proposed. Invariant: never replaced, so that this seed doesn't propose two.
+    proposed: Option<EpochRecord>,
+    next_announcement: Duration,
 }
 
 impl NonVotingSeed {
@@ -37,67 +39,71 @@
             own,
             seeds: seeds.to_vec(),
             tolerated_losses,
-            uncounted: BTreeSet::from([own]),
+            non_voting_seeds: BTreeSet::from([own]),
             voter_discovery: VoterDiscovery::new(Duration::ZERO),
-            record: None,
-            next_tell: Duration::ZERO,
+            proposed: None,
+            next_announcement: Duration::ZERO,
         })
     }
 
-    /// A machine that counts tells that it is there. It is told that this seed doesn't.
-    pub fn present(&mut self, now: Duration, member: Member, actions: &mut Vec<ReplicaAction>) {
-        self.voter_discovery.present(now, member);
-        actions.push(self.tell(member.address));
+    /// A voter announces itself; the reply is that this seed is none.
+    pub fn handle_present(&mut self, now: Duration, member: Member, actions: &mut Vec<ReplicaAction>) {
+        self.voter_discovery.handle_present(now, member);
+        self.announce(&mut Context::new(now, actions), member.address);
     }
 
-    /// Another seed tells that it doesn't count.
-    pub fn without_disk(&mut self, address: SocketAddrV4) {
-        self.uncounted.insert(address);
+    /// Another seed announces that it is no voter.
+    pub fn handle_non_voting_seed(&mut self, address: SocketAddrV4) {
+        self.non_voting_seeds.insert(address);
     }
 
-    /// Does what is due; to be called until the core is known.
+    /// Advances timers to `now`: announces this seed to the others, and proposes the first record when that falls to
+    /// it. To be called until a record in force is known.
     pub fn tick(&mut self, now: Duration, actions: &mut Vec<ReplicaAction>) {
-        if now < self.next_tell {
+        if now < self.next_announcement {
             return;
         }
-        self.next_tell = now + TELL_EVERY;
+        self.next_announcement = now + ANNOUNCE_INTERVAL;
+        let context = &mut Context::new(now, actions);
         for seed in self.seeds.iter().filter(|seed| **seed != self.own) {
-            actions.push(self.tell(*seed));
+            self.announce(context, *seed);
         }
-        if self.record.is_none() && self.may_found(now) {
-            self.record = self.first_record(now);
+        if self.proposed.is_none() && self.may_propose(now) {
+            self.proposed = self.first_record(now);
+        }
+        let Some(record) = &self.proposed else { return };
+        for member in &record.members {
+            context.send(member.address, ReplicationMessage::Accept { record: record.clone() });
         }
-        let Some(record) = &self.record else { return };
-        actions.extend(record.members.iter().map(|member| ReplicaAction::Send {
-            to: member.address,
-            addressee: None,
-            message: ReplicationMessage::Accept { record: record.clone() },
-        }));
     }
 
-    fn tell(&self, to: SocketAddrV4) -> ReplicaAction {
-        let message = ReplicationMessage::NonVotingSeed { address: self.own };
-        ReplicaAction::Send { to, addressee: None, message }
+    fn announce(&self, context: &mut Context, to: SocketAddrV4) {
+        context.send(to, ReplicationMessage::NonVotingSeed { address: self.own });
     }
 
-    fn may_found(&self, now: Duration) -> bool {
-        let no_seed_counts = self.seeds.iter().all(|seed| self.uncounted.contains(seed));
-        let place = self.place().filter(|_| no_seed_counts);
-        place.is_some_and(|place| self.voter_discovery.is_enough(now, place, self.tolerated_losses))
+    /// Whether no seed is a voter, and this one is the first in turn.
+    fn may_propose(&self, now: Duration) -> bool {
+        if !self.seeds.iter().all(|seed| self.non_voting_seeds.contains(seed)) {
+            return false;
+        }
+        let rank = self.seed_rank();
+        rank.is_some_and(|rank| self.voter_discovery.is_complete(now, rank, self.tolerated_losses))
     }
 
-    fn place(&self) -> Option<usize> {
+    /// Position in the list of seeds, from 0.
+    fn seed_rank(&self) -> Option<usize> {
         self.seeds.iter().position(|seed| *seed == self.own)
     }
 
-    /// The machine with the lowest address leads first.
+    /// The first record: the discovered voters are members, and the one with the lowest address is primary. The term
+    /// differs between seeds.
     fn first_record(&self, now: Duration) -> Option<EpochRecord> {
         let members = self.voter_discovery.members(now);
         Some(EpochRecord {
-            term: 1 + u64::try_from(self.place()?).unwrap_or(0),
+            term: 1 + u64::try_from(self.seed_rank()?).unwrap_or(0),
             sequence: 0,
             primary: members.first()?.id,
-            in_sync: members.iter().map(|m| m.id).collect(),
+            in_sync: members.iter().map(|member| member.id).collect(),
             previous_members: members.clone(),
             members,
         })
--- a/crates/router/control-plane/src/replication/replica.rs
+++ b/crates/router/control-plane/src/replication/replica.rs
@@ -1,104 +1,87 @@
-//! One member: witness, backup and, when elected, primary.
+//! One member of the core: witness, backup and, when elected, primary.
+//!
+//! It decides and does no I/O: messages and writes come back as actions, and a reply that depends on a write is sent
+//! once the driver reports that write as durable.
 
+mod bootstrap;
+mod durable_writes;
 mod election;
 mod follower;
-
-use super::action::ReplicaAction;
-use super::bootstrap_election::Bootstrap;
-use super::durable::{DurableState, DurableWrite, WitnessState, WriteId};
-use super::epoch::{EpochRecord, RecordPosition};
-use super::identity::{Member, MemberId, Sender};
+mod join;
+mod role;
+
+use super::bootstrap_election::BootstrapElection;
+use super::context::Context;
+use super::durable::{DurableState, WitnessState, WriteId};
+use super::epoch::RecordPosition;
+use super::identity::{Member, Sender};
 use super::leadership::{Leadership, PongReport};
 use super::message::{ReplicationEnvelope, ReplicationMessage};
 use super::mutation::Mutations;
 use super::settings::ReplicaSettings;
 use super::state::{AppliedChange, ReplicatedState};
+use super::ReplicaAction;
+use durable_writes::PendingWrite;
 use passrelay_dissemination::{CoreHint, Incarnation};
-use rand::{Rng, SeedableRng};
+use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
-use std::collections::{BTreeMap, BTreeSet};
+use role::Role;
+use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Pause between looks at what is due.
-const TICK_EVERY: Duration = Duration::from_millis(50);
-/// A candidate that hasn't won after this tries again later.
-const CANDIDACY: Duration = Duration::from_millis(400);
-/// ... and one that asked whether it would win, after this.
-const PRE_CANDIDACY: Duration = Duration::from_millis(150);
-/// A write that takes longer means that the disk can't be relied on.
-const SLOW_WRITE: Duration = Duration::from_millis(600);
-/// Pause before a member whose disk failed stands for election.
-const AFTER_DISK_FAULT: Duration = Duration::from_secs(2);
-/// Pause between requests for a place among the members.
-const JOIN_EVERY: Duration = Duration::from_millis(300);
-
-enum Role {
-    Follower,
-    PreCandidate { term: u64, granted: BTreeSet<MemberId>, until: Duration },
-    Candidate { term: u64, promises: BTreeMap<MemberId, Option<EpochRecord>>, until: Duration },
-    Primary(Box<Leadership>),
-}
-
-struct PendingWrite {
-    began: Duration,
-    write: DurableWrite,
-    replies: Vec<(Sender, ReplicationMessage)>,
-}
+/// Interval of ticks.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// One member of the core.
 pub struct Replica {
     settings: ReplicaSettings,
     rng: ChaCha8Rng,
-    /// What was promised and stored, as far as it may already have been told.
+    /// Promises and record in memory. They may be ahead of the disk: a reply that reveals them waits for their write.
     witness: WitnessState,
+    /// The newest state in memory; may be ahead of the disk.
     state: Arc<ReplicatedState>,
+    /// What the disk holds as far as writes have been reported. Invariant: nothing else is acknowledged to others.
     durable_witness: WitnessState,
     durable_state: Arc<ReplicatedState>,
-    writes: BTreeMap<WriteId, PendingWrite>,
-    next_ticket: u64,
+    pending_writes: BTreeMap<WriteId, PendingWrite>,
+    last_write_id: u64,
     role: Role,
-    /// When the primary was last heard, if it was since the start.
-    heard_primary: Option<Duration>,
+    /// Time of the last message of a primary of the promised term or a later one, if there was one since the start.
+    last_primary_contact: Option<Duration>,
     campaign_at: Duration,
-    hint: Option<CoreHint>,
+    /// The newest record in force, as far as gossip has spread it.
+    core_hint: Option<CoreHint>,
     next_tick: Duration,
-    next_join: Duration,
-    /// What is gathered for the first record, while none is known.
-    bootstrap_election: Option<Bootstrap>,
-}
-
-/// The answer to a message.
-fn reply(asker: Sender, message: ReplicationMessage) -> ReplicaAction {
-    ReplicaAction::Send { to: asker.member.address, addressee: Some(asker.incarnation), message }
+    next_join_request: Duration,
+    /// On a member that takes part in the bootstrap of the cluster.
+    bootstrap_election: Option<BootstrapElection>,
 }
 
 impl Replica {
-    /// A member with what its disk holds.
+    /// A member that starts with what its disk holds.
     pub fn new(now: Duration, settings: ReplicaSettings, durable: DurableState) -> Self {
         let state = Arc::new(durable.state);
-        let founds = settings.mutation.may_bootstrap(settings.bootstrapping);
+        let may_bootstrap =
+            settings.mutation.may_bootstrap(settings.bootstrapping) && durable.witness.record.is_none();
         let mut replica = Replica {
-            bootstrap_election: (founds && durable.witness.record.is_none())
-                .then(|| Bootstrap::new(now, &settings)),
+            bootstrap_election: may_bootstrap.then(|| BootstrapElection::new(now, &settings)),
             rng: ChaCha8Rng::seed_from_u64(settings.random_seed),
             witness: durable.witness.clone(),
             durable_witness: durable.witness,
             durable_state: state.clone(),
             state,
-            writes: BTreeMap::new(),
-            next_ticket: 0,
+            pending_writes: BTreeMap::new(),
+            last_write_id: 0,
             role: Role::Follower,
-            heard_primary: None,
+            last_primary_contact: None,
             campaign_at: now,
-            hint: None,
+            core_hint: None,
             next_tick: now,
-            next_join: now,
+            next_join_request: now,
             settings,
         };
-        // Who has just started waits less: after a loss of power nobody leads, and a living primary is heard soon.
-        let wait = replica.settings.election_timeout.mul_f64(replica.rng.random_range(0.4..0.8));
-        replica.campaign_at = now + wait;
+        replica.schedule_first_campaign(now);
         replica
     }
 
@@ -107,21 +90,16 @@
         self.settings.own
     }
 
-    /// A short account of this member, for logs and for whoever looks at a simulated history.
+    /// A one-line summary of this member, for logs and simulated histories.
     pub fn describe(&self) -> String {
-        let role = match &self.role {
-            Role::Follower => "follower",
-            Role::PreCandidate { .. } => "pre-candidate",
-            Role::Candidate { .. } => "candidate",
-            Role::Primary(_) => "primary",
-        };
         format!(
-            "{role} id={:016x} promised={} version={:?} record={:?} founding={}",
+            "{} id={:016x} promised={} version={:?} record={:?} founding={}",
+            self.role.name(),
             self.settings.own.id.0,
             self.witness.promised,
             self.state.version,
             self.witness.record,
-            self.bootstrap_election.is_some() && self.witness.record.is_none()
+            self.is_bootstrapping()
         )
     }
 
@@ -140,126 +118,91 @@
         self.leadership().is_some()
     }
 
-    /// The newest state, committed or not; only a primary's says what a new order builds on.
+    /// The newest state, committed or not. Only on a primary is it the base of the next change.
     pub fn state(&self) -> &Arc<ReplicatedState> {
         &self.state
     }
 
-    /// The newest state that is committed, on an established primary.
+    /// The newest committed state, on a primary.
     pub fn committed(&self) -> Option<&Arc<ReplicatedState>> {
         self.leadership().and_then(Leadership::committed)
     }
 
-    /// The last time at which a majority had promised nothing higher; everything acknowledged before that, by any
-    /// primary, is in [`Replica::committed`]. `None` unless established.
+    /// The last time at which a quorum had promised nothing above this primary's term. Everything acknowledged before
+    /// that, by any primary, is in [`Replica::committed`]. `None` unless established.
     pub fn confirmed_at(&self) -> Option<Duration> {
-        self.leadership().filter(|l| l.is_established()).and_then(Leadership::confirmed_at)
+        self.leadership().filter(|leadership| leadership.is_established()).and_then(Leadership::confirmed_at)
     }
 
-    /// When this member took the lead, if it leads: from then on no earlier primary is confirmed.
+    /// When this member became primary, if it is. From then on no earlier primary is confirmed.
     pub fn leads_since(&self) -> Option<Duration> {
-        self.leadership().map(Leadership::began)
+        self.leadership().map(Leadership::started_at)
     }
 
-    /// What is to be told on of where the core is. Only a primary whose record is in force tells.
+    /// The record in force, for gossip. `None` unless this is the primary that it names.
     pub fn core_hint(&self) -> Option<CoreHint> {
         let record = self.leadership()?.record_in_force()?;
         let primary = record.member(record.primary)?.address;
-        let members = record.members.iter().map(|m| m.address).collect();
+        let members = record.members.iter().map(|member| member.address).collect();
         Some(CoreHint { term: record.term, sequence: record.sequence, primary, members })
     }
 
-    /// Takes in where the core is.
+    /// Merges the record in force as gossip has spread it.
     pub fn observe_core(&mut self, hint: Option<&CoreHint>) {
-        if let Some(hint) = hint {
-            let newer = |known: &CoreHint| RecordPosition::from(hint) > RecordPosition::from(known);
-            if self.hint.as_ref().is_none_or(newer) {
-                self.hint = Some(hint.clone());
-            }
+        let Some(hint) = hint else { return };
+        let is_newer = |known: &CoreHint| RecordPosition::from(hint) > RecordPosition::from(known);
+        if self.core_hint.as_ref().is_none_or(is_newer) {
+            self.core_hint = Some(hint.clone());
         }
     }
 
-    /// Asks for a round of pings at once.
+    /// Has the next tick start a heartbeat round, so that a quorum confirms this primary soon.
     pub fn request_confirmation(&mut self) {
         if let Role::Primary(leadership) = &mut self.role {
-            leadership.ping_soon();
+            leadership.request_heartbeat();
             self.next_tick = Duration::ZERO;
         }
     }
 
-    /// Takes an order: the document that is to follow. Returns the index at which it will be committed; `None`
-    /// unless this is an established primary.
+    /// Replicates the document that a change produced. Returns the index at which it will be committed; `None` unless
+    /// this is an established primary.
     pub fn propose(
         &mut self,
         now: Duration,
         generation: u64,
         document: Arc<str>,
-        order: AppliedChange,
+        change: AppliedChange,
         actions: &mut Vec<ReplicaAction>,
     ) -> Option<u64> {
-        let term = self.leadership().filter(|l| l.is_established())?.term();
-        let state = Arc::new(self.state.after(term, generation, document, order));
+        let term = self.leadership().filter(|leadership| leadership.is_established())?.term();
+        let state = Arc::new(self.state.after(term, generation, document, change));
         let index = state.version.index;
-        self.take_state(now, state, actions);
+        self.replicate_state(&mut Context::new(now, actions), state);
         Some(index)
     }
 
-    /// Does what is due. Returns when to call again.
+    /// Advances timers to `now`, and returns when to call again. A primary sends heartbeats, resends what is
+    /// unacknowledged and proposes the next record; a candidate's election times out; a follower requests membership or
+    /// starts an election. Any of them steps down while its disk is stalled.
     pub fn tick(&mut self, now: Duration, actions: &mut Vec<ReplicaAction>) -> Duration {
         if now < self.next_tick {
             return self.next_tick;
         }
-        self.next_tick = now + TICK_EVERY;
-        self.step_down_if_stalled(now);
+        self.next_tick = now + TICK_INTERVAL;
+        let context = &mut Context::new(now, actions);
+        self.step_down_if_disk_stalled(now);
         match &mut self.role {
             Role::Primary(leadership) => {
-                let state = self.state.clone();
-                leadership.tick(now, &state, actions);
-                self.store_proposal(now, actions);
-            }
-            Role::PreCandidate { until, .. } if now >= *until => {
-                // Nothing was promised yet: the question may be asked again soon.
-                self.campaign_again_soon(now);
+                leadership.tick(context);
+                self.store_proposed_record(context);
             }
-            Role::Candidate { until, .. } if now >= *until => {
-                self.role = Role::Follower;
-                self.put_off_campaign(now);
-            }
-            Role::PreCandidate { .. } | Role::Candidate { .. } => {}
-            Role::Follower => self.tick_follower(now, actions),
+            Role::PreCandidate(_) | Role::Candidate(_) => self.tick_election(now),
+            Role::Follower => self.tick_follower(context),
         }
         self.next_tick
     }
 
-    /// A write has ended.
-    pub fn written(
-        &mut self,
-        now: Duration,
-        write_id: WriteId,
-        succeeded: bool,
-        actions: &mut Vec<ReplicaAction>,
-    ) {
-        let Some(pending) = self.writes.remove(&write_id) else { return };
-        if !succeeded {
-            self.disk_failed(now);
-            if self.settings.mutation.replies_after_failed_write() {
-                actions.extend(pending.replies.into_iter().map(|(asker, message)| reply(asker, message)));
-            }
-            return;
-        }
-        if let Some(witness) = pending.write.witness {
-            self.durable_witness = witness;
-        }
-        if let Some(state) = pending.write.state {
-            self.durable_state = state;
-        }
-        for (asker, message) in pending.replies {
-            actions.push(reply(asker, message));
-        }
-        self.own_progress(now, actions);
-    }
-
-    /// Takes in a message.
+    /// Handles a message from the given incarnation of its sender.
     pub fn receive(
         &mut self,
         now: Duration,
@@ -267,55 +210,47 @@
         envelope: ReplicationEnvelope,
         actions: &mut Vec<ReplicaAction>,
     ) {
+        let context = &mut Context::new(now, actions);
         let from = Sender { member: envelope.sender, incarnation };
         match envelope.message {
-            ReplicationMessage::Present { member } => {
-                if let Some(bootstrap_election) = &mut self.bootstrap_election {
-                    bootstrap_election.present(now, member);
-                }
-            }
-            ReplicationMessage::NonVotingSeed { address } => {
-                if let Some(bootstrap_election) = &mut self.bootstrap_election {
-                    bootstrap_election.without_disk(address);
-                }
-            }
+            ReplicationMessage::Present { member } => self.handle_present(now, member),
+            ReplicationMessage::NonVotingSeed { address } => self.handle_non_voting_seed(address),
             ReplicationMessage::Join { member, bootstrapping } => {
                 if let Role::Primary(leadership) = &mut self.role {
-                    leadership.wants_to_join(now, member, bootstrapping);
+                    leadership.handle_join(now, member, bootstrapping);
                 }
             }
-            ReplicationMessage::PreVote { term } => self.answer_pre_vote(now, from, term, actions),
-            ReplicationMessage::PreVoteGranted { term } => self.pre_vote_granted(now, from, term, actions),
+            ReplicationMessage::PreVote { term } => self.handle_pre_vote(context, from, term),
+            ReplicationMessage::PreVoteGranted { term } => {
+                self.handle_pre_vote_granted(context, from.member.id, term);
+            }
             ReplicationMessage::Prepare { term, candidate } => {
-                self.answer_prepare(now, from, term, candidate, actions);
+                self.handle_prepare(context, from, term, candidate);
             }
             ReplicationMessage::Promise { term, record } => {
-                self.promised_by(now, from, term, record, actions)
+                self.handle_promise(context, from.member.id, term, record);
             }
-            ReplicationMessage::Accept { record } => self.answer_accept(now, from, record, actions),
+            ReplicationMessage::Accept { record } => self.handle_accept(context, from, record),
             ReplicationMessage::Accepted { position } => {
                 if let Role::Primary(leadership) = &mut self.role {
-                    let state = self.state.clone();
-                    leadership.accepted(now, from.member.id, position, &state, actions);
-                    self.own_progress(now, actions);
+                    leadership.handle_accepted(context, from.member.id, position);
+                    self.record_own_progress(context);
                 }
             }
-            ReplicationMessage::Rejected { promised } => self.refused(now, promised),
-            ReplicationMessage::Ping { term, round, .. } => self.answer_ping(now, from, term, round, actions),
+            ReplicationMessage::Rejected { promised } => self.handle_rejection(now, promised),
+            ReplicationMessage::Ping { term, round, .. } => self.handle_ping(context, from, term, round),
             ReplicationMessage::Pong { term, round, position, synced } => {
                 if let Role::Primary(leadership) = &mut self.role {
-                    let state = self.state.clone();
-                    let report = PongReport { by: from.member.id, term, round, position, synced };
-                    leadership.pong(now, &report, &state, actions);
+                    let pong = PongReport { from: from.member.id, term, round, position, synced };
+                    leadership.handle_pong(context, &pong);
                 }
             }
             ReplicationMessage::Replicate { term, state } => {
-                self.answer_replicate(now, from, term, state, actions);
+                self.handle_replicate(context, from, term, state);
             }
             ReplicationMessage::Synced { term, version } => {
                 if let Role::Primary(leadership) = &mut self.role {
-                    let state = self.state.clone();
-                    leadership.synced(now, from.member.id, term, version, &state, actions);
+                    leadership.handle_synced(context, from.member.id, term, version);
                 }
             }
         }
@@ -327,130 +262,4 @@
             _ => None,
         }
     }
-
-    fn put_off_campaign(&mut self, now: Duration) {
-        let timeout = self.settings.election_timeout;
-        self.campaign_at = now + timeout + timeout.mul_f64(self.rng.random_range(0.0..0.6));
-    }
-
-    /// Stands down, and for election again after a short time that differs from others'.
-    fn campaign_again_soon(&mut self, now: Duration) {
-        self.role = Role::Follower;
-        self.campaign_at = now + PRE_CANDIDACY.mul_f64(self.rng.random_range(0.1..1.2));
-    }
-
-    fn write(
-        &mut self,
-        now: Duration,
-        write: DurableWrite,
-        replies: Vec<(Sender, ReplicationMessage)>,
-        actions: &mut Vec<ReplicaAction>,
-    ) {
-        self.next_ticket += 1;
-        let write_id = WriteId(self.next_ticket);
-        self.writes.insert(write_id, PendingWrite { began: now, write: write.clone(), replies });
-        actions.push(ReplicaAction::Write { write_id, write });
-    }
-
-    fn write_witness(
-        &mut self,
-        now: Duration,
-        replies: Vec<(Sender, ReplicationMessage)>,
-        actions: &mut Vec<ReplicaAction>,
-    ) {
-        let write = DurableWrite { witness: Some(self.witness.clone()), state: None };
-        self.write(now, write, replies, actions);
-    }
-
-    fn disk_stalls(&self, now: Duration) -> bool {
-        self.writes.values().any(|w| now.saturating_sub(w.began) > SLOW_WRITE)
-    }
-
-    fn step_down_if_stalled(&mut self, now: Duration) {
-        if self.disk_stalls(now) && !matches!(self.role, Role::Follower) {
-            self.role = Role::Follower;
-            self.put_off_campaign(now);
-        }
-    }
-
-    /// What could not be written was not taken: memory goes back to what the disk holds, but for the promise.
-    fn disk_failed(&mut self, now: Duration) {
-        self.role = Role::Follower;
-        self.campaign_at = now + AFTER_DISK_FAULT;
-        if self.writes.is_empty() {
-            self.witness.record = self.durable_witness.record.clone();
-            self.state = self.durable_state.clone();
-        }
-    }
-
-    fn tick_follower(&mut self, now: Duration, actions: &mut Vec<ReplicaAction>) {
-        if !self.is_member() {
-            if now >= self.next_join {
-                self.next_join = now + JOIN_EVERY;
-                self.ask_for_place(now, actions);
-            }
-            if !self.may_found(now) {
-                return;
-            }
-        }
-        if now >= self.campaign_at && !self.disk_stalls(now) {
-            self.begin_pre_vote(now, actions);
-        }
-    }
-
-    /// Whether this member has a place, by the newest that it knows.
-    fn is_member(&self) -> bool {
-        let Some(record) = &self.witness.record else { return false };
-        if record.member(self.settings.own.id).is_none() {
-            return false;
-        }
-        let replaced = |hint: &CoreHint| {
-            RecordPosition::from(hint) > record.position()
-                && !hint.members.contains(&self.settings.own.address)
-        };
-        !self.hint.as_ref().is_some_and(replaced)
-    }
-
-    /// Stores the record that the own leadership proposes, once for each proposal.
-    fn store_proposal(&mut self, now: Duration, actions: &mut Vec<ReplicaAction>) {
-        let Role::Primary(leadership) = &self.role else { return };
-        let Some(proposed) = leadership.proposed() else { return };
-        if self.witness.record.as_ref().is_some_and(|r| r.position() >= proposed.position()) {
-            return;
-        }
-        self.witness.record = Some(proposed.clone());
-        self.write_witness(now, Vec::new(), actions);
-    }
-
-    fn take_state(&mut self, now: Duration, state: Arc<ReplicatedState>, actions: &mut Vec<ReplicaAction>) {
-        self.state = state.clone();
-        let write = DurableWrite { witness: None, state: Some(state.clone()) };
-        self.write(now, write, Vec::new(), actions);
-        if let Role::Primary(leadership) = &mut self.role {
-            leadership.replicate(now, &state, actions);
-        }
-    }
-
-    /// What is on the own disk counts like what other members have told.
-    fn own_progress(&mut self, now: Duration, actions: &mut Vec<ReplicaAction>) {
-        let own = self.settings.own.id;
-        match &mut self.role {
-            Role::Candidate { term, promises, .. }
-                if self.durable_witness.promised >= *term && !promises.contains_key(&own) =>
-            {
-                promises.insert(own, self.durable_witness.record.clone());
-                self.count_promises(now, actions);
-            }
-            Role::Primary(leadership) => {
-                let term = leadership.term();
-                let state = self.state.clone();
-                leadership.synced(now, own, term, self.durable_state.version, &state, actions);
-                if let Some(position) = self.durable_witness.record.as_ref().map(EpochRecord::position) {
-                    leadership.accepted(now, own, position, &state, actions);
-                }
-                self.store_proposal(now, actions);
-            }
-            _ => {}
-        }
-    }
 }
--- /dev/null
+++ b/crates/router/control-plane/src/replication/replica/durable_writes.rs
@@ -0,0 +1,155 @@
+//! Durable writes: replies that wait for them, and what follows when they end, fail or stall.
+
+use super::{Replica, Role};
+use crate::replication::action::ReplicaAction;
+use crate::replication::context::Context;
+use crate::replication::durable::{DurableWrite, WriteId};
+use crate::replication::epoch::EpochRecord;
+use crate::replication::identity::Sender;
+use crate::replication::message::ReplicationMessage;
+use crate::replication::state::{ReplicatedState, StateVersion};
+use std::sync::Arc;
+use std::time::Duration;
+
+/// A write in flight for longer than this means that the disk is stalled: its member neither leads nor stands.
+const DISK_STALL_TIMEOUT: Duration = Duration::from_millis(600);
+/// Pause after a failed write before the member stands for election.
+const DISK_FAULT_BACKOFF: Duration = Duration::from_secs(2);
+
+/// A write in flight.
+pub(super) struct PendingWrite {
+    began_at: Duration,
+    write: DurableWrite,
+    /// Sent once the write is durable.
+    replies: Vec<PendingReply>,
+}
+
+/// A reply that must not be sent before a write is durable.
+pub(super) struct PendingReply {
+    pub(super) to: Sender,
+    pub(super) message: ReplicationMessage,
+}
+
+impl Replica {
+    /// A write has ended. If it succeeded, replies that waited for it are sent, and a candidate or primary counts what
+    /// is now durable here; if not, the member steps down.
+    pub fn written(
+        &mut self,
+        now: Duration,
+        write_id: WriteId,
+        succeeded: bool,
+        actions: &mut Vec<ReplicaAction>,
+    ) {
+        let context = &mut Context::new(now, actions);
+        let Some(pending) = self.pending_writes.remove(&write_id) else { return };
+        if !succeeded {
+            self.handle_write_failure(now);
+            if self.settings.mutation.replies_after_failed_write() {
+                send_replies(context, pending.replies);
+            }
+            return;
+        }
+        if let Some(witness) = pending.write.witness {
+            self.durable_witness = witness;
+        }
+        if let Some(state) = pending.write.state {
+            self.durable_state = state;
+        }
+        send_replies(context, pending.replies);
+        self.record_own_progress(context);
+    }
+
+    pub(super) fn write(&mut self, context: &mut Context, write: DurableWrite, replies: Vec<PendingReply>) {
+        self.last_write_id += 1;
+        let write_id = WriteId(self.last_write_id);
+        let pending = PendingWrite { began_at: context.now, write: write.clone(), replies };
+        self.pending_writes.insert(write_id, pending);
+        context.actions.push(ReplicaAction::Write { write_id, write });
+    }
+
+    /// Writes promises and record as they are in memory.
+    pub(super) fn write_witness(&mut self, context: &mut Context, replies: Vec<PendingReply>) {
+        let write = DurableWrite { witness: Some(self.witness.clone()), state: None };
+        self.write(context, write, replies);
+    }
+
+    /// Whether a state of at least this version is being written.
+    pub(super) fn is_state_write_pending(&self, version: StateVersion) -> bool {
+        self.pending_writes
+            .values()
+            .any(|pending| pending.write.state.as_ref().is_some_and(|state| state.version >= version))
+    }
+
+    pub(super) fn is_disk_stalled(&self, now: Duration) -> bool {
+        self.pending_writes.values().any(|pending| now.saturating_sub(pending.began_at) > DISK_STALL_TIMEOUT)
+    }
+
+    pub(super) fn step_down_if_disk_stalled(&mut self, now: Duration) {
+        if self.is_disk_stalled(now) && !matches!(self.role, Role::Follower) {
+            self.role = Role::Follower;
+            self.reset_election_timer(now);
+        }
+    }
+
+    /// Nothing of a failed write was acknowledged, so memory goes back to what the disk holds; with other writes in
+    /// flight that is not known yet. The promise stays: to remember it is always safe, to forget it is not.
+    fn handle_write_failure(&mut self, now: Duration) {
+        self.role = Role::Follower;
+        self.campaign_at = now + DISK_FAULT_BACKOFF;
+        if self.pending_writes.is_empty() {
+            self.witness.record = self.durable_witness.record.clone();
+            self.state = self.durable_state.clone();
+        }
+    }
+
+    /// Stores the record that this primary proposes, once for each proposal.
+    pub(super) fn store_proposed_record(&mut self, context: &mut Context) {
+        let Role::Primary(leadership) = &self.role else { return };
+        let Some(proposed) = leadership.proposed_record() else { return };
+        let stored = self.witness.record.as_ref().map(EpochRecord::position);
+        if stored >= Some(proposed.position()) {
+            return;
+        }
+        self.witness.record = Some(proposed.clone());
+        self.write_witness(context, Vec::new());
+    }
+
+    /// Makes a state the newest one: stores it here and sends it to the backups.
+    pub(super) fn replicate_state(&mut self, context: &mut Context, state: Arc<ReplicatedState>) {
+        self.state = state.clone();
+        let write = DurableWrite { witness: None, state: Some(state.clone()) };
+        self.write(context, write, Vec::new());
+        if let Role::Primary(leadership) = &mut self.role {
+            leadership.replicate(context, &state);
+        }
+    }
+
+    /// Counts what is durable here like what other members report.
+    pub(super) fn record_own_progress(&mut self, context: &mut Context) {
+        let own = self.settings.own.id;
+        match &mut self.role {
+            Role::Candidate(candidacy)
+                if self.durable_witness.promised >= candidacy.term
+                    && !candidacy.promises.contains_key(&own) =>
+            {
+                candidacy.promises.insert(own, self.durable_witness.record.clone());
+                self.count_promises(context);
+            }
+            Role::Primary(leadership) => {
+                let term = leadership.term();
+                leadership.handle_synced(context, own, term, self.durable_state.version);
+                if let Some(position) = self.durable_witness.record.as_ref().map(EpochRecord::position) {
+                    leadership.handle_accepted(context, own, position);
+                }
+                self.store_proposed_record(context);
+            }
+            _ => {}
+        }
+    }
+}
+
+fn send_replies(context: &mut Context, replies: Vec<PendingReply>) {
+    for reply in replies {
+        context.reply(reply.to, reply.message);
+    }
+}
--- a/crates/router/control-plane/src/replication/replica/election.rs
+++ b/crates/router/control-plane/src/replication/replica/election.rs
@@ -1,231 +1,224 @@
-//! Elections: asking for votes, giving them, and taking the lead; before the first record, among the seeds.
-
-use super::{reply, Replica, Role, CANDIDACY, PRE_CANDIDACY};
-use crate::replication::action::ReplicaAction;
+//! Elections: pre-vote, promises and their count, and the start of a primary's term.
+//!
+//! A member whose election timer runs out first asks whether it would be elected (pre-vote), so that one that is only
+//! cut off doesn't raise the term and depose a working primary. Then it promises its own term, collects promises, and
+//! continues from the newest record among them. Before the first record the electorate are the seeds
+//! ([`super::bootstrap`]).
+
+use super::durable_writes::PendingReply;
+use super::role::{Candidacy, PreVoteRound};
+use super::{Replica, Role};
+use crate::replication::context::Context;
 use crate::replication::epoch::EpochRecord;
 use crate::replication::identity::{MemberId, Sender};
 use crate::replication::leadership::Leadership;
 use crate::replication::message::ReplicationMessage;
 use crate::replication::state::{ReplicatedState, StateVersion};
+use rand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 use std::time::Duration;
 
+/// A candidate without a quorum of promises after this becomes a follower again.
+const CANDIDACY_TIMEOUT: Duration = Duration::from_millis(400);
+/// A pre-candidate without a quorum of pre-votes after this becomes a follower again.
+const PRE_VOTE_TIMEOUT: Duration = Duration::from_millis(150);
+/// A pre-vote is granted after this part of the election timeout without contact to a primary: less than the whole, since
+/// the voters' timers started a little later than the pre-candidate's.
+const PRE_VOTE_SILENCE: f64 = 0.8;
+
 impl Replica {
-    /// Whether this member is to stand for the first term of all: no record is known anywhere, as far as it has heard.
-    pub(super) fn may_found(&self, now: Duration) -> bool {
-        let knows_cluster = self.settings.mutation.knows_cluster(self.hint.is_some());
-        let unfounded = self.witness.record.is_none() && !knows_cluster;
-        unfounded
-            && self
-                .bootstrap_election
-                .as_ref()
-                .is_some_and(|bootstrap_election| bootstrap_election.may_found(now))
+    /// The first campaign comes earlier than any later one: after a loss of power nobody leads, and a running primary
+    /// makes contact well before.
+    pub(super) fn schedule_first_campaign(&mut self, now: Duration) {
+        let delay = self.settings.election_timeout.mul_f64(self.rng.random_range(0.4..0.8));
+        self.campaign_at = now + delay;
     }
 
-    /// The record whose quorum decides an election in which this member stands: the newest stored, or before the first
-    /// one the seeds.
-    pub(super) fn electorate(&self, now: Duration) -> Option<EpochRecord> {
-        self.witness.record.clone().or_else(|| self.bootstrap_election.as_ref()?.electorate(now))
+    /// Starts the election timer anew. Its random part keeps members from standing at the same time.
+    pub(super) fn reset_election_timer(&mut self, now: Duration) {
+        let timeout = self.settings.election_timeout;
+        self.campaign_at = now + timeout + timeout.mul_f64(self.rng.random_range(0.0..0.6));
     }
 
-    pub(super) fn ask_for_place(&mut self, now: Duration, actions: &mut Vec<ReplicaAction>) {
-        let member = self.settings.own;
-        let bootstrapping = self.bootstrap_election.is_some() && self.witness.record.is_none();
-        if let Some(bootstrap_election) = &mut self.bootstrap_election {
-            bootstrap_election.present(now, member);
-        }
-        if let Some(hint) = &self.hint {
-            let message = ReplicationMessage::Join { member, bootstrapping };
-            actions.push(ReplicaAction::Send { to: hint.primary, addressee: None, message });
-        } else if bootstrapping {
-            for to in self.settings.seeds.clone() {
-                actions.push(ReplicaAction::Send {
-                    to,
-                    addressee: None,
-                    message: ReplicationMessage::Present { member },
-                });
+    /// Becomes a follower that stands again after a short random backoff: after a pre-vote, which has promised nothing
+    /// that others would have to outbid, or where another member stood at the same time.
+    pub(super) fn retry_campaign_after_backoff(&mut self, now: Duration) {
+        self.role = Role::Follower;
+        self.campaign_at = now + PRE_VOTE_TIMEOUT.mul_f64(self.rng.random_range(0.1..1.2));
+    }
+
+    /// Ends a pre-vote round or candidacy that has timed out.
+    pub(super) fn tick_election(&mut self, now: Duration) {
+        match &self.role {
+            Role::PreCandidate(round) if now >= round.deadline => self.retry_campaign_after_backoff(now),
+            Role::Candidate(candidacy) if now >= candidacy.deadline => {
+                self.role = Role::Follower;
+                self.reset_election_timer(now);
             }
+            _ => {}
         }
     }
 
-    /// Addresses of everyone whose word a candidate may need, by a record.
-    pub(super) fn electors(record: &EpochRecord) -> BTreeSet<SocketAddrV4> {
-        record.members.iter().chain(&record.previous_members).map(|m| m.address).collect()
+    /// The record whose quorum decides an election in which this member stands: the newest one accepted here, or before
+    /// the first one the electorate of the bootstrap.
+    fn electorate(&self, now: Duration) -> Option<EpochRecord> {
+        self.witness.record.clone().or_else(|| self.bootstrap_election.as_ref()?.electorate(now))
     }
 
-    pub(super) fn send_to_electors(
-        &self,
-        record: &EpochRecord,
-        message: &ReplicationMessage,
-        actions: &mut Vec<ReplicaAction>,
-    ) {
-        for to in Self::electors(record) {
-            if to != self.settings.own.address {
-                actions.push(ReplicaAction::Send { to, addressee: None, message: message.clone() });
+    /// Sends to every voter of a record but this member, in the order of their addresses.
+    fn send_to_voters(&self, context: &mut Context, record: &EpochRecord, message: &ReplicationMessage) {
+        let voters = record.members.iter().chain(&record.previous_members);
+        let addresses: BTreeSet<SocketAddrV4> = voters.map(|member| member.address).collect();
+        for address in addresses {
+            if address != self.settings.own.address {
+                context.send(address, message.clone());
             }
         }
     }
 
-    pub(super) fn begin_pre_vote(&mut self, now: Duration, actions: &mut Vec<ReplicaAction>) {
-        let Some(record) = self.electorate(now) else { return };
+    pub(super) fn start_pre_vote(&mut self, context: &mut Context) {
+        let Some(record) = self.electorate(context.now) else { return };
         let term = self.witness.promised.max(record.term) + 1;
-        let granted = BTreeSet::from([self.settings.own.id]);
-        self.role = Role::PreCandidate { term, granted, until: now + PRE_CANDIDACY };
-        self.send_to_electors(&record, &ReplicationMessage::PreVote { term }, actions);
-        self.count_pre_votes(now, actions);
+        self.role = Role::PreCandidate(PreVoteRound {
+            term,
+            granted_by: BTreeSet::from([self.settings.own.id]),
+            deadline: context.now + PRE_VOTE_TIMEOUT,
+        });
+        self.send_to_voters(context, &record, &ReplicationMessage::PreVote { term });
+        self.count_pre_votes(context);
     }
 
-    pub(super) fn answer_pre_vote(
-        &mut self,
-        now: Duration,
-        from: Sender,
-        term: u64,
-        actions: &mut Vec<ReplicaAction>,
-    ) {
-        let leads = self.leadership().is_some();
-        let patience = self.settings.election_timeout.mul_f64(0.8);
-        let quiet = self.heard_primary.is_none_or(|at| now.saturating_sub(at) >= patience);
-        if term > self.witness.promised && quiet && !leads {
-            actions.push(reply(from, ReplicationMessage::PreVoteGranted { term }));
-        } else if term <= self.witness.promised {
-            self.refuse(from, actions);
+    /// Grants a pre-vote for a term above the promised one, unless this member is primary or in contact with one.
+    pub(super) fn handle_pre_vote(&mut self, context: &mut Context, from: Sender, term: u64) {
+        if term <= self.witness.promised {
+            self.reject(context, from);
+            return;
+        }
+        let min_silence = self.settings.election_timeout.mul_f64(PRE_VOTE_SILENCE);
+        let is_primary_silent =
+            self.last_primary_contact.is_none_or(|at| context.now.saturating_sub(at) >= min_silence);
+        if is_primary_silent && !self.is_primary() {
+            context.reply(from, ReplicationMessage::PreVoteGranted { term });
         }
     }
 
-    pub(super) fn pre_vote_granted(
-        &mut self,
-        now: Duration,
-        from: Sender,
-        for_term: u64,
-        actions: &mut Vec<ReplicaAction>,
-    ) {
-        if let Role::PreCandidate { term, granted, .. } = &mut self.role {
-            if *term == for_term {
-                granted.insert(from.member.id);
-                self.count_pre_votes(now, actions);
-            }
+    pub(super) fn handle_pre_vote_granted(&mut self, context: &mut Context, from: MemberId, term: u64) {
+        let Role::PreCandidate(round) = &mut self.role else { return };
+        if round.term == term {
+            round.granted_by.insert(from);
+            self.count_pre_votes(context);
         }
     }
 
-    pub(super) fn count_pre_votes(&mut self, now: Duration, actions: &mut Vec<ReplicaAction>) {
-        let Role::PreCandidate { term, granted, .. } = &self.role else { return };
-        let Some(record) = self.electorate(now) else { return };
-        if record.is_quorum(granted) {
-            let term = *term;
-            self.begin_candidacy(now, term, actions);
+    fn count_pre_votes(&mut self, context: &mut Context) {
+        let Role::PreCandidate(round) = &self.role else { return };
+        let Some(record) = self.electorate(context.now) else { return };
+        if record.is_quorum(&round.granted_by) {
+            let term = round.term;
+            self.start_candidacy(context, term);
         }
     }
 
-    pub(super) fn begin_candidacy(&mut self, now: Duration, term: u64, actions: &mut Vec<ReplicaAction>) {
-        let Some(record) = self.electorate(now) else { return };
+    /// Promises its own term and asks the voters for their promises.
+    fn start_candidacy(&mut self, context: &mut Context, term: u64) {
+        let Some(record) = self.electorate(context.now) else { return };
         self.witness.promised = term;
         self.witness.promised_to = Some(self.settings.own.id);
-        self.role = Role::Candidate { term, promises: BTreeMap::new(), until: now + CANDIDACY };
-        self.write_witness(now, Vec::new(), actions);
-        let message = ReplicationMessage::Prepare { term, candidate: self.settings.own.id };
-        self.send_to_electors(&record, &message, actions);
+        self.role = Role::Candidate(Candidacy {
+            term,
+            promises: BTreeMap::new(),
+            deadline: context.now + CANDIDACY_TIMEOUT,
+        });
+        self.write_witness(context, Vec::new());
+        let prepare = ReplicationMessage::Prepare { term, candidate: self.settings.own.id };
+        self.send_to_voters(context, &record, &prepare);
     }
 
-    pub(super) fn answer_prepare(
+    /// Promises a term to a candidate once the promise is durable. The same candidate may ask again, since the reply may
+    /// have been lost.
+    pub(super) fn handle_prepare(
         &mut self,
-        now: Duration,
+        context: &mut Context,
         from: Sender,
         term: u64,
         candidate: MemberId,
-        actions: &mut Vec<ReplicaAction>,
     ) {
-        let again = term == self.witness.promised && self.witness.promised_to == Some(candidate);
-        if term <= self.witness.promised && !again {
-            self.refuse(from, actions);
+        let is_retry = term == self.witness.promised && self.witness.promised_to == Some(candidate);
+        if term <= self.witness.promised && !is_retry {
+            self.reject(context, from);
             return;
         }
         self.witness.promised = term;
         self.witness.promised_to = Some(candidate);
         self.role = Role::Follower;
-        self.put_off_campaign(now);
+        self.reset_election_timer(context.now);
         let promise = ReplicationMessage::Promise { term, record: self.witness.record.clone() };
-        self.write_witness(now, vec![(from, promise)], actions);
+        self.write_witness(context, vec![PendingReply { to: from, message: promise }]);
     }
 
-    pub(super) fn promised_by(
+    pub(super) fn handle_promise(
         &mut self,
-        now: Duration,
-        from: Sender,
-        for_term: u64,
+        context: &mut Context,
+        from: MemberId,
+        term: u64,
         record: Option<EpochRecord>,
-        actions: &mut Vec<ReplicaAction>,
     ) {
-        if let Role::Candidate { term, promises, .. } = &mut self.role {
-            if *term == for_term {
-                promises.insert(from.member.id, record);
-                self.count_promises(now, actions);
-            }
+        let Role::Candidate(candidacy) = &mut self.role else { return };
+        if candidacy.term == term {
+            candidacy.promises.insert(from, record);
+            self.count_promises(context);
         }
     }
 
-    pub(super) fn count_promises(&mut self, now: Duration, actions: &mut Vec<ReplicaAction>) {
-        let Role::Candidate { term, promises, .. } = &self.role else { return };
-        let term = *term;
-        let own = self.settings.own;
-        // The own promise counts once it is on disk, and nothing begins before: a member that led with a promise it then
-        // forgot could lead the same term twice.
-        if !promises.contains_key(&own.id) {
+    /// Becomes primary once a quorum of the newest promised record has promised the term.
+    pub(super) fn count_promises(&mut self, context: &mut Context) {
+        let Role::Candidate(candidacy) = &self.role else { return };
+        let term = candidacy.term;
+        let own = self.settings.own.id;
+        // The own promise counts once it is durable, and nothing starts before: a member that led with a promise that
+        // it then forgot could lead the same term twice.
+        if !candidacy.promises.contains_key(&own) {
             return;
         }
-        let voters: BTreeSet<MemberId> = promises.keys().copied().collect();
-        let newest = promises.values().flatten().max_by_key(|r| r.position()).cloned();
+        let voters: BTreeSet<MemberId> = candidacy.promises.keys().copied().collect();
+        let promised_records = candidacy.promises.values().flatten();
+        let newest = promised_records.max_by_key(|record| record.position()).cloned();
         let own_record = self.durable_witness.record.as_ref();
         let newest = self.settings.mutation.record_to_campaign_with(newest, own_record);
         let Some(newest) = newest else {
-            self.found(now, term, &voters, actions);
+            self.lead_bootstrap(context, term, &voters);
             return;
         };
         if !newest.is_quorum(&voters) {
-            // The newest record may name members that were not asked yet.
-            let message = ReplicationMessage::Prepare { term, candidate: self.settings.own.id };
-            if self.witness.record.as_ref().is_none_or(|r| r.position() < newest.position()) {
-                self.send_to_electors(&newest, &message, actions);
+            // The newest record may name voters that were not asked yet.
+            if self.witness.record.as_ref().is_none_or(|record| record.position() < newest.position()) {
+                let prepare = ReplicationMessage::Prepare { term, candidate: own };
+                self.send_to_voters(context, &newest, &prepare);
             }
             return;
         }
-        if !newest.in_sync.contains(&own.id) || newest.member(own.id).is_none() {
+        // Only a complete replica may lead; this one gives the complete ones time to stand.
+        if !newest.in_sync.contains(&own) || newest.member(own).is_none() {
             self.role = Role::Follower;
-            let timeout = self.settings.election_timeout;
-            self.campaign_at = now + timeout * 2;
+            self.campaign_at = context.now + self.settings.election_timeout * 2;
             return;
         }
-        let record = EpochRecord { term, sequence: 0, primary: own.id, ..newest };
-        self.lead(now, record, actions);
-    }
-
-    /// No elector has stored any record: the first one follows, once a majority of them has promised.
-    pub(super) fn found(
-        &mut self,
-        now: Duration,
-        term: u64,
-        voters: &BTreeSet<MemberId>,
-        actions: &mut Vec<ReplicaAction>,
-    ) {
-        let Some(bootstrap_election) = &self.bootstrap_election else { return };
-        let elected =
-            bootstrap_election.electorate(now).is_some_and(|electorate| electorate.is_quorum(voters));
-        if let Some(record) = bootstrap_election.first_record(now, term).filter(|_| elected) {
-            self.lead(now, record, actions);
-        }
+        self.lead(context, EpochRecord { term, sequence: 0, primary: own, ..newest });
     }
 
-    /// Takes the lead of a term with a record that is still to come into force.
-    pub(super) fn lead(&mut self, now: Duration, record: EpochRecord, actions: &mut Vec<ReplicaAction>) {
+    /// Becomes primary of the record's term. The record comes into force when a quorum has accepted it.
+    pub(super) fn lead(&mut self, context: &mut Context, record: EpochRecord) {
         let term = record.term;
-        let leadership = Leadership::new(now, &self.settings, record);
+        let leadership = Leadership::new(context.now, &self.settings, record);
         self.role = Role::Primary(Box::new(leadership));
-        self.store_proposal(now, actions);
-        // The state goes out under the own term, so that older primaries' unfinished changes give way to it.
+        self.store_proposed_record(context);
+        // The state is replicated again under the own term, so that it supersedes the uncommitted changes of earlier
+        // primaries.
         let version = StateVersion { term, index: self.state.version.index };
         let state = ReplicatedState { version, ..(*self.state).clone() };
         let state = self.settings.mutation.state_at_failover(state);
-        self.take_state(now, Arc::new(state), actions);
+        self.replicate_state(context, Arc::new(state));
     }
 }
--- a/crates/router/control-plane/src/replication/replica/follower.rs
+++ b/crates/router/control-plane/src/replication/replica/follower.rs
@@ -1,7 +1,8 @@
-//! What a member does for a primary: it stores records and states, answers pings, and refuses lower terms.
+//! A follower: accepts records, syncs states, answers pings, and rejects whatever has a lower term than it promised.
 
-use super::{reply, PendingWrite, Replica, Role};
-use crate::replication::action::ReplicaAction;
+use super::durable_writes::PendingReply;
+use super::{Replica, Role};
+use crate::replication::context::Context;
 use crate::replication::durable::DurableWrite;
 use crate::replication::epoch::EpochRecord;
 use crate::replication::identity::Sender;
@@ -11,85 +12,87 @@
 use std::time::Duration;
 
 impl Replica {
-    pub(super) fn answer_accept(
-        &mut self,
-        now: Duration,
-        from: Sender,
-        record: EpochRecord,
-        actions: &mut Vec<ReplicaAction>,
-    ) {
+    /// Requests membership while this is no member, and starts an election when the election timer has run out.
+    pub(super) fn tick_follower(&mut self, context: &mut Context) {
+        if !self.is_member() {
+            self.tick_join_request(context);
+            if !self.may_stand_for_bootstrap(context.now) {
+                return;
+            }
+        }
+        if context.now >= self.campaign_at && !self.is_disk_stalled(context.now) {
+            self.start_pre_vote(context);
+        }
+    }
+
+    /// Accepts a record of the promised term or a later one; the reply waits until it is durable.
+    pub(super) fn handle_accept(&mut self, context: &mut Context, from: Sender, record: EpochRecord) {
         if record.term < self.witness.promised {
-            self.refuse(from, actions);
+            self.reject(context, from);
             return;
         }
         let position = record.position();
         let accepted = ReplicationMessage::Accepted { position };
         let durable = self.durable_witness.record.as_ref().map(EpochRecord::position);
         if durable >= Some(position) {
-            actions.push(reply(from, accepted));
+            context.reply(from, accepted);
             return;
         }
-        let founded = record.primary == self.settings.own.id && self.witness.record.is_none();
+        // Without a voting seed, a non-voting one proposes the first record and names its primary.
+        let is_bootstrap_leader = record.primary == self.settings.own.id && self.witness.record.is_none();
         if record.term > self.witness.promised {
             self.witness.promised = record.term;
             self.witness.promised_to = Some(record.primary);
         }
-        if founded {
-            self.lead(now, record, actions);
+        if is_bootstrap_leader {
+            self.lead(context, record);
             return;
         }
-        self.follow(now);
-        if self.witness.record.as_ref().is_none_or(|r| r.position() < position) {
+        self.follow(context.now);
+        if self.witness.record.as_ref().is_none_or(|stored| stored.position() < position) {
             self.witness.record = Some(record);
         }
         if self.settings.mutation.accepts_before_sync(&self.durable_witness) {
             self.durable_witness = self.witness.clone();
-            actions.push(reply(from, accepted));
+            context.reply(from, accepted);
             return;
         }
-        self.write_witness(now, vec![(from, accepted)], actions);
+        self.write_witness(context, vec![PendingReply { to: from, message: accepted }]);
     }
 
-    pub(super) fn answer_ping(
-        &mut self,
-        now: Duration,
-        from: Sender,
-        term: u64,
-        round: u64,
-        actions: &mut Vec<ReplicaAction>,
-    ) {
+    /// Replies with what is durable here.
+    pub(super) fn handle_ping(&mut self, context: &mut Context, from: Sender, term: u64, round: u64) {
         if term < self.witness.promised {
-            self.refuse(from, actions);
+            self.reject(context, from);
             return;
         }
-        self.follow(now);
+        self.follow(context.now);
         let position = self.durable_witness.record.as_ref().map(EpochRecord::position).unwrap_or_default();
         let synced = self.durable_state.version;
-        actions.push(reply(from, ReplicationMessage::Pong { term, round, position, synced }));
+        context.reply(from, ReplicationMessage::Pong { term, round, position, synced });
     }
 
-    pub(super) fn answer_replicate(
+    /// Syncs a state of the promised term or a later one; the reply waits until it is durable.
+    pub(super) fn handle_replicate(
         &mut self,
-        now: Duration,
+        context: &mut Context,
         from: Sender,
         term: u64,
         state: Arc<ReplicatedState>,
-        actions: &mut Vec<ReplicaAction>,
     ) {
         if term < self.witness.promised || state.version.term != term {
-            self.refuse(from, actions);
+            self.reject(context, from);
             return;
         }
-        self.follow(now);
+        self.follow(context.now);
         let state = self.settings.mutation.state_to_store(state);
         let version = state.version;
         let synced = ReplicationMessage::Synced { term, version };
         if self.durable_state.version >= version {
-            actions.push(reply(from, synced));
+            context.reply(from, synced);
             return;
         }
-        let under_way = |w: &PendingWrite| w.write.state.as_ref().is_some_and(|s| s.version >= version);
-        if self.state.version >= version && self.writes.values().any(under_way) {
+        if self.state.version >= version && self.is_state_write_pending(version) {
             return;
         }
         let mut write = DurableWrite { witness: None, state: Some(state.clone()) };
@@ -99,36 +102,36 @@
             write.witness = Some(self.witness.clone());
         }
         self.state = state;
-        self.write(now, write, vec![(from, synced)], actions);
+        self.write(context, write, vec![PendingReply { to: from, message: synced }]);
     }
 
-    /// Something of a lower term than promised came.
-    pub(super) fn refuse(&self, from: Sender, actions: &mut Vec<ReplicaAction>) {
-        actions.push(reply(from, ReplicationMessage::Rejected { promised: self.witness.promised }));
+    /// Rejects a message of a lower term than promised.
+    pub(super) fn reject(&self, context: &mut Context, from: Sender) {
+        context.reply(from, ReplicationMessage::Rejected { promised: self.witness.promised });
     }
 
-    /// A primary of the promised term or a later one was heard.
-    pub(super) fn follow(&mut self, now: Duration) {
-        self.heard_primary = Some(now);
+    /// A primary of the promised term or a later one has made contact.
+    fn follow(&mut self, now: Duration) {
+        self.last_primary_contact = Some(now);
         self.role = Role::Follower;
-        self.put_off_campaign(now);
+        self.reset_election_timer(now);
     }
 
-    pub(super) fn refused(&mut self, now: Duration, promised: u64) {
-        let outrun = match &self.role {
-            Role::Follower => false,
-            Role::PreCandidate { term, .. } | Role::Candidate { term, .. } => promised >= *term,
-            Role::Primary(leadership) => promised > leadership.term(),
-        };
-        let stood = matches!(self.role, Role::PreCandidate { .. } | Role::Candidate { .. });
-        if outrun && stood {
-            // Another stood at the same time. If it wins, it is heard before the next try.
-            self.campaign_again_soon(now);
-        } else if outrun {
-            self.role = Role::Follower;
-            self.put_off_campaign(now);
+    /// A member has promised a higher term than one of this member's messages had.
+    pub(super) fn handle_rejection(&mut self, now: Duration, promised: u64) {
+        match &self.role {
+            // Another member stands at the same time. If it wins, it makes contact before this one stands again.
+            Role::PreCandidate(round) if promised >= round.term => self.retry_campaign_after_backoff(now),
+            Role::Candidate(candidacy) if promised >= candidacy.term => {
+                self.retry_campaign_after_backoff(now);
+            }
+            Role::Primary(leadership) if promised > leadership.term() => {
+                self.role = Role::Follower;
+                self.reset_election_timer(now);
+            }
+            _ => {}
         }
-        // Only remembered, not promised: the next candidacy has to go above it.
+        // Only remembered, not promised to anyone: the next candidacy has to stand for a higher term.
         if promised > self.witness.promised {
             self.witness.promised = promised;
             self.witness.promised_to = None;
