--- a/crates/router/control-plane/src/coordinator/bootstrap.rs
+++ b/crates/router/control-plane/src/coordinator/bootstrap.rs
@@ -27,8 +27,8 @@
         let Some(seed) = &mut self.non_voting_seed else { return };
         let mut replica_actions = Vec::new();
         match envelope.message {
-            ReplicationMessage::Present { member } => seed.present(now, member, &mut replica_actions),
-            ReplicationMessage::NonVotingSeed { address } => seed.without_disk(address),
+            ReplicationMessage::Present { member } => seed.handle_present(now, member, &mut replica_actions),
+            ReplicationMessage::NonVotingSeed { address } => seed.handle_non_voting_seed(address),
             _ => {}
         }
         context.append_replica_actions(self.replication_sender(), replica_actions);
--- a/crates/router/control-plane/src/coordinator/operator_calls.rs
+++ b/crates/router/control-plane/src/coordinator/operator_calls.rs
@@ -26,7 +26,7 @@
 use super::operator_outcome::{OperatorError, OperatorOutcome, OperatorReply};
 use crate::configuration_change::{ConfigurationChange, Rejection, Verdict};
 use crate::messages::{Action, CallId, Message, OperatorAnswer, OperatorMessage, OperatorRequest};
-use crate::replication::{ProtocolMutation, Replica, ReplicatedState, StateVersion};
+use crate::replication::{Replica, ReplicatedState, StateVersion};
 use passrelay_dissemination::{Gossip, Peer};
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -213,13 +213,13 @@
                 .then_some(Ok(OperatorReply::Acknowledged { generation: *generation })),
             CallState::AwaitRejectionConfirmation { position, adjudicated_at, rejection } => {
                 let confirmed = replica.confirmed_at() >= Some(*adjudicated_at)
-                    || replica.has_mutation(ProtocolMutation::RejectsUnconfirmed);
+                    || replica.mutation().rejects_unconfirmed();
                 (committed.version.index >= position.index && confirmed)
                     .then(|| Err(OperatorError::Rejected(rejection.clone())))
             }
             CallState::AwaitReadConfirmation { requested_at, .. } => {
-                let confirmed = replica.confirmed_at() >= Some(*requested_at)
-                    || replica.has_mutation(ProtocolMutation::ReadsUnconfirmed);
+                let confirmed =
+                    replica.confirmed_at() >= Some(*requested_at) || replica.mutation().reads_unconfirmed();
                 confirmed.then(|| read(committed))
             }
             CallState::HistoryTruncated { .. } => Some(Err(OperatorError::HistoryTruncated)),
@@ -271,8 +271,7 @@
     let now = context.now();
     let state = replica.state().clone();
     let position = state.version;
-    let same_number = replica.has_mutation(ProtocolMutation::AcknowledgesByGeneration)
-        && change.generation() == Some(state.generation);
+    let same_number = replica.mutation().is_applied_by_generation(change, &state);
     let verdict = if same_number { Verdict::AlreadyApplied } else { change.adjudicate(&state) };
     match verdict {
         Verdict::HistoryTruncated => Some(CallState::HistoryTruncated { term: position.term }),
--- a/crates/router/control-plane/src/coordinator/publication.rs
+++ b/crates/router/control-plane/src/coordinator/publication.rs
@@ -6,8 +6,9 @@
 
 use super::context::Context;
 use super::Coordinator;
-use crate::replication::{ProtocolMutation, Replica, ReplicatedState};
+use crate::replication::{Replica, ReplicatedState};
 use passrelay_dissemination::{CommittedConfiguration, Gossip};
+use std::sync::Arc;
 
 impl Coordinator {
     /// Publishes the core's location and the committed state, if this process is the primary, and starts, configures or
@@ -32,12 +33,9 @@
 }
 
 /// The committed state of an established primary.
-fn publishable_state(replica: &Replica) -> Option<ReplicatedState> {
+fn publishable_state(replica: &Replica) -> Option<Arc<ReplicatedState>> {
     let committed = replica.committed().filter(|_| replica.is_established())?;
-    if replica.has_mutation(ProtocolMutation::PublishesUncommitted) {
-        return Some(ReplicatedState::clone(replica.state()));
-    }
-    Some(ReplicatedState::clone(committed))
+    Some(replica.mutation().state_to_publish(committed.clone(), replica.state()))
 }
 
 fn publish_configuration(
--- a/crates/router/control-plane/src/coordinator/quota_grantor.rs
+++ b/crates/router/control-plane/src/coordinator/quota_grantor.rs
@@ -9,7 +9,7 @@
 use super::Coordinator;
 use crate::messages::{Action, Message};
 use crate::quota::{BucketLevels, Grantor, QuotaBounds, QuotaMessage, ReportedLevels, TenantTokens};
-use crate::replication::{ProtocolMutation, Replica, ReplicatedState};
+use crate::replication::ReplicatedState;
 use passrelay_configuration::{parse_document, Configuration};
 use passrelay_dissemination::{CoreHint, Peer};
 use std::time::Duration;
@@ -117,10 +117,10 @@
     /// sidecar turns to its reserve.
     fn grant_tokens(&mut self, request: &TokenRequest, context: &mut Context<'_>) {
         let now = context.now();
-        let unfenced =
-            self.replica.as_ref().is_some_and(|r| r.has_mutation(ProtocolMutation::GrantsUnconfirmed));
-        let confirmed_at = self.replica.as_ref().and_then(Replica::confirmed_at);
-        let confirmed_at = if unfenced { Some(now) } else { confirmed_at };
+        let confirmed_at = self
+            .replica
+            .as_ref()
+            .and_then(|replica| replica.mutation().grant_confirmation_time(now, replica.confirmed_at()));
         let Some(grantor) = &mut self.quota.grantor else { return };
         // Sidecars that have not requested tokens yet are known from load reports, or from gossip (its view leaves out
         // this process).
--- a/crates/router/node/src/storage/tests.rs
+++ b/crates/router/node/src/storage/tests.rs
@@ -98,7 +98,7 @@
         assert_eq!(witness.promised, 8);
         assert_eq!(witness.promised_to, Some(MemberId(0x1122_3344_5566_7703)));
         let record = witness.record.as_ref().expect("a record");
-        assert_eq!((record.position(), record.primary), ((7, 3), MemberId(0x1122_3344_5566_7702)));
+        assert_eq!((record.term, record.sequence, record.primary), (7, 3, MemberId(0x1122_3344_5566_7702)));
         assert_eq!((record.members.len(), record.previous_members.len(), record.in_sync.len()), (3, 2, 2));
         assert_eq!(record.members[0].address, "10.1.2.1:7400".parse().expect("an address"));
 
--- a/crates/testing/cluster-simulation/src/cluster.rs
+++ b/crates/testing/cluster-simulation/src/cluster.rs
@@ -564,11 +564,11 @@
             let settings = ReplicaSettings {
                 own: Member { id, address: own },
                 tolerated_losses,
-                founding,
+                bootstrapping: founding,
                 seeds: seeds.clone(),
                 election_timeout: Duration::from_millis(320),
                 random_seed,
-                fault,
+                mutation: fault.into(),
             };
             (settings, durable)
         });
