--- a/crates/sidecar/load-balancing/src/estimate.rs
+++ b/crates/sidecar/load-balancing/src/estimate.rs
@@ -1,79 +1,114 @@
-//! Estimates that the policy keeps: what became of calls lately, and how long they take by the work they are
-//! said to need. Plain arithmetic on what was seen; no decisions, and none of them grows.
+//! Estimators with bounded state: decayed outcome counts and a regression of service time by cost. Plain arithmetic
+//! on observations, no decisions.
 
-/// What became of calls is forgotten after about this time: troubles pass.
-const FORGET_S: f64 = 10.0;
-/// ... and each call takes the place of this part of those before it.
-const REPLACED: f64 = 0.1;
+/// Time constant in seconds by which outcomes decay: faults pass.
+const OUTCOME_DECAY_S: f64 = 10.0;
+/// Part of the earlier outcomes that each new one replaces.
+const OUTCOME_REPLACEMENT: f64 = 0.1;
 
-/// How many calls were served and how many came back at all, fading with time and with each call.
+/// Decayed numbers of attempts; fractional.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct OutcomeCounts {
+    /// Served.
+    pub served: f64,
+    /// Completed, served or not; at least `served`.
+    pub completed: f64,
+}
+
+impl OutcomeCounts {
+    /// Adds the counts of another source.
+    #[must_use]
+    pub fn plus(self, other: OutcomeCounts) -> Self {
+        OutcomeCounts { served: self.served + other.served, completed: self.completed + other.completed }
+    }
+
+    /// Part that was served, 0 to 1.
+    pub fn success_rate(self) -> f64 {
+        self.served / self.completed
+    }
+}
+
+/// Outcomes that decay with time and with each further outcome.
 #[derive(Clone, Copy, Debug)]
-pub struct Record {
-    served: f64,
-    all: f64,
-    at: f64,
+pub struct OutcomeHistory {
+    counts: OutcomeCounts,
+    updated_at: f64,
 }
 
-impl Record {
-    /// Nothing seen by `now`.
+impl OutcomeHistory {
+    /// Nothing observed by `now`.
     pub fn new(now: f64) -> Self {
-        Record { served: 0.0, all: 0.0, at: now }
+        OutcomeHistory { counts: OutcomeCounts::default(), updated_at: now }
     }
 
-    /// Takes in a call that came back.
-    pub fn add(&mut self, now: f64, served: bool) {
-        let (was, all) = self.at(now);
-        self.served = was * (1.0 - REPLACED) + f64::from(u8::from(served));
-        (self.all, self.at) = (all * (1.0 - REPLACED) + 1.0, now);
+    /// Records a completed attempt.
+    pub fn record(&mut self, now: f64, served: bool) {
+        let earlier = self.counts(now);
+        self.counts.served = earlier.served * (1.0 - OUTCOME_REPLACEMENT) + f64::from(u8::from(served));
+        self.counts.completed = earlier.completed * (1.0 - OUTCOME_REPLACEMENT) + 1.0;
+        self.updated_at = now;
     }
 
-    /// Served, and all that came back, as far as not forgotten.
-    pub fn at(&self, now: f64) -> (f64, f64) {
-        let fresh = (-(now - self.at) / FORGET_S).exp();
-        (self.served * fresh, self.all * fresh)
+    /// The counts, decayed to `now`.
+    pub fn counts(&self, now: f64) -> OutcomeCounts {
+        let decay = (-(now - self.updated_at) / OUTCOME_DECAY_S).exp();
+        OutcomeCounts { served: self.counts.served * decay, completed: self.counts.completed * decay }
     }
 }
 
-/// Calls of a class are forgotten after about so many more.
-const MEMORY: f64 = 300.0;
-/// Calls before which no line is drawn.
-const LEAST: f64 = 12.0;
+/// Number of observations over which the regression decays.
+const REGRESSION_WINDOW: f64 = 300.0;
+/// Observations, decayed, below which the regression gives no estimate.
+const MIN_OBSERVATIONS: f64 = 12.0;
+/// Relative variance of the costs below which no slope can be estimated.
+const MIN_RELATIVE_VARIANCE: f64 = 1e-9;
 
-/// A straight line through the times of calls by the work that they were said to need, both in seconds.
+/// Decayed linear regression of service time by cost, both in seconds.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Line {
-    n: f64,
-    work: f64,
+pub struct ServiceTimeRegression {
+    observations: f64,
+    cost: f64,
     time: f64,
-    work_work: f64,
-    work_time: f64,
+    cost_squared: f64,
+    cost_time: f64,
 }
 
-impl Line {
-    /// Takes in one call.
-    pub fn add(&mut self, work: f64, time: f64) {
-        let new = [1.0, work, time, work * work, work * time];
-        let sums = [&mut self.n, &mut self.work, &mut self.time, &mut self.work_work, &mut self.work_time];
-        for (sum, new) in sums.into_iter().zip(new) {
-            *sum += new - *sum / MEMORY;
+impl ServiceTimeRegression {
+    /// Adds one observation.
+    pub fn observe(&mut self, cost: f64, time: f64) {
+        let sample = [1.0, cost, time, cost * cost, cost * time];
+        let sums = [
+            &mut self.observations,
+            &mut self.cost,
+            &mut self.time,
+            &mut self.cost_squared,
+            &mut self.cost_time,
+        ];
+        for (sum, value) in sums.into_iter().zip(sample) {
+            *sum += value - *sum / REGRESSION_WINDOW;
         }
     }
 
-    /// The work usually asked for; `None` before enough has been seen.
-    pub fn usual(&self) -> Option<f64> {
-        (self.n >= LEAST).then(|| self.work / self.n)
+    /// Mean cost; `None` before there are enough observations.
+    pub fn mean_cost(&self) -> Option<f64> {
+        (self.observations >= MIN_OBSERVATIONS).then(|| self.cost / self.observations)
     }
 
-    /// The time to be expected for so much work; `None` before enough has been seen.
-    pub fn at(&self, work: f64) -> Option<f64> {
-        let (usual, time) = (self.usual()?, self.time / self.n);
-        let spread = self.work_work / self.n - usual * usual;
-        // More work takes no less time, and a call without work does not take less than none.
-        let steepest = time / usual;
-        let slope = (self.work_time / self.n - usual * time) / spread;
-        // Calls that all ask for the same leave nothing to draw a line by.
-        let slope = if spread > 1e-9 * usual * usual { slope.clamp(0.0, steepest) } else { 0.0 };
-        Some(time + slope * (work - usual))
+    /// Expected time for this cost; `None` before there are enough observations.
+    pub fn predict(&self, cost: f64) -> Option<f64> {
+        let mean_cost = self.mean_cost()?;
+        let mean_time = self.time / self.observations;
+        let variance = self.cost_squared / self.observations - mean_cost * mean_cost;
+        // A higher cost takes no less time, and a request without cost does not take a negative time.
+        let max_slope = mean_time / mean_cost;
+        let slope = (self.cost_time / self.observations - mean_cost * mean_time) / variance;
+        // Observations of one and the same cost leave no slope to estimate.
+        let slope = if variance > MIN_RELATIVE_VARIANCE * mean_cost * mean_cost {
+            slope.clamp(0.0, max_slope)
+        } else {
+            0.0
+        };
+        Some(mean_time + slope * (cost - mean_cost))
     }
 }
 
--- a/crates/sidecar/load-balancing/src/lib.rs
+++ b/crates/sidecar/load-balancing/src/lib.rs
@@ -35,7 +35,7 @@
 pub mod dispatcher;
 mod estimate;
 pub mod lifecycle;
-mod rules;
+mod policy;
 mod state;
 pub mod turns;
 
--- /dev/null
+++ b/crates/sidecar/load-balancing/src/policy/admission_control.rs
@@ -0,0 +1,116 @@
+//! Admission control: which requests are accepted, how long they may be queued, and how they are rejected.
+//!
+//! A request beyond its tenant's quota keeps its place with a lower priority. A request whose cost can't be
+//! served in time by any upstream is rejected at once, and a pending one when it can no longer be answered in
+//! time.
+
+use crate::api::{Action, ClassId, DedupScope, Effect, RequestId, TenantId};
+use crate::state::{Balancer, PendingRequest, Request};
+
+/// Requests of more than this many times the mean cost of their class may be rejected as infeasible. Others
+/// are always accepted: only they can show that responses have become faster again.
+const OUTSIZED_COST_RATIO: f64 = 2.0;
+/// An outsized request is infeasible when this part of its expected time exceeds the time that it has. While
+/// nothing is queued it may still be lucky ...
+const INFEASIBLE_TIME_FRACTION_IDLE: f64 = 0.5;
+/// ... and while others are queued for the core that it would take.
+const INFEASIBLE_TIME_FRACTION_QUEUED: f64 = 0.9;
+/// Part of its time that a request may stay queued at least. Where responses are slow, the expected time
+/// exceeds the latency target, and even the highest priority would be rejected at once.
+const MIN_QUEUEING_FRACTION: f64 = 0.5;
+
+impl Balancer {
+    /// Accepts a request into the dispatch queue. A request of an unknown class is ignored.
+    pub(super) fn admit(
+        &mut self,
+        id: RequestId,
+        class: ClassId,
+        tenant: Option<TenantId>,
+        ttl: f64,
+        work_hint: Option<f64>,
+    ) {
+        let Some(rules) = self.settings.classes.get(class.0).cloned() else { return };
+        let ttl = if ttl.is_finite() { ttl.max(0.0) } else { rules.aim };
+        let cost = work_hint.filter(|cost| cost.is_finite() && *cost > 0.0);
+        let priority = rules.gain * self.quota_priority(tenant);
+        let deadline = self.now + ttl;
+        let target = self.now + rules.aim + rules.aim_stretch * cost.unwrap_or(0.0);
+        let answer_by = if rules.late_value > 0.0 { deadline } else { target.min(deadline) };
+        let expected_time = self.expected_time(class, cost, answer_by);
+        self.retry_budget.earn();
+        self.health_check_budget.earn(self.settings.price_probe);
+        let request = Request {
+            class,
+            arrived_at: self.now,
+            answer_by,
+            deadline,
+            priority,
+            cost,
+            expected_time,
+            idempotent: rules.effect == Effect::Safe,
+            attempts: Vec::new(),
+            pending: true,
+            completed: false,
+        };
+        self.requests.insert(id, request);
+    }
+
+    /// Priority multiplier of a request by its tenant's quota, from which it takes a token.
+    fn quota_priority(&mut self, tenant: Option<TenantId>) -> f64 {
+        let Some(tenant) = tenant else { return 1.0 };
+        let Some(quota_per_s) = self.settings.tenants.get(tenant.0).map(|t| t.allowance_per_s) else {
+            return 1.0;
+        };
+        if self.take_quota(tenant.0, quota_per_s) {
+            1.0
+        } else {
+            self.settings.over_share_worth
+        }
+    }
+
+    /// Expected response time of a new request; infinite for an outsized one that can't be answered in time:
+    /// it would keep a core from many others.
+    fn expected_time(&mut self, class: ClassId, cost: Option<f64>, answer_by: f64) -> f64 {
+        let median = self.response_times.class(class).median;
+        let Some(cost) = cost else { return median };
+        self.response_times.observe_cost(cost);
+        let by_cost = &self.response_times.class(class).by_cost;
+        let expected = by_cost.predict(cost).unwrap_or(median);
+        let outsized = by_cost.mean_cost().is_some_and(|mean| cost > OUTSIZED_COST_RATIO * mean);
+        let fraction = if self.requests.pending().is_empty() {
+            INFEASIBLE_TIME_FRACTION_IDLE
+        } else {
+            INFEASIBLE_TIME_FRACTION_QUEUED
+        };
+        if outsized && fraction * expected > answer_by - self.now {
+            f64::INFINITY
+        } else {
+            expected
+        }
+    }
+
+    /// The latest time at which a first attempt can still be answered in time.
+    pub(super) fn latest_dispatch_at(&self, request: &PendingRequest) -> f64 {
+        let end = request.answer_by.min(request.deadline - self.settings.tick);
+        let reserved = request.expected_time.min(MIN_QUEUEING_FRACTION * (end - request.arrived_at));
+        (end - reserved).max(request.arrived_at)
+    }
+
+    /// Gives the final answer of a request that is not served: a rejection where a retry by the client is
+    /// harmless, else a failure.
+    pub(super) fn reject(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get(&id).filter(|request| !request.completed) else { return };
+        let ran = request.attempts.iter().any(|attempt| attempt.may_have_run);
+        let effect = self.settings.classes[request.class.0].effect;
+        let repeatable = matches!(effect, Effect::Safe | Effect::Keyed { scope: DedupScope::All, .. });
+        actions.push(if !ran || repeatable {
+            // The longest time that clients honour: rejected ones that return soon displace those that can
+            // still be served in time.
+            let retry_after = self.settings.max_retry_after;
+            Action::Refuse { id, retry_after: self.settings.retry_after.then_some(retry_after) }
+        } else {
+            Action::Fail { id }
+        });
+        self.requests.finish(id);
+    }
+}
--- /dev/null
+++ b/crates/sidecar/load-balancing/src/policy/concurrency_limit.rs
@@ -0,0 +1,89 @@
+//! Concurrency limit: how many requests this instance may have in flight.
+//!
+//! Where workers are known, each instance gets its part of all workers. Otherwise the limit adapts to
+//! response times: it is reduced by a factor while they show queueing and grows linearly while it is used.
+
+use crate::api::ClassId;
+use crate::state::Balancer;
+
+/// Requests in flight for each upstream over all instances, before response times are known.
+const INITIAL_CONCURRENCY_PER_UPSTREAM: f64 = 12.0;
+/// Least requests in flight for each upstream over all instances, where workers are unknown.
+const MIN_CONCURRENCY_PER_UPSTREAM: f64 = 3.0;
+/// Where workers are known, the least requests in flight, as a part of them.
+const MIN_CONCURRENCY_PER_WORKER: f64 = 0.5;
+/// A median response time above this multiple of its baseline shows queueing ...
+const QUEUEING_BASELINE_RATIO: f64 = 2.0;
+/// ... but not below this part of the latency target: there is time to queue ...
+const MIN_QUEUEING_TARGET_FRACTION: f64 = 0.5;
+/// ... and always above this part: the slower half of the responses needs the rest.
+const MAX_QUEUEING_TARGET_FRACTION: f64 = 0.7;
+/// Factor by which the limit is reduced, at most once in a median response time.
+const LIMIT_DECREASE_FACTOR: f64 = 0.9;
+/// Growth of the limit for each response.
+const LIMIT_INCREASE: f64 = 0.1;
+/// The limit grows while more than one in this many of it is in flight: unused capacity says nothing about
+/// more of it.
+const LIMIT_USE_DIVISOR: f64 = 2.0;
+/// Capacity over this instance's equal part of all workers: clients do not spread evenly over instances.
+const WORKER_SHARE_HEADROOM: f64 = 1.2;
+
+impl Balancer {
+    /// Sets the limit after the first endpoint list.
+    pub(super) fn initialize_concurrency_limit(&mut self) {
+        self.concurrency_limit.limit = INITIAL_CONCURRENCY_PER_UPSTREAM * self.upstreams_per_instance();
+        self.concurrency_limit.usable_upstreams = self.upstreams.len() as f64;
+    }
+
+    /// Requests that this instance may have in flight, with so many running upstreams. Instances that each
+    /// fill all workers would queue at the servers together, so each takes its part.
+    pub(super) fn capacity(&self, running: usize) -> f64 {
+        if self.confirms_selections() {
+            return f64::MAX;
+        }
+        let share = |workers: f64| {
+            let instances = self.settings.balancers as f64;
+            (WORKER_SHARE_HEADROOM * running as f64 * workers.round() / instances).ceil()
+        };
+        self.workers.map_or(f64::INFINITY, share).min(self.concurrency_limit.limit)
+    }
+
+    /// Records a response time and adapts the limit.
+    pub(super) fn observe_response_time(&mut self, class: ClassId, elapsed: f64) {
+        if !elapsed.is_finite() {
+            return;
+        }
+        self.response_times.observe(class, elapsed.max(0.0));
+        let in_flight: usize = self.upstreams.values().map(|upstream| upstream.in_flight.len()).sum();
+        let in_flight =
+            if self.concurrency_limit.limit < 1.0 { self.mean_concurrency() } else { in_flight as f64 };
+        let baseline = self.response_times.update_baseline(class);
+        if self.is_queueing(class, baseline) {
+            self.reduce_limit(in_flight);
+        } else if LIMIT_USE_DIVISOR * in_flight > self.concurrency_limit.limit
+            || self.concurrency_limit.limit
+                < INITIAL_CONCURRENCY_PER_UPSTREAM * self.concurrency_limit.usable_upstreams
+        {
+            self.concurrency_limit.limit += LIMIT_INCREASE;
+        }
+    }
+
+    fn is_queueing(&self, class: ClassId, baseline: f64) -> bool {
+        let target = self.settings.classes[class.0].aim;
+        let threshold = (QUEUEING_BASELINE_RATIO * baseline)
+            .clamp(MIN_QUEUEING_TARGET_FRACTION * target, MAX_QUEUEING_TARGET_FRACTION * target);
+        self.response_times.class(class).median > threshold
+    }
+
+    fn reduce_limit(&mut self, in_flight: f64) {
+        if self.now - self.concurrency_limit.reduced_at <= self.response_times.median {
+            return;
+        }
+        let by_workers = |workers: f64| workers * MIN_CONCURRENCY_PER_WORKER;
+        let per_upstream = self.workers.map_or(MIN_CONCURRENCY_PER_UPSTREAM, by_workers);
+        let floor = per_upstream * self.upstreams_per_instance();
+        let used = self.concurrency_limit.limit.min(in_flight + 1.0);
+        self.concurrency_limit.limit = (used * LIMIT_DECREASE_FACTOR).max(floor);
+        self.concurrency_limit.reduced_at = self.now;
+    }
+}
--- /dev/null
+++ b/crates/sidecar/load-balancing/src/policy/dispatch.rs
@@ -0,0 +1,180 @@
+//! Dispatch: sends pending requests by priority, rejects those that can't be answered in time, and checks
+//! every send.
+
+use crate::api::{Action, Condition, RequestId, UpstreamId};
+use crate::state::{Attempt, Balancer, InFlightAttempt, PendingRequest};
+
+use super::outlier::Survey;
+use super::selection::{Selectable, SuccessWeights};
+use super::WAKE_PENDING;
+
+/// Largest part of the capacity that is reserved for requests of higher priority.
+const MAX_RESERVED_FRACTION: f64 = 0.5;
+/// Part of the median response time after which pending requests are considered again.
+const POLL_INTERVAL_MEDIANS: f64 = 1.0 / 8.0;
+
+/// State of one pass over the dispatch queue.
+struct Pass {
+    /// Requests that this instance may have in flight; may lie below 1.
+    capacity: f64,
+    in_flight: f64,
+    /// Priority of the most valuable class.
+    top_priority: f64,
+    /// Health checks without a result.
+    health_checks: usize,
+    /// Pending requests that need a health check to confirm their selection.
+    unconfirmed: usize,
+    /// No upstream may be selected for a request that may go anywhere: nor for those behind it.
+    exhausted: bool,
+    /// By class.
+    success_weights: Vec<SuccessWeights>,
+}
+
+impl Pass {
+    /// Whether the capacity for requests of this priority is used up.
+    ///
+    /// Cheap requests would fill a small capacity just before a valuable one arrives. The fluctuation of a
+    /// full capacity (its square root) is reserved, the more the lower the priority.
+    fn is_full(&self, priority: f64, mean_concurrency: f64) -> bool {
+        let fluctuation = (self.capacity * MAX_RESERVED_FRACTION).min(self.capacity.sqrt());
+        let available = self.capacity - fluctuation * (1.0 - priority / self.top_priority);
+        // Below one request, the mean over time is limited.
+        let below_one = f64::from(u8::from(self.capacity < 1.0));
+        self.in_flight >= available.max(1.0) + below_one || mean_concurrency * below_one >= available
+    }
+}
+
+impl Balancer {
+    /// Sends pending requests, highest priority first, and rejects those that can no longer be answered in
+    /// time.
+    pub(super) fn dispatch(&mut self, actions: &mut Vec<Action>) {
+        let may_hedge = self.settings.cancel && self.requests.has_open_idempotent();
+        if self.requests.pending().is_empty() && !may_hedge {
+            return;
+        }
+        let survey = self.survey_upstreams();
+        self.concurrency_limit.scale(survey.usable);
+        self.cancel_stalled_attempts(actions);
+        let pending: Vec<PendingRequest> = self.requests.pending().iter().copied().collect();
+        if pending.is_empty() {
+            return;
+        }
+        let mut pass = self.start_pass(&survey);
+        for request in pending {
+            let unanswerable = self.is_unanswerable(&request);
+            if !unanswerable && self.try_send(&request, &mut pass, actions) {
+                pass.in_flight += 1.0;
+            } else if unanswerable || self.now >= self.latest_dispatch_at(&request) {
+                self.reject(request.id, actions);
+            }
+        }
+        self.schedule_wake(actions);
+    }
+
+    fn start_pass(&self, survey: &Survey) -> Pass {
+        Pass {
+            capacity: self.capacity(survey.running),
+            in_flight: survey.in_flight as f64,
+            top_priority: self.settings.top_gain(),
+            health_checks: survey.health_checks,
+            unconfirmed: 0,
+            exhausted: false,
+            success_weights: vec![SuccessWeights::default(); self.settings.classes.len()],
+        }
+    }
+
+    /// Whether a request can't be answered in time, by a first attempt or by a retry; then it is not sent.
+    fn is_unanswerable(&self, request: &PendingRequest) -> bool {
+        let tried = !self.requests[&request.id].attempts.is_empty();
+        let late = self.now + self.settings.tick >= request.answer_by;
+        request.expected_time.is_infinite() || tried && late
+    }
+
+    /// Selects an upstream for a pending request and sends it there, or confirms the selection by a health
+    /// check first. True when it was sent.
+    fn try_send(&mut self, request: &PendingRequest, pass: &mut Pass, actions: &mut Vec<Action>) -> bool {
+        if pass.is_full(request.priority, self.mean_concurrency()) || pass.exhausted {
+            return false;
+        }
+        let state = &self.requests[&request.id];
+        let selectable = self.selectable(state, &mut pass.success_weights[request.class.0]);
+        pass.exhausted = selectable.is_empty() && state.attempts.is_empty();
+        if self.needs_confirmation(&selectable) {
+            pass.unconfirmed += 1;
+            if pass.health_checks < pass.unconfirmed && self.may_check() {
+                let sent = self.send_health_check(&selectable, request.class, actions);
+                pass.health_checks += usize::from(sent);
+            }
+            return false;
+        }
+        let Some(upstream) = self.take_turn(&selectable, request.class) else { return false };
+        self.send(request.id, upstream, actions)
+    }
+
+    /// Whether a selection among these must be confirmed by a health check. Beyond the health check budget a
+    /// request is sent unconfirmed where workers are unknown.
+    fn needs_confirmation(&self, selectable: &[Selectable]) -> bool {
+        let confirms =
+            self.confirms_selections() && (self.health_check_budget.covers_one() || self.workers.is_some());
+        let confirmed =
+            selectable.first().is_some_and(|item| self.has_spare_worker(&self.upstreams[&item.upstream]));
+        confirms && !confirmed
+    }
+
+    /// Asks for one wake-up at the next time at which a pending request needs a decision.
+    fn schedule_wake(&mut self, actions: &mut Vec<Action>) {
+        let latest = self.requests.pending().iter().map(|request| self.latest_dispatch_at(request));
+        let Some(next) = latest.min_by(f64::total_cmp) else { return };
+        let poll_interval = self.response_times.median * POLL_INTERVAL_MEDIANS;
+        let poll_at = self.now + poll_interval.max(self.settings.tick);
+        let next = next.max(self.now + self.settings.tick).min(poll_at);
+        if next < self.next_wake {
+            self.next_wake = next;
+            actions.push(Action::Wake { after: next - self.now, token: WAKE_PENDING });
+        }
+    }
+
+    /// Sends an attempt, if the rules that hold for every send allow it, whatever the selection decided: the
+    /// repeat rules of the class, one attempt at a time, no send to a draining upstream, and the bounds on
+    /// attempts and time.
+    fn send(&mut self, id: RequestId, to: UpstreamId, actions: &mut Vec<Action>) -> bool {
+        let Some(upstream) = self.upstreams.get(&to) else { return false };
+        let draining = upstream.entry.condition != Condition::On;
+        if draining || !self.may_send_again(id) {
+            return false;
+        }
+        let next_slow_start_send = self.now + self.slow_start_interval(upstream);
+        self.requests.set_pending(id, false);
+        // Taken out, since refreshing the load factor reads the rest of the state.
+        let Some(mut upstream) = self.upstreams.remove(&to) else { return false };
+        let Some(request) = self.requests.get_mut(&id) else { return false };
+        let attempt = request.attempts.len() as u32;
+        upstream.next_slow_start_send = next_slow_start_send;
+        request.attempts.push(Attempt {
+            entry: upstream.entry,
+            sent_at: self.now,
+            in_flight: true,
+            may_have_run: true,
+            cancelled: false,
+        });
+        upstream.attempt_sent(InFlightAttempt { request: id, attempt, sent_at: self.now }, request.load());
+        self.mean_concurrency.record_send(self.now, self.response_times.median, self.settings.tick);
+        self.refresh_load_factor(&mut upstream);
+        self.upstreams.insert(to, upstream);
+        actions.push(Action::Send { id, upstream: to, patience: None });
+        true
+    }
+
+    /// Whether a request may have another attempt now, wherever it goes.
+    fn may_send_again(&self, id: RequestId) -> bool {
+        let Some(request) = self.requests.get(&id) else { return false };
+        let effect = self.settings.classes[request.class.0].effect;
+        let first_run = request.attempts.iter().find(|attempt| attempt.may_have_run);
+        let repeat_allowed = first_run.is_none_or(|attempt| effect.allows_repeat(self.now - attempt.sent_at));
+        let none_in_flight = request.attempts.iter().all(|attempt| !attempt.in_flight);
+        let concurrency_allowed = self.settings.duplicates || none_in_flight;
+        let attempts_left = (request.attempts.len() as u32) < self.settings.max_attempts;
+        let in_time = self.now < request.deadline;
+        !request.completed && repeat_allowed && concurrency_allowed && attempts_left && in_time
+    }
+}
--- /dev/null
+++ b/crates/sidecar/load-balancing/src/policy/endpoints.rs
@@ -0,0 +1,97 @@
+//! Which upstreams exist and which of them this instance prefers: endpoint list updates and subsetting.
+//!
+//! With many instances and few responses each, what an instance observes of all upstreams is always out of
+//! date, and each instance pays for every failing one and opens a connection to each. So each prefers a
+//! subset, which overlaps with the subsets of others.
+
+use crate::api::{Action, Condition, Entry};
+use crate::state::{Balancer, Upstream};
+
+use super::load_factor::DEFAULT_LOAD_FACTOR;
+use super::WAKE_LIST;
+
+/// Instances that share an upstream in their subsets: with more, an instance gets fewer responses from each.
+const SUBSET_OVERLAP: f64 = 3.0;
+/// Failed list calls after which the backoff no longer doubles.
+const MAX_LIST_BACKOFF_EXPONENT: u32 = 4;
+/// Base of the list backoff, as a divisor of the time for which an instance counts as informed.
+const LIST_BACKOFF_DIVISOR: f64 = 40.0;
+
+impl Balancer {
+    /// Applies a full endpoint list: absent upstreams are removed.
+    pub(super) fn replace_endpoints(&mut self, entries: &[Entry], actions: &mut Vec<Action>) {
+        for upstream in self.upstreams.values_mut() {
+            upstream.entry.condition = Condition::Off;
+        }
+        self.update_endpoints(entries, actions);
+    }
+
+    /// Renews a failed list subscription after a backoff with jitter, well inside the time for which an
+    /// instance counts as informed.
+    pub(super) fn back_off_list(&mut self, actions: &mut Vec<Action>) {
+        self.list_failures = (self.list_failures + 1).min(MAX_LIST_BACKOFF_EXPONENT);
+        let base = self.settings.ask_every / LIST_BACKOFF_DIVISOR;
+        let jitter = 0.5 + self.rng.next();
+        let backoff = base * f64::from(1 << self.list_failures) * jitter;
+        actions.push(Action::Wake { after: backoff, token: WAKE_LIST });
+    }
+
+    /// Applies changed entries of the endpoint list.
+    pub(super) fn update_endpoints(&mut self, entries: &[Entry], actions: &mut Vec<Action>) {
+        if self.settings.ask_for_list && self.upstreams.is_empty() && self.list_failures == 0 {
+            actions.push(Action::Watch);
+        }
+        self.list_failures = 0;
+        for entry in entries {
+            self.update_endpoint(entry);
+        }
+        // An upstream that was removed stays until the outcomes of its attempts have arrived.
+        self.upstreams.retain(|_, upstream| {
+            upstream.entry.condition != Condition::Off || !upstream.in_flight.is_empty()
+        });
+        self.select_subset();
+        if self.concurrency_limit.limit <= 0.0 {
+            self.initialize_concurrency_limit();
+        }
+    }
+
+    fn update_endpoint(&mut self, entry: &Entry) {
+        let known = self.upstreams.get_mut(&entry.upstream);
+        let restarted =
+            |upstream: &Upstream| upstream.entry.started != entry.started && entry.started.is_some();
+        match known {
+            Some(upstream) if !restarted(upstream) => upstream.entry = *entry,
+            _ => self.start_upstream(entry),
+        }
+    }
+
+    /// Starts without observations for a new or restarted upstream; attempts in flight to it stay counted.
+    fn start_upstream(&mut self, entry: &Entry) {
+        // Random offsets, so that instances do not move in step.
+        let classes = self.settings.classes.iter();
+        let current_weights = classes.map(|_| self.rng.next() * DEFAULT_LOAD_FACTOR).collect();
+        let mut upstream = Upstream { current_weights, ..Upstream::new(*entry, DEFAULT_LOAD_FACTOR) };
+        if let Some(previous) = self.upstreams.remove(&entry.upstream) {
+            upstream.in_flight = previous.in_flight;
+            upstream.outstanding_cost = previous.outstanding_cost;
+        }
+        let offset = self.rng.next();
+        upstream.next_slow_start_send = self.now + offset * self.slow_start_interval(&upstream);
+        self.upstreams.insert(entry.upstream, upstream);
+    }
+
+    /// Marks the upstreams that this instance prefers: a window over the running ones, offset by its rank.
+    fn select_subset(&mut self) {
+        let running = |upstream: &&mut Upstream| upstream.entry.condition == Condition::On;
+        let running: Vec<_> = self.upstreams.values_mut().filter(running).collect();
+        let count = running.len() as f64;
+        let per_instance = count / self.settings.balancers as f64;
+        let rank = self.settings.rank as f64;
+        let start = (rank * per_instance).floor();
+        let size = (SUBSET_OVERLAP * per_instance.max(1.0)).ceil().min(count);
+        self.instances_per_upstream = (size / per_instance).max(1.0);
+        for (index, upstream) in running.into_iter().enumerate() {
+            upstream.in_subset = (index as f64 - start).rem_euclid(count) < size;
+        }
+    }
+}
--- /dev/null
+++ b/crates/sidecar/load-balancing/src/policy/hedging.rs
@@ -0,0 +1,58 @@
+//! Hedging: an idempotent request that waits on an ejected upstream is cancelled there, so that it can be
+//! sent to another one once its outcome arrives.
+
+use crate::api::{Action, RequestId};
+use crate::state::Balancer;
+use std::collections::BTreeSet;
+
+/// Part of the latency target before which an attempt is not cancelled: what takes long is mostly expensive,
+/// and takes long elsewhere too.
+const HEDGE_DELAY_TARGET_FRACTION: f64 = 0.5;
+
+impl Balancer {
+    /// Cancels attempts of idempotent requests that are in flight to ejected upstreams.
+    pub(super) fn cancel_stalled_attempts(&mut self, actions: &mut Vec<Action>) {
+        // Each hedge needs a retry token, which is paid when the outcome arrives.
+        let mut tokens = if self.settings.cancel { self.retry_budget.tokens() } else { 0.0 };
+        if tokens < 1.0 {
+            return;
+        }
+        for id in self.requests_at_ejected_upstreams() {
+            if tokens >= 1.0 && self.cancel_stalled_attempt(id, actions) {
+                tokens -= 1.0;
+            }
+        }
+    }
+
+    /// Requests with an attempt in flight to an ejected upstream for longer than the shortest hedge delay, by
+    /// id.
+    fn requests_at_ejected_upstreams(&self) -> BTreeSet<RequestId> {
+        let delays = self.settings.classes.iter().map(|class| HEDGE_DELAY_TARGET_FRACTION * class.aim);
+        let sent_before = self.now - delays.fold(f64::INFINITY, f64::min);
+        let ejected = self.upstreams.values().filter(|upstream| upstream.ejected);
+        let attempts = ejected
+            .flat_map(|upstream| upstream.in_flight.iter().take_while(|sent| sent.sent_at < sent_before));
+        attempts.map(|attempt| attempt.request).collect()
+    }
+
+    /// Cancels the last attempt of a request if it has stalled and there is time for another; true if it did.
+    fn cancel_stalled_attempt(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
+        let Some(request) = self.requests.get_mut(&id) else { return false };
+        if !request.idempotent || request.completed || request.pending {
+            return false;
+        }
+        let attempts = request.attempts.len() as u32;
+        let in_time = self.now + self.response_times.median < request.deadline;
+        let delay = HEDGE_DELAY_TARGET_FRACTION * self.settings.classes[request.class.0].aim;
+        let Some(attempt) = request.attempts.last_mut() else { return false };
+        let upstream = self.upstreams.get(&attempt.entry.upstream);
+        let stalled = upstream.is_some_and(|upstream| upstream.ejected) && self.now - attempt.sent_at > delay;
+        let cancellable = attempt.in_flight && !attempt.cancelled;
+        if !cancellable || !stalled || !in_time || attempts >= self.settings.max_attempts {
+            return false;
+        }
+        attempt.cancelled = true;
+        actions.push(Action::Cancel { id, attempt: attempts - 1 });
+        true
+    }
+}
--- /dev/null
+++ b/crates/sidecar/load-balancing/src/policy/outcome.rs
@@ -0,0 +1,109 @@
+//! What the outcome of an attempt changes: the upstream's health, the estimates, and the request.
+
+use crate::api::{Action, ClassId, Ending, Outcome};
+use crate::state::{Balancer, Request};
+
+use super::outlier::STALL_TIMEOUT_MEDIANS;
+
+/// Part of the way to full health that a served request recovers.
+const HEALTH_RECOVERY: f64 = 1.0 / 4.0;
+/// Factor of the health for each time-out or broken connection, and its lower bound.
+const HEALTH_DECREASE_FACTOR: f64 = 0.75;
+const MIN_HEALTH: f64 = 0.1;
+
+impl Balancer {
+    /// Records the outcome of an attempt; retries or answers its request.
+    pub(super) fn observe_outcome(&mut self, outcome: &Outcome, actions: &mut Vec<Action>) {
+        let request = self.requests.get(&outcome.id);
+        let class = request.map(|request| request.class);
+        let cost = request.and_then(|request| request.cost);
+        let load = request.map_or(0.0, Request::load);
+        // Predicted before this outcome changes the estimate.
+        let predicted = match (class, cost) {
+            (Some(class), Some(cost)) => self.response_times.class(class).by_cost.predict(cost),
+            _ => None,
+        };
+        // The report first: it is older than the answer and still counts this attempt.
+        self.observe_report(outcome.upstream, outcome.report);
+        self.observe_upstream_outcome(outcome, load, predicted.filter(|time| *time > 0.0));
+        if let Some(class) = class {
+            self.observe_class_outcome(outcome, class, cost);
+        }
+        self.settle_attempt(outcome, actions);
+    }
+
+    /// Updates load, contact and health of the upstream.
+    fn observe_upstream_outcome(&mut self, outcome: &Outcome, load: f64, predicted: Option<f64>) {
+        let Outcome { id, attempt, upstream: upstream_id, ending, elapsed, .. } = *outcome;
+        let Some(upstream) = self.upstreams.get(&upstream_id) else { return };
+        if ending == Ending::Delivered && !self.in_slow_start(upstream) {
+            self.served_at.push_back(self.now);
+        }
+        let median = self.response_times.median;
+        let now = self.now;
+        let Some(upstream) = self.upstreams.get_mut(&upstream_id) else { return };
+        upstream.attempt_ended(id, attempt, load);
+        if let (Some(predicted), Ending::Delivered | Ending::Expired) = (predicted, ending) {
+            upstream.observe_service_time_ratio(elapsed / predicted);
+        }
+        if matches!(ending, Ending::Delivered | Ending::AppError | Ending::Shed) {
+            upstream.last_contact = now;
+        }
+        let no_contact_since_sent = upstream.last_contact < now - elapsed;
+        match ending {
+            Ending::Delivered => {
+                if upstream.consecutive_failures > 0 {
+                    // It may have restarted unnoticed: slow start for one window.
+                    upstream.suspect_until = now + self.settings.fall;
+                }
+                upstream.consecutive_failures = 0;
+                upstream.broken_connections = 0;
+                upstream.health += (1.0 - upstream.health) * HEALTH_RECOVERY;
+            }
+            Ending::Expired if elapsed > STALL_TIMEOUT_MEDIANS * median && no_contact_since_sent => {
+                self.record_failure(upstream_id);
+            }
+            // One broken connection is no broken upstream; one that is down breaks all of them.
+            Ending::Dropped if upstream.broken_connections > 0 && no_contact_since_sent => {
+                self.record_failure(upstream_id);
+            }
+            Ending::Expired | Ending::Dropped => {
+                upstream.broken_connections += u32::from(ending == Ending::Dropped);
+                upstream.health = (upstream.health * HEALTH_DECREASE_FACTOR).max(MIN_HEALTH);
+            }
+            Ending::DialFailed => self.record_failure(upstream_id),
+            Ending::AppError | Ending::Shed | Ending::Revoked | Ending::Unused => {}
+        }
+    }
+
+    /// Updates success and response times of the class.
+    fn observe_class_outcome(&mut self, outcome: &Outcome, class: ClassId, cost: Option<f64>) {
+        let ending = outcome.ending;
+        let failed = matches!(ending, Ending::AppError | Ending::Dropped | Ending::Shed);
+        if failed || ending == Ending::Delivered {
+            if let Some(upstream) = self.upstreams.get_mut(&outcome.upstream) {
+                upstream.record_outcome(class, self.now, !failed);
+            }
+        }
+        if matches!(ending, Ending::Delivered | Ending::Expired) {
+            if let Some(cost) = cost {
+                self.response_times.observe_by_cost(class, cost, outcome.elapsed);
+            }
+            self.observe_response_time(class, outcome.elapsed);
+        }
+    }
+
+    /// Marks the attempt as ended. Without another one in flight, the request is retried or answered.
+    fn settle_attempt(&mut self, outcome: &Outcome, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get_mut(&outcome.id) else { return };
+        if let Some(attempt) = request.attempts.get_mut(outcome.attempt as usize) {
+            attempt.in_flight = false;
+            attempt.may_have_run &= !outcome.ending.never_ran();
+        }
+        if outcome.last || request.completed {
+            self.requests.finish(outcome.id);
+        } else if request.attempts.iter().all(|attempt| !attempt.in_flight) {
+            self.retry_or_reject(outcome.id, actions);
+        }
+    }
+}
