--- a/crates/router/data-plane/src/balancer.rs
+++ b/crates/router/data-plane/src/balancer.rs
@@ -6,7 +6,7 @@
 
 use crate::prompt::Prompt;
 use passrelay_dissemination::{EndpointLoad, EndpointRecord, EndpointState, Outcomes};
-use passrelay_load_balancing::turns::{take_turn, Candidate};
+use passrelay_load_balancing::weighted_round_robin::{select, Candidate};
 use rustc_hash::FxHasher;
 use std::collections::{BTreeMap, HashMap};
 use std::hash::{Hash, Hasher};
@@ -415,9 +415,9 @@
         let ids: Vec<Arc<str>> = chosen.iter().map(|(id, _)| (*id).clone()).collect();
         let candidates = chosen.into_iter().enumerate().map(|(index, (_, endpoint))| {
             let factor = weight(endpoint);
-            Candidate { item: index, factor, tally: &mut endpoint.tally }
+            Candidate { item: index, weight: factor, current_weight: &mut endpoint.tally }
         });
-        take_turn(candidates).map(|index| ids[index].clone())
+        select(candidates).map(|index| ids[index].clone())
     }
 
     /// What this sidecar has out, by endpoint, and what became of its requests since the last account.
--- a/crates/sidecar/load-balancing/benches/pick.rs
+++ b/crates/sidecar/load-balancing/benches/pick.rs
@@ -15,7 +15,7 @@
 
 impl Bench {
     fn new(nodes: u64) -> Bench {
-        let class = |effect| Class { aim: 2.5, effect, ..Class::default() };
+        let class = |effect| Class { latency_target: 2.5, effect, ..Class::default() };
         let classes =
             vec![class(Effect::Safe), class(Effect::Unsafe), class(Effect::Unsafe), class(Effect::Unsafe)];
         let settings =
@@ -26,7 +26,7 @@
             upstream: UpstreamId(n),
             zone: ZoneId(0),
             cell: 0,
-            condition: Condition::On,
+            condition: Condition::Running,
             started: None,
         };
         bench.handle(Event::FullList((0..nodes).map(entry).collect()));
--- a/crates/sidecar/load-balancing/src/lib.rs
+++ b/crates/sidecar/load-balancing/src/lib.rs
@@ -1,8 +1,10 @@
-//! The decision module of passrelay and the dispatcher between it and a protocol: no sockets, no files, no clock.
+//! The load balancing decisions of a sidecar, and the dispatcher between them and a protocol: no sockets, no files, no
+//! clock.
 //!
-//! Each copy of the balancer turns the load reports of its upstreams into load factors and spreads
-//! requests over these by smooth weighted round robin. [`Balancer`] is a state machine without I/O:
-//! the caller hands it events with its own clock and carries out the actions it gets back.
+//! Each balancer instance turns the load reports of its upstreams into load factors and distributes
+//! requests by smooth weighted round robin. [`Balancer`] is a state machine without I/O:
+//! the caller passes it events with its own clock and applies the actions that it returns. Parsing, settings files and
+//! timers are up to the caller.
 //!
 //! ```
 //! use passrelay_load_balancing::{Action, Balancer, ClassId, Condition, Entry, Event};
@@ -14,7 +16,7 @@
 //!     upstream: UpstreamId(1),
 //!     zone: ZoneId(0),
 //!     cell: 0,
-//!     condition: Condition::On,
+//!     condition: Condition::Running,
 //!     started: None,
 //! };
 //! balancer.handle(0.0, Event::FullList(vec![entry]), &mut actions);
@@ -37,7 +39,7 @@
 pub mod lifecycle;
 mod policy;
 mod state;
-pub mod turns;
+pub mod weighted_round_robin;
 
 pub use api::{
     Action, Class, ClassId, Condition, DedupScope, Effect, Ending, Entry, Event, Outcome, Report, RequestId,
--- a/crates/sidecar/load-balancing/src/lifecycle.rs
+++ b/crates/sidecar/load-balancing/src/lifecycle.rs
@@ -1,83 +1,87 @@
-//! Whether a sidecar takes clients: the operators' standby and the planned end, without I/O or clock.
+//! Whether a sidecar accepts clients: the operators' standby and graceful shutdown, without I/O or clock.
 //!
-//! The front asks `/ready` ten times a second and stops sending new connections soon after a no; the
-//! connections that are open stay in use. So a sidecar in standby says no, answers what still comes with
-//! `Connection: close`, and closes each client connection as soon as nothing is on it. `active` undoes all
-//! of it at once, without a restart.
+//! The load balancer in front polls `/ready` ten times a second and stops opening connections soon after a negative
+//! answer; open connections stay in use. So a sidecar in standby is not ready, answers what still arrives with
+//! `Connection: close`, and closes each client connection as soon as it is idle. `active` reverts all of it at once,
+//! without a restart. Closing the sockets is up to the caller.
 
-/// SIGKILL comes so long after SIGTERM at the earliest, beyond the longest deadline ...
-const KILL_AFTER_S: f64 = 0.7;
-/// ... of which no more than this counts.
-const LONGEST_DEADLINE_S: f64 = 3.0;
-/// Answers are out so long before the earliest SIGKILL.
+/// Earliest SIGKILL after SIGTERM, in seconds, beyond the longest deadline ...
+const KILL_DELAY_S: f64 = 0.7;
+/// ... of which no more than this counts, in seconds.
+const MAX_DEADLINE_S: f64 = 3.0;
+/// Answers are sent this long before the earliest SIGKILL, in seconds.
 const ANSWER_MARGIN_S: f64 = 0.35;
-/// Part of the time up to the earliest SIGKILL for which resting clients may stay: others may be ending as
-/// well, and what is asked on the last of these connections needs the rest of it.
-const STAY_PART: f64 = 0.6;
-/// After SIGTERM new connections go on arriving for 0.4 s.
+/// Part of the time up to the earliest SIGKILL for which idle clients may stay connected: other sidecars may be
+/// shutting down as well, and requests that arrive last on these connections need the rest.
+const IDLE_FRACTION: f64 = 0.6;
+/// After SIGTERM new connections go on arriving for 0.4 s; the listener stays open for longer than that.
 const ARRIVALS_END_S: f64 = 0.45;
-/// Clients have so long to take the last answers.
-const FAREWELL_S: f64 = 0.2;
+/// Time for clients to read the last answers, in seconds.
+const FINAL_READ_TIMEOUT_S: f64 = 0.2;
 
-/// The times of a planned end, in seconds after it was told. They follow from the longest deadline, since
-/// SIGKILL does: where all deadlines are short it comes soon.
+/// Schedule of a graceful shutdown, in seconds after its request. It follows from the longest deadline, as SIGKILL
+/// does: where all deadlines are short, SIGKILL comes soon.
+///
+/// In this order: `listener_closes`, `idle_closes`, `answers_by`, `exits_by`, all before the earliest SIGKILL.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PlannedEnd {
-    /// Arrivals have ended: the listener closes.
+    /// No more connections arrive: the listener closes.
     pub listener_closes: f64,
-    /// Resting client connections close, and every answer from now on ends its connection.
+    /// Idle client connections close, and every answer from now on closes its connection.
     pub idle_closes: f64,
-    /// What is owed then is answered at once.
+    /// Open requests are answered at once.
     pub answers_by: f64,
-    /// The process ends, whoever has not taken the last answer by then.
+    /// The process exits, even if clients have not read their last answer.
     pub exits_by: f64,
 }
 
 impl PlannedEnd {
-    /// For classes with these deadlines.
+    /// The schedule for classes with these deadlines, in seconds.
     pub fn of(deadlines: impl Iterator<Item = f64>) -> Self {
-        let longest = deadlines.fold(0.0, f64::max).min(LONGEST_DEADLINE_S);
-        let kill = longest + KILL_AFTER_S;
+        let longest = deadlines.fold(0.0, f64::max).min(MAX_DEADLINE_S);
+        let kill = longest + KILL_DELAY_S;
         let answers_by = kill - ANSWER_MARGIN_S;
-        let idle_closes = (STAY_PART * kill).min(answers_by);
+        let idle_closes = (IDLE_FRACTION * kill).min(answers_by);
         let listener_closes = ARRIVALS_END_S.min(idle_closes);
-        PlannedEnd { listener_closes, idle_closes, answers_by, exits_by: answers_by + FAREWELL_S }
+        let exits_by = answers_by + FINAL_READ_TIMEOUT_S;
+        PlannedEnd { listener_closes, idle_closes, answers_by, exits_by }
     }
 }
 
-/// The state that operators set.
+/// The state that operators set: active or in standby.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Lifecycle {
+    /// Since when it is in standby, in seconds on the caller's clock.
     standby: Option<f64>,
-    /// Times it was sent into standby.
-    pub standbys: u64,
+    /// Number of changes to standby.
+    pub standby_count: u64,
 }
 
-/// What a call to [`Lifecycle`] changed.
+/// Result of a call to [`Lifecycle::standby`] or [`Lifecycle::active`], which are idempotent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Turn {
-    /// It was so already; a second call is harmless.
-    Already,
-    /// It is so now.
+pub enum Transition {
+    /// It was in that state already.
+    Unchanged,
+    /// The state has changed.
     Changed,
 }
 
 impl Lifecycle {
-    /// Sends clients away from `now` on.
-    pub fn standby(&mut self, now: f64) -> Turn {
+    /// Enters standby at `now`; a second call keeps the earlier time.
+    pub fn standby(&mut self, now: f64) -> Transition {
         if self.standby.is_some() {
-            return Turn::Already;
+            return Transition::Unchanged;
         }
         self.standby = Some(now);
-        self.standbys += 1;
-        Turn::Changed
+        self.standby_count += 1;
+        Transition::Changed
     }
 
-    /// Takes clients again.
-    pub fn active(&mut self) -> Turn {
+    /// Accepts clients again.
+    pub fn active(&mut self) -> Transition {
         match self.standby.take() {
-            Some(_) => Turn::Changed,
-            None => Turn::Already,
+            Some(_) => Transition::Changed,
+            None => Transition::Unchanged,
         }
     }
 
@@ -86,18 +90,18 @@
         self.standby
     }
 
-    /// Whether `/ready` says yes: with a node to send to, not in standby and not ending.
+    /// Whether `/ready` is positive: with a node to send to, not in standby and not shutting down.
     pub fn is_ready(&self, has_nodes: bool, ending: bool) -> bool {
         has_nodes && !ending && self.standby.is_none()
     }
 
-    /// Whether each answer ends its connection: in standby, or after the end was told.
+    /// Whether each answer closes its connection: in standby, or once shutdown was requested.
     pub fn closes_after_answer(&self, ending: bool) -> bool {
         ending || self.standby.is_some()
     }
 
-    /// Whether a client connection with nothing on it is closed at once.
-    pub fn sends_idle_away(&self) -> bool {
+    /// Whether idle client connections are closed at once.
+    pub fn closes_idle_connections(&self) -> bool {
         self.standby.is_some()
     }
 }
--- a/crates/sidecar/load-balancing/src/policy/admission_control.rs
+++ b/crates/sidecar/load-balancing/src/policy/admission_control.rs
@@ -30,11 +30,11 @@
         work_hint: Option<f64>,
     ) {
         let Some(rules) = self.settings.classes.get(class.0).cloned() else { return };
-        let ttl = if ttl.is_finite() { ttl.max(0.0) } else { rules.aim };
+        let ttl = if ttl.is_finite() { ttl.max(0.0) } else { rules.latency_target };
         let cost = work_hint.filter(|cost| cost.is_finite() && *cost > 0.0);
-        let priority = rules.gain * self.quota_priority(tenant);
+        let priority = rules.value * self.quota_priority(tenant);
         let deadline = self.now + ttl;
-        let target = self.now + rules.aim + rules.aim_stretch * cost.unwrap_or(0.0);
+        let target = self.now + rules.latency_target + rules.latency_target_per_work * cost.unwrap_or(0.0);
         let answer_by = if rules.late_value > 0.0 { deadline } else { target.min(deadline) };
         let expected_time = self.expected_time(class, cost, answer_by);
         self.retry_budget.earn();
@@ -58,13 +58,13 @@
     /// Priority multiplier of a request by its tenant's quota, from which it takes a token.
     fn quota_priority(&mut self, tenant: Option<TenantId>) -> f64 {
         let Some(tenant) = tenant else { return 1.0 };
-        let Some(quota_per_s) = self.settings.tenants.get(tenant.0).map(|t| t.allowance_per_s) else {
+        let Some(quota_per_s) = self.settings.tenants.get(tenant.0).map(|t| t.quota_per_s) else {
             return 1.0;
         };
         if self.take_quota(tenant.0, quota_per_s) {
             1.0
         } else {
-            self.settings.over_share_worth
+            self.settings.over_quota_value
         }
     }
 
@@ -107,7 +107,7 @@
             // The longest time that clients honour: rejected ones that return soon displace those that can
             // still be served in time.
             let retry_after = self.settings.max_retry_after;
-            Action::Refuse { id, retry_after: self.settings.retry_after.then_some(retry_after) }
+            Action::Reject { id, retry_after: self.settings.retry_after.then_some(retry_after) }
         } else {
             Action::Fail { id }
         });
--- a/crates/sidecar/load-balancing/src/policy/concurrency_limit.rs
+++ b/crates/sidecar/load-balancing/src/policy/concurrency_limit.rs
@@ -42,7 +42,7 @@
             return f64::MAX;
         }
         let share = |workers: f64| {
-            let instances = self.settings.balancers as f64;
+            let instances = self.settings.instances as f64;
             (WORKER_SHARE_HEADROOM * running as f64 * workers.round() / instances).ceil()
         };
         self.workers.map_or(f64::INFINITY, share).min(self.concurrency_limit.limit)
@@ -69,7 +69,7 @@
     }
 
     fn is_queueing(&self, class: ClassId, baseline: f64) -> bool {
-        let target = self.settings.classes[class.0].aim;
+        let target = self.settings.classes[class.0].latency_target;
         let threshold = (QUEUEING_BASELINE_RATIO * baseline)
             .clamp(MIN_QUEUEING_TARGET_FRACTION * target, MAX_QUEUEING_TARGET_FRACTION * target);
         self.response_times.class(class).median > threshold
--- a/crates/sidecar/load-balancing/src/policy/dispatch.rs
+++ b/crates/sidecar/load-balancing/src/policy/dispatch.rs
@@ -75,7 +75,7 @@
         Pass {
             capacity: self.capacity(survey.running),
             in_flight: survey.in_flight as f64,
-            top_priority: self.settings.top_gain(),
+            top_priority: self.settings.max_value(),
             health_checks: survey.health_checks,
             unconfirmed: 0,
             exhausted: false,
@@ -107,7 +107,7 @@
             }
             return false;
         }
-        let Some(upstream) = self.take_turn(&selectable, request.class) else { return false };
+        let Some(upstream) = self.select_round_robin(&selectable, request.class) else { return false };
         self.send(request.id, upstream, actions)
     }
 
@@ -139,7 +139,7 @@
     /// attempts and time.
     fn send(&mut self, id: RequestId, to: UpstreamId, actions: &mut Vec<Action>) -> bool {
         let Some(upstream) = self.upstreams.get(&to) else { return false };
-        let draining = upstream.entry.condition != Condition::On;
+        let draining = upstream.entry.condition != Condition::Running;
         if draining || !self.may_send_again(id) {
             return false;
         }
@@ -161,7 +161,7 @@
         self.mean_concurrency.record_send(self.now, self.response_times.median, self.settings.tick);
         self.refresh_load_factor(&mut upstream);
         self.upstreams.insert(to, upstream);
-        actions.push(Action::Send { id, upstream: to, patience: None });
+        actions.push(Action::Send { id, upstream: to, timeout: None });
         true
     }
 
--- a/crates/sidecar/load-balancing/src/policy/endpoints.rs
+++ b/crates/sidecar/load-balancing/src/policy/endpoints.rs
@@ -21,7 +21,7 @@
     /// Applies a full endpoint list: absent upstreams are removed.
     pub(super) fn replace_endpoints(&mut self, entries: &[Entry], actions: &mut Vec<Action>) {
         for upstream in self.upstreams.values_mut() {
-            upstream.entry.condition = Condition::Off;
+            upstream.entry.condition = Condition::Removed;
         }
         self.update_endpoints(entries, actions);
     }
@@ -47,7 +47,7 @@
         }
         // An upstream that was removed stays until the outcomes of its attempts have arrived.
         self.upstreams.retain(|_, upstream| {
-            upstream.entry.condition != Condition::Off || !upstream.in_flight.is_empty()
+            upstream.entry.condition != Condition::Removed || !upstream.in_flight.is_empty()
         });
         self.select_subset();
         if self.concurrency_limit.limit <= 0.0 {
@@ -82,10 +82,10 @@
 
     /// Marks the upstreams that this instance prefers: a window over the running ones, offset by its rank.
     fn select_subset(&mut self) {
-        let running = |upstream: &&mut Upstream| upstream.entry.condition == Condition::On;
+        let running = |upstream: &&mut Upstream| upstream.entry.condition == Condition::Running;
         let running: Vec<_> = self.upstreams.values_mut().filter(running).collect();
         let count = running.len() as f64;
-        let per_instance = count / self.settings.balancers as f64;
+        let per_instance = count / self.settings.instances as f64;
         let rank = self.settings.rank as f64;
         let start = (rank * per_instance).floor();
         let size = (SUBSET_OVERLAP * per_instance.max(1.0)).ceil().min(count);
--- a/crates/sidecar/load-balancing/src/policy/health_check.rs
+++ b/crates/sidecar/load-balancing/src/policy/health_check.rs
@@ -67,7 +67,7 @@
             report.is_none_or(|report| report.received_at < oldest_recent)
         };
         let outdated: Vec<_> = candidates.iter().filter(outdated).copied().collect();
-        let Some(id) = self.take_turn(&outdated, class) else { return false };
+        let Some(id) = self.select_round_robin(&outdated, class) else { return false };
         self.health_check_budget.spend(self.now);
         if let Some(upstream) = self.upstreams.get_mut(&id) {
             upstream.health_check_sent_at = Some(self.now);
--- a/crates/sidecar/load-balancing/src/policy/hedging.rs
+++ b/crates/sidecar/load-balancing/src/policy/hedging.rs
@@ -27,7 +27,8 @@
     /// Requests with an attempt in flight to an ejected upstream for longer than the shortest hedge delay, by
     /// id.
     fn requests_at_ejected_upstreams(&self) -> BTreeSet<RequestId> {
-        let delays = self.settings.classes.iter().map(|class| HEDGE_DELAY_TARGET_FRACTION * class.aim);
+        let delays =
+            self.settings.classes.iter().map(|class| HEDGE_DELAY_TARGET_FRACTION * class.latency_target);
         let sent_before = self.now - delays.fold(f64::INFINITY, f64::min);
         let ejected = self.upstreams.values().filter(|upstream| upstream.ejected);
         let attempts = ejected
@@ -43,7 +44,7 @@
         }
         let attempts = request.attempts.len() as u32;
         let in_time = self.now + self.response_times.median < request.deadline;
-        let delay = HEDGE_DELAY_TARGET_FRACTION * self.settings.classes[request.class.0].aim;
+        let delay = HEDGE_DELAY_TARGET_FRACTION * self.settings.classes[request.class.0].latency_target;
         let Some(attempt) = request.attempts.last_mut() else { return false };
         let upstream = self.upstreams.get(&attempt.entry.upstream);
         let stalled = upstream.is_some_and(|upstream| upstream.ejected) && self.now - attempt.sent_at > delay;
--- a/crates/sidecar/load-balancing/src/policy/load_factor.rs
+++ b/crates/sidecar/load-balancing/src/policy/load_factor.rs
@@ -77,7 +77,7 @@
         let freshness = (-(self.now - received_at) / time_constant).exp();
         let percent =
             (spare * 100.0).max(0.0) * freshness + upstream.baseline_load_factor * (1.0 - freshness);
-        let exponent = if self.settings.reports_held { LOAD_FACTOR_EXPONENT } else { 0 };
+        let exponent = if self.settings.reports_concurrency { LOAD_FACTOR_EXPONENT } else { 0 };
         percent * (percent / 100.0).powi(exponent)
     }
 }
--- a/crates/sidecar/load-balancing/src/policy/outcome.rs
+++ b/crates/sidecar/load-balancing/src/policy/outcome.rs
@@ -54,7 +54,7 @@
             Ending::Delivered => {
                 if upstream.consecutive_failures > 0 {
                     // It may have restarted unnoticed: slow start for one window.
-                    upstream.suspect_until = now + self.settings.fall;
+                    upstream.suspect_until = now + self.settings.overload_window;
                 }
                 upstream.consecutive_failures = 0;
                 upstream.broken_connections = 0;
--- a/crates/sidecar/load-balancing/src/policy/outlier.rs
+++ b/crates/sidecar/load-balancing/src/policy/outlier.rs
@@ -101,7 +101,7 @@
             zones.entry(upstream.entry.zone).or_default().add(failing, responsive);
             all.add(failing, responsive);
             unhealthy.push(is_unhealthy);
-            let running = upstream.entry.condition == Condition::On;
+            let running = upstream.entry.condition == Condition::Running;
             survey.running += usize::from(running);
             survey.health_checks += usize::from(upstream.health_check_sent_at.is_some());
             warm += usize::from(running && !self.in_slow_start(upstream));
@@ -115,7 +115,7 @@
             let by_zone = upstream.consecutive_failures == 0 && failed_zone;
             upstream.ejected = !panic && (unhealthy || by_zone);
             if !upstream.ejected {
-                survey.usable += usize::from(upstream.entry.condition == Condition::On);
+                survey.usable += usize::from(upstream.entry.condition == Condition::Running);
                 survey.in_flight += upstream.in_flight.len();
             }
         }
--- a/crates/sidecar/load-balancing/src/policy/selection.rs
+++ b/crates/sidecar/load-balancing/src/policy/selection.rs
@@ -6,7 +6,7 @@
 use crate::api::{ClassId, Condition, UpstreamId};
 use crate::estimate::OutcomeCounts;
 use crate::state::{Balancer, Request, Upstream};
-use crate::turns::{take_turn, Candidate};
+use crate::weighted_round_robin::{self, Candidate};
 
 /// Success weight above which an upstream is a measure of the least load: failing ones are idle.
 const MIN_HEALTHY_SUCCESS_WEIGHT: f64 = 0.5;
@@ -77,7 +77,7 @@
         // A queue at a server can't be taken back: its workers are filled, the rest is queued here.
         let in_flight = upstream.in_flight.len() as f64;
         let filled = self.workers.is_some_and(|workers| in_flight >= workers.round());
-        let running = upstream.entry.condition == Condition::On;
+        let running = upstream.entry.condition == Condition::Running;
         if !running || upstream.ejected || tried || on_trial || filled {
             return false;
         }
@@ -117,15 +117,19 @@
     }
 
     /// Selects one of these by smooth weighted round robin; they must be in the order of their ids.
-    pub(super) fn take_turn(&mut self, selectable: &[Selectable], class: ClassId) -> Option<UpstreamId> {
+    pub(super) fn select_round_robin(
+        &mut self,
+        selectable: &[Selectable],
+        class: ClassId,
+    ) -> Option<UpstreamId> {
         let all_zero = selectable.iter().all(|item| self.upstreams[&item.upstream].load_factor <= 0.0);
         let mut remaining = selectable;
-        take_turn(self.upstreams.iter_mut().filter_map(|(id, upstream)| {
+        weighted_round_robin::select(self.upstreams.iter_mut().filter_map(|(id, upstream)| {
             let (item, rest) = remaining.split_first().filter(|(item, _)| item.upstream == *id)?;
             remaining = rest;
             let load_factor = if all_zero { 1.0 } else { upstream.load_factor };
-            let factor = item.success_weight * load_factor;
-            Some(Candidate { item: *id, factor, tally: &mut upstream.current_weights[class.0] })
+            let weight = item.success_weight * load_factor;
+            Some(Candidate { item: *id, weight, current_weight: &mut upstream.current_weights[class.0] })
         }))
     }
 }
--- a/crates/sidecar/load-balancing/src/policy/slow_start.rs
+++ b/crates/sidecar/load-balancing/src/policy/slow_start.rs
@@ -12,13 +12,13 @@
 impl Balancer {
     /// Part of its full capacity that an upstream certainly has by now; 1 after its slow start.
     pub(super) fn slow_start_capacity(&self, upstream: &Upstream) -> f64 {
-        let initial = self.settings.cold_from;
+        let initial = self.settings.slow_start_capacity;
         if self.now < upstream.suspect_until {
             return initial;
         }
         let started = upstream.entry.started;
         let age = started.map_or(f64::INFINITY, |started| (self.now - started).max(0.0));
-        let duration = self.settings.warm_within.max(self.settings.tick);
+        let duration = self.settings.slow_start_duration.max(self.settings.tick);
         (initial + (1.0 - initial) * age / duration).min(1.0)
     }
 
@@ -33,18 +33,18 @@
     /// What they are sent is no measure: requests that they reject are retried and would raise it.
     pub(super) fn slow_start_interval(&self, upstream: &Upstream) -> f64 {
         let capacity = self.slow_start_capacity(upstream);
-        let window = self.settings.fall;
+        let window = self.settings.overload_window;
         let median = self.response_times.median;
         let one_worker = window / median.max(self.settings.tick);
-        let served = (self.served_per_warm_upstream * self.settings.balancers as f64).max(one_worker);
+        let served = (self.served_per_warm_upstream * self.settings.instances as f64).max(one_worker);
         let per_instance = if median > 0.0 { served / self.instances_per_upstream } else { 1.0 };
         let budget = SLOW_START_UTILIZATION * self.settings.overload_factor * capacity * per_instance;
-        f64::from(u8::from(capacity < 1.0)) * (window / budget).min(self.settings.warm_within)
+        f64::from(u8::from(capacity < 1.0)) * (window / budget).min(self.settings.slow_start_duration)
     }
 
     /// Forgets served requests that are older than the overload window.
     pub(super) fn expire_served(&mut self) {
-        while self.served_at.front().is_some_and(|at| *at < self.now - self.settings.fall) {
+        while self.served_at.front().is_some_and(|at| *at < self.now - self.settings.overload_window) {
             self.served_at.pop_front();
         }
     }
--- a/crates/sidecar/load-balancing/src/state.rs
+++ b/crates/sidecar/load-balancing/src/state.rs
@@ -74,7 +74,7 @@
             instances_per_upstream: 1.0,
             retry_budget: RetryBudget::new(),
             health_check_budget: HealthCheckBudget::new(now),
-            quotas: settings.tenants.iter().map(|t| QuotaBucket::new(t.allowance_per_s, now)).collect(),
+            quotas: settings.tenants.iter().map(|t| QuotaBucket::new(t.quota_per_s, now)).collect(),
             list_failures: 0,
             next_wake: f64::INFINITY,
             settings,
@@ -83,7 +83,7 @@
 
     /// Upstreams for each instance: what all instances send together must not grow with their number.
     pub(crate) fn upstreams_per_instance(&self) -> f64 {
-        self.upstreams.len() as f64 / self.settings.balancers as f64
+        self.upstreams.len() as f64 / self.settings.instances as f64
     }
 
     /// Mean of own requests in flight over some median response times.
@@ -99,7 +99,7 @@
 
     /// Takes one request out of a tenant's quota at this instance; false when it exceeds the quota.
     pub(crate) fn take_quota(&mut self, tenant: usize, quota_per_s: f64) -> bool {
-        let rate_per_s = quota_per_s / self.settings.balancers as f64;
+        let rate_per_s = quota_per_s / self.settings.instances as f64;
         self.quotas[tenant].try_take(rate_per_s, self.now)
     }
 
@@ -127,7 +127,7 @@
         }
         self.quotas.resize(settings.tenants.len(), QuotaBucket::new(f64::INFINITY, self.now));
         for (quota, tenant) in self.quotas.iter_mut().zip(&settings.tenants) {
-            quota.set_tokens(tenant.allowance_per_s);
+            quota.set_tokens(tenant.quota_per_s);
         }
         self.settings = Settings { tick: self.settings.tick, ..settings };
         Ok(())
--- a/crates/sidecar/load-balancing/tests/common/mod.rs
+++ b/crates/sidecar/load-balancing/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use passrelay_load_balancing::*;
 
 pub fn entry(id: u64) -> Entry {
-    Entry { upstream: UpstreamId(id), zone: ZoneId(0), cell: 0, condition: Condition::On, started: None }
+    Entry { upstream: UpstreamId(id), zone: ZoneId(0), cell: 0, condition: Condition::Running, started: None }
 }
 
 pub fn settings(effect: Effect) -> Settings {
@@ -79,5 +79,5 @@
 }
 
 pub fn finals(actions: &[Action]) -> usize {
-    actions.iter().filter(|a| matches!(a, Action::Refuse { .. } | Action::Fail { .. })).count()
+    actions.iter().filter(|a| matches!(a, Action::Reject { .. } | Action::Fail { .. })).count()
 }
--- a/crates/sidecar/load-balancing/tests/decision_trace.rs
+++ b/crates/sidecar/load-balancing/tests/decision_trace.rs
@@ -47,9 +47,9 @@
     fn add_action(&mut self, action: &Action) {
         let optional = |value: Option<f64>| value.map_or(u64::MAX, f64::to_bits);
         let words = match *action {
-            Action::Send { id, upstream, patience } => [1, id.0, upstream.0, optional(patience)],
+            Action::Send { id, upstream, timeout: patience } => [1, id.0, upstream.0, optional(patience)],
             Action::Cancel { id, attempt } => [2, id.0, u64::from(attempt), 0],
-            Action::Refuse { id, retry_after } => [3, id.0, optional(retry_after), 0],
+            Action::Reject { id, retry_after } => [3, id.0, optional(retry_after), 0],
             Action::Fail { id } => [4, id.0, 0, 0],
             Action::Wake { after, token } => [5, after.to_bits(), token, 0],
             Action::Probe(upstream) => [6, upstream.0, 0, 0],
@@ -95,7 +95,7 @@
             upstream: UpstreamId(number),
             zone: ZoneId((number % 3) as usize),
             cell: number % 4,
-            condition: Condition::On,
+            condition: Condition::Running,
             started: None,
         });
         Simulation {
@@ -149,7 +149,7 @@
                 }
                 1
             }
-            Action::Refuse { id, .. } => {
+            Action::Reject { id, .. } => {
                 self.open.retain(|open| *open != id);
                 2
             }
@@ -240,21 +240,21 @@
         }
         let at = self.generator.below(self.entries.len() as u64) as usize;
         let now = self.now;
-        let away = self.entries.iter().filter(|e| e.condition != Condition::On).count();
+        let away = self.entries.iter().filter(|e| e.condition != Condition::Running).count();
         let change = if away * 3 > self.entries.len() { 2 } else { self.generator.below(5) };
         let entry = &mut self.entries[at];
         match change {
-            0 => entry.condition = Condition::Fading,
-            1 => entry.condition = Condition::Off,
-            2 => entry.condition = Condition::On,
+            0 => entry.condition = Condition::Draining,
+            1 => entry.condition = Condition::Removed,
+            2 => entry.condition = Condition::Running,
             _ => {
-                entry.condition = Condition::On;
+                entry.condition = Condition::Running;
                 entry.started = Some(now);
             }
         }
         let entry = *entry;
         if self.generator.chance(30) {
-            let all = self.entries.iter().filter(|e| e.condition != Condition::Off);
+            let all = self.entries.iter().filter(|e| e.condition != Condition::Removed);
             let all = all.copied().collect();
             self.handle(Event::FullList(all));
         } else {
@@ -322,20 +322,32 @@
 /// Three classes: a safe one, a keyed one and an unsafe one, each with its own value and latency target.
 fn classes(scope: DedupScope) -> Vec<Class> {
     vec![
-        Class { aim: 1.0, aim_stretch: 1.0, gain: 1.0, late_value: 0.0, effect: Effect::Safe },
         Class {
-            aim: 0.6,
-            aim_stretch: 0.0,
-            gain: 4.0,
+            latency_target: 1.0,
+            latency_target_per_work: 1.0,
+            value: 1.0,
+            late_value: 0.0,
+            effect: Effect::Safe,
+        },
+        Class {
+            latency_target: 0.6,
+            latency_target_per_work: 0.0,
+            value: 4.0,
             late_value: 0.3,
             effect: Effect::Keyed { scope, window: 0.8 },
         },
-        Class { aim: 2.0, aim_stretch: 0.5, gain: 10.0, late_value: 0.0, effect: Effect::Unsafe },
+        Class {
+            latency_target: 2.0,
+            latency_target_per_work: 0.5,
+            value: 10.0,
+            late_value: 0.0,
+            effect: Effect::Unsafe,
+        },
     ]
 }
 
 fn tenants() -> Vec<Tenant> {
-    vec![Tenant { allowance_per_s: 20.0 }, Tenant { allowance_per_s: f64::INFINITY }]
+    vec![Tenant { quota_per_s: 20.0 }, Tenant { quota_per_s: f64::INFINITY }]
 }
 
 /// A lone balancer whose upstreams report what they hold, with cancels and duplicates.
@@ -343,10 +355,10 @@
     Settings {
         classes: classes(DedupScope::Zone),
         tenants: tenants(),
-        over_share_worth: 0.3,
+        over_quota_value: 0.3,
         price_cross_zone: 0.01,
         ask_for_list: true,
-        reports_held: true,
+        reports_concurrency: true,
         cancel: true,
         duplicates: true,
         retry_after: true,
@@ -358,13 +370,13 @@
 /// One of eight balancers that checks each pick by a probe.
 fn probing() -> Settings {
     Settings {
-        balancers: 8,
+        instances: 8,
         rank: 3,
         classes: classes(DedupScope::Cell),
         tenants: tenants(),
-        over_share_worth: 0.5,
+        over_quota_value: 0.5,
         price_probe: 0.002,
-        reports_held: true,
+        reports_concurrency: true,
         reports_queue: true,
         probes: true,
         cancel: true,
@@ -376,13 +388,13 @@
 /// One of forty balancers with CPU reports alone.
 fn one_of_many() -> Settings {
     Settings {
-        balancers: 40,
+        instances: 40,
         rank: 17,
         classes: classes(DedupScope::All),
         ask_for_list: true,
-        warm_within: 5.0,
+        slow_start_duration: 5.0,
         overload_factor: 3.0,
-        fall: 1.0,
+        overload_window: 1.0,
         ..Settings::default()
     }
 }
@@ -421,8 +433,8 @@
     let mut simulation = Simulation::new(lone(), 15, 12);
     simulation.run(0.01);
     let mut later = lone();
-    later.classes.push(Class { aim: 1.5, gain: 2.0, ..Class::default() });
-    later.tenants.push(Tenant { allowance_per_s: 5.0 });
+    later.classes.push(Class { latency_target: 1.5, value: 2.0, ..Class::default() });
+    later.tenants.push(Tenant { quota_per_s: 5.0 });
     later.max_attempts = 2;
     simulation.balancer.retune(later).unwrap();
     simulation.classes += 1;
--- a/crates/sidecar/load-balancing/tests/dispatcher.rs
+++ b/crates/sidecar/load-balancing/tests/dispatcher.rs
@@ -16,7 +16,7 @@
             Event::Outcome(Outcome { id, attempt: 0, .. }) => (id, 2),
             _ => return,
         };
-        actions.push(Action::Send { id, upstream: UpstreamId(to), patience: None });
+        actions.push(Action::Send { id, upstream: UpstreamId(to), timeout: None });
     }
 }
 
@@ -39,8 +39,8 @@
 
 /// A dispatcher with one request of a class of this effect, whose first attempt ended like this at 0.1 s.
 fn repeated(effect: Effect, ending: Ending) -> (Dispatcher<Twice>, RequestId) {
-    let mut dispatcher = Dispatcher::round(Twice, &settings(effect));
-    dispatcher.told(0.0, true, vec![entry(1), entry(2)], &mut Idle);
+    let mut dispatcher = Dispatcher::with_decider(Twice, &settings(effect));
+    dispatcher.update_endpoints(0.0, true, vec![entry(1), entry(2)], &mut Idle);
     let id = dispatcher.next_id();
     let arrival = Arrival { class: ClassId(0), tenant: None, budget: 2.0, work: None, repeat: false };
     dispatcher.arrive(0.0, id, arrival, &mut Idle);
@@ -85,7 +85,7 @@
     let (mut dispatcher, id) = repeated(Effect::Safe, Ending::Unused);
     assert!(dispatcher.may_send(0.2, id, 1).is_some());
     assert!(dispatcher.may_send(2.0, id, 1).is_none());
-    dispatcher.told(0.2, true, vec![entry(1)], &mut Idle);
+    dispatcher.update_endpoints(0.2, true, vec![entry(1)], &mut Idle);
     assert!(dispatcher.may_send(0.2, id, 1).is_none());
     let (mut dispatcher, id) = repeated(Effect::Safe, Ending::Unused);
     dispatcher.gone(0.2, id, &mut Idle);
--- a/crates/sidecar/load-balancing/tests/rules.rs
+++ b/crates/sidecar/load-balancing/tests/rules.rs
@@ -89,7 +89,7 @@
     assert_ne!(first, second);
     let actions = rig.end(0.3, id, 1, second, Ending::Dropped);
     let late = rig.at(2.05, Event::Wake(0));
-    assert!(!actions.iter().chain(&late).any(|a| matches!(a, Action::Refuse { .. })));
+    assert!(!actions.iter().chain(&late).any(|a| matches!(a, Action::Reject { .. })));
     assert_eq!(finals(&actions) + finals(&late), 1);
 }
 
@@ -100,7 +100,7 @@
     let (id, actions) = rig.submit(0.1);
     let actions = rig.end(0.2, id, 0, sent(&actions).unwrap(), Ending::Shed);
     let actions = rig.end(0.3, id, 1, sent(&actions).unwrap(), Ending::Shed);
-    assert!(matches!(actions[..], [Action::Refuse { .. }]), "{actions:?}");
+    assert!(matches!(actions[..], [Action::Reject { .. }]), "{actions:?}");
 }
 
 #[test]
@@ -131,7 +131,7 @@
         _ => None,
     });
     assert!(wake.is_some_and(|w| w > 0.0 && w <= 2.0) && finals(&actions) == 0);
-    assert!(matches!(rig.at(1.0, Event::Wake(0))[..], [Action::Refuse { id: i, .. }] if i == id));
+    assert!(matches!(rig.at(1.0, Event::Wake(0))[..], [Action::Reject { id: i, .. }] if i == id));
 }
 
 #[test]
@@ -145,8 +145,8 @@
 #[test]
 fn draining_and_absent_upstreams_get_nothing_new() {
     let mut rig = Rig::new(settings(Effect::Safe), (1..=3).map(entry).collect());
-    rig.at(0.1, Event::ListChanges(vec![Entry { condition: Condition::Fading, ..entry(1) }]));
-    rig.at(0.1, Event::FullList(vec![Entry { condition: Condition::Fading, ..entry(1) }, entry(2)]));
+    rig.at(0.1, Event::ListChanges(vec![Entry { condition: Condition::Draining, ..entry(1) }]));
+    rig.at(0.1, Event::FullList(vec![Entry { condition: Condition::Draining, ..entry(1) }, entry(2)]));
     for _ in 0..10 {
         assert_eq!(sent(&rig.submit(0.2).1), Some(UpstreamId(2)));
     }
@@ -209,9 +209,9 @@
 fn a_pick_is_checked_by_a_cheap_probe() {
     let set = Settings {
         probes: true,
-        reports_held: true,
+        reports_concurrency: true,
         reports_queue: true,
-        balancers: 3,
+        instances: 3,
         ..settings(Effect::Unsafe)
     };
     let mut rig = Rig::new(set, vec![entry(1), entry(2)]);
@@ -232,7 +232,7 @@
 /// calls a node holds, but not how many of these wait, and one held call is no sign of a full node.
 #[test]
 fn no_pick_is_checked_where_reports_cannot_show_a_spare_worker() {
-    let set = Settings { probes: true, reports_held: true, balancers: 3, ..settings(Effect::Unsafe) };
+    let set = Settings { probes: true, reports_concurrency: true, instances: 3, ..settings(Effect::Unsafe) };
     let mut rig = Rig::new(set, (1..=4).map(entry).collect());
     let in_flight = |n| Some(Report { active: Some(n), cpu: Some(0.4), ..Report::default() });
     let (id, actions) = rig.submit(0.0);
@@ -249,10 +249,10 @@
 fn probes_stop_at_their_part_of_the_price() {
     let set = Settings {
         probes: true,
-        reports_held: true,
+        reports_concurrency: true,
         reports_queue: true,
         price_probe: 0.005,
-        balancers: 3,
+        instances: 3,
         ..settings(Effect::Unsafe)
     };
     let mut rig = Rig::new(set, (1..=40).map(entry).collect());
@@ -342,12 +342,12 @@
 fn senseless_settings_are_refused() {
     let base = settings(Effect::Safe);
     let cases = [
-        Settings { balancers: 0, ..base.clone() },
+        Settings { instances: 0, ..base.clone() },
         Settings { classes: vec![], ..base.clone() },
-        Settings { fall: -1.0, ..base.clone() },
-        Settings { warm_within: f64::NAN, ..base.clone() },
-        Settings { cold_from: 1.5, ..base.clone() },
-        Settings { tenants: vec![Tenant { allowance_per_s: -1.0 }], ..base.clone() },
+        Settings { overload_window: -1.0, ..base.clone() },
+        Settings { slow_start_duration: f64::NAN, ..base.clone() },
+        Settings { slow_start_capacity: 1.5, ..base.clone() },
+        Settings { tenants: vec![Tenant { quota_per_s: -1.0 }], ..base.clone() },
     ];
     for set in cases {
         let error = Balancer::new(set, 1, 0.0).err().expect("must be refused");
@@ -365,7 +365,7 @@
         Event::Request { id, class: ClassId(0), tenant: None, ttl: 0.5, work_hint: None, repeat: false };
     rig.at(0.0, event);
     let actions = rig.at(0.5, Event::ListChanges(vec![entry(1)]));
-    assert!(matches!(actions[..], [Action::Refuse { .. }]), "{actions:?}");
+    assert!(matches!(actions[..], [Action::Reject { .. }]), "{actions:?}");
 }
 
 #[test]
@@ -427,7 +427,7 @@
 
 #[test]
 fn an_upstream_that_just_answered_with_a_spare_worker_is_taken_first() {
-    let set = Settings { reports_held: true, balancers: 8, ..settings(Effect::Unsafe) };
+    let set = Settings { reports_concurrency: true, instances: 8, ..settings(Effect::Unsafe) };
     let mut rig = Rig::new(set, (1..=20).map(entry).collect());
     let (id, actions) = rig.submit(0.0);
     rig.end_with(0.1, id, 0, sent(&actions).unwrap(), Ending::Delivered, held(2.0, 1.0));
@@ -524,7 +524,7 @@
 
 #[test]
 fn many_copies_share_the_room_and_list_changes_do_not_widen_it() {
-    let set = Settings { balancers: 10, ..settings(Effect::Unsafe) };
+    let set = Settings { instances: 10, ..settings(Effect::Unsafe) };
     let mut rig = Rig::new(set, (1..=10).map(entry).collect());
     let in_flight = (0..40).filter(|_| sent(&rig.submit(0.1).1).is_some()).count();
     assert!((2..=20).contains(&in_flight), "{in_flight}");
@@ -535,7 +535,8 @@
 #[test]
 fn many_copies_together_do_not_push_a_cold_upstream_over() {
     // Twenty copies learn of the same start; each alone would send only a little.
-    let set = Settings { balancers: 20, overload_factor: 3.0, fall: 1.0, ..settings(Effect::Safe) };
+    let set =
+        Settings { instances: 20, overload_factor: 3.0, overload_window: 1.0, ..settings(Effect::Safe) };
     let mut to_cold = Vec::new();
     for seed in 0..20 {
         let set = Settings { rank: seed as usize, ..set.clone() };
@@ -619,7 +620,7 @@
     // A hundred copies that each use all of 60 upstreams open 6,000 connections and meet every bad one.
     let mut counts = [0; 60];
     for rank in 0..100 {
-        let set = Settings { balancers: 100, rank, ..settings(Effect::Unsafe) };
+        let set = Settings { instances: 100, rank, ..settings(Effect::Unsafe) };
         let mut rig = Rig::new(set, (0..60).map(entry).collect());
         let mut own = used(&mut rig, 12);
         own.iter().for_each(|u| counts[*u as usize] += 1);
@@ -643,7 +644,7 @@
 /// One copy of ten for each upstream, whose answers take twice the aim; sends of each tenth of 400 s.
 fn crowded(classes: Vec<Class>, reports: Option<Report>) -> (Vec<usize>, Vec<usize>) {
     let count = classes.len();
-    let set = Settings { balancers: 20, classes, ..settings(Effect::Unsafe) };
+    let set = Settings { instances: 20, classes, ..settings(Effect::Unsafe) };
     let mut rig = Rig::new(set, vec![entry(1), entry(2)]);
     let (mut out, mut by_tenth, mut by_class) = (Vec::new(), vec![0; 10], vec![0; count]);
     for n in 0..4000u64 {
@@ -680,8 +681,8 @@
 
 #[test]
 fn room_is_kept_for_the_most_worth() {
-    let dear = Class { effect: Effect::Unsafe, gain: 10.0, ..Class::default() };
-    let (_, sent) = crowded(vec![Class { gain: 1.0, ..dear.clone() }, dear], cpu(0.9));
+    let dear = Class { effect: Effect::Unsafe, value: 10.0, ..Class::default() };
+    let (_, sent) = crowded(vec![Class { value: 1.0, ..dear.clone() }, dear], cpu(0.9));
     assert!(sent[1] > 3 * sent[0], "{sent:?}");
 }
 
@@ -709,10 +710,10 @@
 
 #[test]
 fn a_draining_upstream_is_nobodys_share() {
-    let set = Settings { balancers: 12, rank: 11, ..settings(Effect::Unsafe) };
+    let set = Settings { instances: 12, rank: 11, ..settings(Effect::Unsafe) };
     let mut rig = Rig::new(set, (1..=12).map(entry).collect());
     assert!(used(&mut rig, 9).contains(&12));
-    let gone = Entry { condition: Condition::Fading, ..entry(12) };
+    let gone = Entry { condition: Condition::Draining, ..entry(12) };
     rig.at(rig.now, Event::ListChanges(vec![gone]));
     // The share moves on to those that are left.
     let own: std::collections::BTreeSet<_> = used(&mut rig, 9).into_iter().collect();
@@ -721,7 +722,7 @@
 
 #[test]
 fn an_idle_copy_makes_room_for_a_burst() {
-    let set = Settings { balancers: 20, ..settings(Effect::Unsafe) };
+    let set = Settings { instances: 20, ..settings(Effect::Unsafe) };
     let mut rig = Rig::new(set, (1..=5).map(entry).collect());
     for n in 0..100 {
         let now = f64::from(n);
@@ -737,7 +738,7 @@
     let set = Settings { retry_after: true, max_retry_after: 2.0, ..settings(Effect::Unsafe) };
     let mut rig = Rig::new(set, vec![]);
     let (id, _) = rig.submit(0.0);
-    assert_eq!(rig.at(1.0, Event::Wake(0)), [Action::Refuse { id, retry_after: Some(2.0) }]);
+    assert_eq!(rig.at(1.0, Event::Wake(0)), [Action::Reject { id, retry_after: Some(2.0) }]);
 }
 
 /// Sends one request of a class, ends it, and says where it went.
@@ -849,8 +850,8 @@
 #[test]
 fn calls_that_come_by_threes_at_one_of_many_copies_are_inside_a_tenants_share() {
     // 12 calls a second over 20 copies are 0.6 at each: two of these three counted as too much.
-    let tenants = vec![Tenant { allowance_per_s: 12.0 }];
-    let set = Settings { balancers: 20, tenants, over_share_worth: 0.2, ..settings(Effect::Unsafe) };
+    let tenants = vec![Tenant { quota_per_s: 12.0 }];
+    let set = Settings { instances: 20, tenants, over_quota_value: 0.2, ..settings(Effect::Unsafe) };
     let mut rig = Rig::new(set, vec![]);
     let (class, tenant, ttl, work_hint) = (ClassId(0), Some(TenantId(0)), 2.0, None);
     for n in 1..=9 {
@@ -986,7 +987,8 @@
 /// Guards against an upstream that stands aside because its one call is heavy: it is busy, not silent.
 #[test]
 fn who_is_busy_with_a_heavy_call_is_not_silent() {
-    let set = Settings { classes: vec![Class { aim: 9.0, ..Class::default() }], ..Settings::default() };
+    let set =
+        Settings { classes: vec![Class { latency_target: 9.0, ..Class::default() }], ..Settings::default() };
     let mut rig = Rig::new(set, vec![entry(1), entry(2)]);
     let now = practised(&mut rig, &[0.05, 0.1, 0.15, 0.2], 1.0);
     // Usual answers take a quarter of a second, this one three.
--- a/crates/sidecar/proxy/src/sidecar.rs
+++ b/crates/sidecar/proxy/src/sidecar.rs
@@ -226,7 +226,7 @@
     fn is_done(&self) -> bool {
         let late = self.connections.now - self.told_at >= self.end.exits_by;
         self.shift == Shift::Closed
-            && (late || self.dispatcher.owed() == 0 && self.connections.clients.is_empty())
+            && (late || self.dispatcher.open_requests() == 0 && self.connections.clients.is_empty())
     }
 
     /// Tells the dispatcher what has come up on the connections meanwhile.
@@ -246,7 +246,7 @@
                         self.connections.discovery.wanted = true;
                         self.connections.timers.set(now + ASK_AGAIN_S, Timer::Ask);
                     }
-                    self.dispatcher.untold(now, &mut self.connections);
+                    self.dispatcher.discovery_failed(now, &mut self.connections);
                 }
                 News::Asked => self.list_ready(),
                 // Guards against an end that has been overtaken: the slot may have a new attempt by now.
@@ -288,7 +288,7 @@
             Timer::Sweep => {
                 self.connections.sweep_upstreams();
                 self.connections.sweep_clients();
-                if self.lifecycle.sends_idle_away() {
+                if self.lifecycle.closes_idle_connections() {
                     self.connections.send_off_all_idle();
                 }
                 if let Some(admin) = self.admin.as_mut() {
@@ -313,8 +313,11 @@
 
     fn figures(&mut self, event: &str) {
         let c = self.dispatcher.counts();
-        let (owed, clients, upstreams) =
-            (self.dispatcher.owed(), self.connections.clients.len(), self.connections.upstreams.len());
+        let (owed, clients, upstreams) = (
+            self.dispatcher.open_requests(),
+            self.connections.clients.len(),
+            self.connections.upstreams.len(),
+        );
         let figures: [(&str, &dyn Display); 11] = [
             ("taken", &c.taken),
             ("served", &c.served),
@@ -323,7 +326,7 @@
             ("gone", &c.gone),
             ("forced", &c.forced),
             ("passes", &c.attempts),
-            ("turned", &c.turned),
+            ("turned", &c.unserved_attempts),
             ("owed", &owed),
             ("kiosks", &clients),
             ("bays", &upstreams),
--- a/crates/sidecar/proxy/src/sidecar/clients.rs
+++ b/crates/sidecar/proxy/src/sidecar/clients.rs
@@ -108,7 +108,9 @@
             }
         };
         let admission = Admission::new(self.max_clients, self.service.max_open);
-        if !admission.takes(self.dispatcher.owed(), self.service.settings.worth_part(arrival.class)) {
+        if !admission
+            .admits(self.dispatcher.open_requests(), self.service.settings.relative_value(arrival.class))
+        {
             let wait = self.dispatcher.retry_after().unwrap_or(1.0);
             return self.connections.word(key, 503, "too many at once\n", &[("Retry-After", &wait)]);
         }
--- a/crates/sidecar/proxy/src/sidecar/discovery.rs
+++ b/crates/sidecar/proxy/src/sidecar/discovery.rs
@@ -29,8 +29,8 @@
             let (zone, condition) = (ZoneId(0), line.condition);
             let entry = Entry { upstream: node, zone, cell: line.block, condition, started };
             items.push(Item { entry, zone: line.site.clone() });
-            self.connections.learn_node(node, line.dial, condition == Condition::On);
-            if condition == Condition::On {
+            self.connections.learn_node(node, line.dial, condition == Condition::Running);
+            if condition == Condition::Running {
                 open.push(node);
             } else {
                 let host: &str = &line.host;
@@ -56,6 +56,6 @@
             self.connections.say("info", "list", &figures);
         }
         let entries = self.service.names.entries(&items);
-        self.dispatcher.told(now, update.whole, entries, &mut self.connections);
+        self.dispatcher.update_endpoints(now, update.whole, entries, &mut self.connections);
     }
 }
--- a/crates/sidecar/proxy/src/sidecar/operators.rs
+++ b/crates/sidecar/proxy/src/sidecar/operators.rs
@@ -2,7 +2,7 @@
 
 use super::{Shift, Sidecar};
 use crate::admin::Call;
-use passrelay_load_balancing::lifecycle::Turn;
+use passrelay_load_balancing::lifecycle::Transition;
 
 impl Sidecar {
     /// Tells the connections whether answers end their connections, as the lifecycle and the shift say.
@@ -29,9 +29,9 @@
                 let mut body = serde_json::json!({
                     "name": self.name, "serving": serving, "ready": ready,
                     "standby": self.lifecycle.standby_since().is_some(), "ending": self.shift != Shift::On,
-                    "owed": self.dispatcher.owed(), "clients": self.connections.clients.len(), "node_connections": self.connections.upstreams.len(), "buffers": self.connections.buffers.out,
+                    "owed": self.dispatcher.open_requests(), "clients": self.connections.clients.len(), "node_connections": self.connections.upstreams.len(), "buffers": self.connections.buffers.out,
                     "taken": c.taken, "served": c.served, "refused": c.refused, "failed": c.failed,
-                    "standbys": self.lifecycle.standbys, "operator_cut_off": admin.cut_off, "generation": self.generation,
+                    "standbys": self.lifecycle.standby_count, "operator_cut_off": admin.cut_off, "generation": self.generation,
                 });
                 if let Some(fleet) = &self.fleet {
                     body["fleet"] = fleet();
@@ -39,21 +39,24 @@
                 (if serving { 200 } else { 503 }, format!("{body}\n"))
             }
             Call::Standby => {
-                if self.lifecycle.standby(now) == Turn::Changed {
+                if self.lifecycle.standby(now) == Transition::Changed {
                     self.set_closing();
                     self.connections.send_off_all_idle();
                     self.connections.say(
                         "info",
                         "standby",
-                        &[("owed", &self.dispatcher.owed()), ("clients", &self.connections.clients.len())],
+                        &[
+                            ("owed", &self.dispatcher.open_requests()),
+                            ("clients", &self.connections.clients.len()),
+                        ],
                     );
                 }
                 (200, "{\"standby\":true}\n".to_owned())
             }
             Call::Active => {
-                if self.lifecycle.active() == Turn::Changed {
+                if self.lifecycle.active() == Transition::Changed {
                     self.set_closing();
-                    self.connections.say("info", "active", &[("owed", &self.dispatcher.owed())]);
+                    self.connections.say("info", "active", &[("owed", &self.dispatcher.open_requests())]);
                 }
                 (200, "{\"standby\":false}\n".to_owned())
             }
--- a/crates/sidecar/proxy/src/sidecar/signals.rs
+++ b/crates/sidecar/proxy/src/sidecar/signals.rs
@@ -29,7 +29,7 @@
                 self.connections.say(
                     "info",
                     "ending",
-                    &[("signal", &signal), ("owed", &self.dispatcher.owed())],
+                    &[("signal", &signal), ("owed", &self.dispatcher.open_requests())],
                 );
             }
         }
--- a/crates/sidecar/proxy/src/sidecar/upstreams.rs
+++ b/crates/sidecar/proxy/src/sidecar/upstreams.rs
@@ -106,7 +106,7 @@
         match attempt {
             Attempt::Request { id, number } if verdict == Verdict::Faulty => {
                 load.into_iter().for_each(|l| self.connections.buffers.give_back(l.buffer));
-                self.dispatcher.turn_back(now, id, number, &mut self.connections);
+                self.dispatcher.reject_invalid(now, id, number, &mut self.connections);
             }
             Attempt::Request { id, number } => {
                 self.connections.load = load;
--- a/crates/sidecar/settings/src/config.rs
+++ b/crates/sidecar/settings/src/config.rs
@@ -151,13 +151,13 @@
             }
         }
         let class = Class {
-            aim: self.get(&key("Aim"), self.get(&key("GiveUp"), d.aim)?)?,
-            aim_stretch: self.get(&key("AimStretch"), d.aim_stretch)?,
-            gain: self.get(&key("Gain"), d.gain)?,
+            latency_target: self.get(&key("Aim"), self.get(&key("GiveUp"), d.latency_target)?)?,
+            latency_target_per_work: self.get(&key("AimStretch"), d.latency_target_per_work)?,
+            value: self.get(&key("Gain"), d.value)?,
             late_value: self.get(&key("LateValue"), d.late_value)?,
             effect,
         };
-        let give_up = self.span(&key("GiveUp"), class.aim.max(0.0))?;
+        let give_up = self.span(&key("GiveUp"), class.latency_target.max(0.0))?;
         Ok((name, class, give_up))
     }
 }
@@ -264,25 +264,25 @@
         for at in 0..p.get("Tenants.count", 0)? {
             names.tenants.push(p.text(&format!("Tenants.{at}.Name")).unwrap_or("").to_owned());
             let allowance_per_s = p.get(&format!("Tenants.{at}.AllowancePerS"), f64::INFINITY)?;
-            tenants.push(Tenant { allowance_per_s });
+            tenants.push(Tenant { quota_per_s: allowance_per_s });
         }
         let fields = p.list("Report.Fields");
         let reported = |field| fields.iter().any(|f| f == field);
         let d = Settings::default();
         let settings = Settings {
-            balancers: p.get("Balancers", d.balancers)?,
+            instances: p.get("Balancers", d.instances)?,
             rank: p.get("Rank", d.rank)?,
             classes,
             tenants,
-            over_share_worth: p.get("OverShareWorth", d.over_share_worth)?,
-            worth_by_work: p.text("CountedBy") == Some("work"),
+            over_quota_value: p.get("OverShareWorth", d.over_quota_value)?,
+            value_by_work: p.text("CountedBy") == Some("work"),
             zone,
             price_cross_zone: p.get("Deductions.CrossZone", d.price_cross_zone)?,
             price_probe: p.get("Deductions.Probe", d.price_probe)?,
             ask_for_list: p.text("RegistryMode") == Some("ask"),
             ask_every: p.get("Rules.AskEvery", d.ask_every)?,
             reports_in_answers: p.text("Report.Source").is_none_or(|s| s == "piggyback"),
-            reports_held: reported("active"),
+            reports_concurrency: reported("active"),
             reports_queue: reported("active") && reported("waiting"),
             probes: p.flag("Limits.Probes", d.probes)?,
             cancel: p.flag("Limits.Cancel", d.cancel)?,
@@ -292,10 +292,10 @@
             max_retry_after: p.get("Limits.MaxRetryAfter", d.max_retry_after)?,
             connect_timeout: p.get("Limits.ConnectTimeout", d.connect_timeout)?,
             drain_grace: p.get("Rules.DrainGrace", d.drain_grace)?,
-            cold_from: p.get("Rules.ColdFrom", d.cold_from)?,
-            warm_within: p.get("Rules.WarmWithin", d.warm_within)?,
+            slow_start_capacity: p.get("Rules.ColdFrom", d.slow_start_capacity)?,
+            slow_start_duration: p.get("Rules.WarmWithin", d.slow_start_duration)?,
             overload_factor: p.get("Rules.OverloadFactor", d.overload_factor)?,
-            fall: p.get("Rules.Fall", d.fall)?,
+            overload_window: p.get("Rules.Fall", d.overload_window)?,
             tick: p.get("Tick", d.tick)?,
         };
         if let Err(e) = settings.validate() {
--- a/crates/sidecar/settings/src/node_list.rs
+++ b/crates/sidecar/settings/src/node_list.rs
@@ -53,9 +53,9 @@
             line[key].as_str().ok_or_else(|| format!("hosts[{at}].{key} should be text, is {}", line[key]))
         };
         let condition = match text("health")? {
-            "in_service" => Condition::On,
-            "terminating" => Condition::Fading,
-            "terminated" => Condition::Off,
+            "in_service" => Condition::Running,
+            "terminating" => Condition::Draining,
+            "terminated" => Condition::Removed,
             other => return Err(format!("hosts[{at}].health has the value '{other}'")),
         };
         let dial = text("dial")?;
--- a/crates/sidecar/simulator-adapter/src/wire.rs
+++ b/crates/sidecar/simulator-adapter/src/wire.rs
@@ -81,9 +81,9 @@
 pub fn item(f: &Fields) -> Result<Item, Expected> {
     f.count(5, 7)?;
     let condition = match f.need_text(4, "a condition")? {
-        "on" => Condition::On,
-        "fading" => Condition::Fading,
-        "off" => Condition::Off,
+        "on" => Condition::Running,
+        "fading" => Condition::Draining,
+        "off" => Condition::Removed,
         other => return Err(format!("item: condition should be on, fading or off, is '{other}'")),
     };
     let started = f.number::<f64>(6, "a start time")?.filter(|s| s.is_finite() && *s != 0.0);
@@ -178,14 +178,14 @@
 /// Prints one action of an instance.
 pub fn print(out: &mut String, who: u64, action: &Action) {
     let _ = match action {
-        Action::Send { id, upstream, patience: None } => {
+        Action::Send { id, upstream, timeout: None } => {
             writeln!(out, "attempt\t{who}\t{}\t0\t{}", id.0, upstream.0)
         }
-        Action::Send { id, upstream, patience: Some(p) } => {
+        Action::Send { id, upstream, timeout: Some(p) } => {
             writeln!(out, "attempt\t{who}\t{}\t{p:.6}\t{}", id.0, upstream.0)
         }
         Action::Cancel { id, attempt } => writeln!(out, "abort_attempt\t{who}\t{}\t{attempt}", id.0),
-        Action::Refuse { id, retry_after } => {
+        Action::Reject { id, retry_after } => {
             writeln!(out, "not_now\t{who}\t{}\t{:.6}", id.0, retry_after.unwrap_or(0.0))
         }
         Action::Fail { id } => writeln!(out, "error\t{who}\t{}", id.0),
--- a/crates/testing/load-simulator/src/experiment.rs
+++ b/crates/testing/load-simulator/src/experiment.rs
@@ -518,25 +518,25 @@
         let cold = self.tier[tier].kind.iter();
         let has = |field| self.tier[tier].report.fields.contains(&field);
         Settings {
-            balancers,
+            instances: balancers,
             rank,
             classes: self
                 .class
                 .iter()
                 .map(|c| Class {
-                    aim: c.aim_s,
-                    gain: c.worth,
+                    latency_target: c.aim_s,
+                    value: c.worth,
                     effect: if c.safe { Effect::Safe } else { Effect::Unsafe },
                     ..Class::default()
                 })
                 .collect(),
-            tenants: self.tenant.iter().map(|t| Tenant { allowance_per_s: t.allowance_per_s }).collect(),
-            over_share_worth: self.tenant.first().map_or(1.0, |t| t.over_worth),
+            tenants: self.tenant.iter().map(|t| Tenant { quota_per_s: t.allowance_per_s }).collect(),
+            over_quota_value: self.tenant.first().map_or(1.0, |t| t.over_worth),
             zone: ZoneId(zone),
             price_probe: 0.01,
             ask_for_list: true,
             reports_in_answers: true,
-            reports_held: has(Field::Inflight),
+            reports_concurrency: has(Field::Inflight),
             reports_queue: has(Field::Inflight) && has(Field::Queue),
             probes: limits.probes,
             cancel: limits.cancel,
@@ -546,10 +546,10 @@
             max_retry_after: limits.retry_after_s,
             connect_timeout: limits.connect_timeout_ms / 1e3,
             drain_grace: rules.drain_grace_s,
-            cold_from: cold.clone().map(|k| k.cold_from).fold(1.0, f64::min),
-            warm_within: cold.map(|k| k.cold_s).fold(0.001, f64::max),
+            slow_start_capacity: cold.clone().map(|k| k.cold_from).fold(1.0, f64::min),
+            slow_start_duration: cold.map(|k| k.cold_s).fold(0.001, f64::max),
             overload_factor: rules.overload_factor,
-            fall: rules.fall_s,
+            overload_window: rules.fall_s,
             tick: limits.tick_ms / 1e3,
             ..Settings::default()
         }
--- a/crates/testing/load-simulator/src/model/discovery.rs
+++ b/crates/testing/load-simulator/src/model/discovery.rs
@@ -95,7 +95,7 @@
     /// Writes a change down; who watches has to be answered.
     pub fn publish(&mut self, line: Line) {
         self.seq += 1;
-        if line.condition == Condition::Off {
+        if line.condition == Condition::Removed {
             self.lines.remove(&line.node);
         } else {
             self.lines.insert(line.node, line);
--- a/crates/testing/load-simulator/src/rivals/mod.rs
+++ b/crates/testing/load-simulator/src/rivals/mod.rs
@@ -196,7 +196,7 @@
     }
 
     fn put(&mut self, entry: &Entry) {
-        if entry.condition == Condition::On {
+        if entry.condition == Condition::Running {
             if !self.at.contains_key(&entry.upstream) {
                 self.at.insert(entry.upstream, self.nodes.len());
                 let since = self.now;
@@ -267,7 +267,7 @@
         open.tried.push(to);
         open.out += 1;
         self.picker.sent(&self.view, to);
-        actions.push(Action::Send { id, upstream: to, patience: None });
+        actions.push(Action::Send { id, upstream: to, timeout: None });
         true
     }
 
@@ -276,7 +276,7 @@
         let Some(open) = self.open.remove(&id) else { return };
         let retry_after = self.settings.retry_after.then_some(self.settings.max_retry_after);
         actions.push(if !open.may_have_run || open.effect == Effect::Safe {
-            Action::Refuse { id, retry_after }
+            Action::Reject { id, retry_after }
         } else {
             Action::Fail { id }
         });
@@ -327,7 +327,7 @@
         self.view.now = now.max(self.view.now);
         match event {
             Event::FullList(entries) => {
-                let on = entries.iter().filter(|e| e.condition == Condition::On).map(|e| e.upstream);
+                let on = entries.iter().filter(|e| e.condition == Condition::Running).map(|e| e.upstream);
                 let on: BTreeSet<UpstreamId> = on.collect();
                 let known = self.view.nodes.iter().map(|n| n.id);
                 let gone: Vec<UpstreamId> = known.filter(|id| !on.contains(id)).collect();
@@ -337,7 +337,7 @@
                         upstream: id,
                         zone,
                         cell,
-                        condition: Condition::Off,
+                        condition: Condition::Removed,
                         started: None,
                     });
                 }
--- a/crates/testing/load-simulator/src/sockets/fleet.rs
+++ b/crates/testing/load-simulator/src/sockets/fleet.rs
@@ -155,8 +155,12 @@
             }
         }
         let discovery = listen(poll.registry(), any, FIRST - 1)?;
-        let lines =
-            (0..nodes.len() as u32).map(|node| Line { node, zone: 0, condition: Condition::On, born: None });
+        let lines = (0..nodes.len() as u32).map(|node| Line {
+            node,
+            zone: 0,
+            condition: Condition::Running,
+            born: None,
+        });
         let mut queue = Queue::default();
         for (n, t) in e.trouble.iter().enumerate().filter(|(_, t)| e.tier_of(t) == tier) {
             queue.put(nanos(t.from_s), Happens::Begins(n));
@@ -403,7 +407,7 @@
             }
             self.drop_peer(key);
         }
-        self.announce(n, Condition::Off);
+        self.announce(n, Condition::Removed);
     }
 
     fn restart(&mut self, n: u32) -> io::Result<()> {
@@ -414,7 +418,7 @@
         self.listeners[n as usize] =
             Some(listen(self.poll.registry(), self.addresses[n as usize], n as usize)?);
         self.nodes[n as usize].start(now);
-        self.announce(n, Condition::On);
+        self.announce(n, Condition::Running);
         Ok(())
     }
 
@@ -451,9 +455,9 @@
         let hosts: Vec<_> = (told.lines.iter())
             .map(|l| {
                 let health = match l.condition {
-                    Condition::On => "in_service",
-                    Condition::Fading => "terminating",
-                    Condition::Off => "terminated",
+                    Condition::Running => "in_service",
+                    Condition::Draining => "terminating",
+                    Condition::Removed => "terminated",
                 };
                 let born = l.born.map_or(0.0, |b| (self.epoch_ms + seconds(b) * 1e3).round());
                 json!({"host": format!("s-{}", l.node), "dial": self.addresses[l.node as usize].to_string(),
@@ -557,7 +561,7 @@
             0 => {
                 if self.nodes[step].is_there() {
                     self.nodes[step].state = State::Draining;
-                    self.announce(at, Condition::Fading);
+                    self.announce(at, Condition::Draining);
                 }
                 self.queue.put(now + each / 2, Happens::Release { trouble: n, step, stage: 1 });
                 self.queue.put(now + each, Happens::Release { trouble: n, step: step + 1, stage: 0 });
--- a/crates/testing/load-simulator/src/world.rs
+++ b/crates/testing/load-simulator/src/world.rs
@@ -315,7 +315,8 @@
                     world.add_node(tier, kind, zone, None);
                 }
             }
-            let lines: Vec<Line> = world.tiers[tier].iter().map(|n| world.line(*n, Condition::On)).collect();
+            let lines: Vec<Line> =
+                world.tiers[tier].iter().map(|n| world.line(*n, Condition::Running)).collect();
             world.lists.push(Discovery::new(&e.discovery, lines.into_iter()));
         }
         world.first_list = world.lists[0].tell(None);
@@ -383,7 +384,7 @@
             settings.classes.iter_mut().for_each(|c| c.effect = passrelay_load_balancing::Effect::Safe);
         }
         let decider = self.policy.decider(&settings, seed, &self.streams, &self.sights);
-        Ok(Dispatcher::round(decider.map_err(RunError::Settings)?, &settings))
+        Ok(Dispatcher::with_decider(decider.map_err(RunError::Settings)?, &settings))
     }
 
     fn balancers(&self, tier: usize) -> usize {
--- a/crates/testing/load-simulator/src/world/nodes.rs
+++ b/crates/testing/load-simulator/src/world/nodes.rs
@@ -111,7 +111,7 @@
             self.stop_sidecar(sidecar);
         }
         self.changed(at);
-        self.announce(at, Condition::Off);
+        self.announce(at, Condition::Removed);
     }
 
     /// Starts a node's process again, under its id or as a new node at its address.
@@ -147,7 +147,7 @@
             }
         }
         self.changed(born);
-        self.announce(born, Condition::On);
+        self.announce(born, Condition::Running);
         Ok(born)
     }
 
--- a/crates/testing/load-simulator/src/world/sidecars.rs
+++ b/crates/testing/load-simulator/src/world/sidecars.rs
@@ -65,9 +65,11 @@
         let s = &self.sidecars[at as usize];
         let entries: Vec<Entry> = s.known.iter().map(|l| l.entry(s.began)).collect();
         for line in s.known.clone() {
-            self.observer.told(now, at, line.node, line.condition == Condition::On);
+            self.observer.told(now, at, line.node, line.condition == Condition::Running);
         }
-        self.with(at, |dispatcher, now, transport| dispatcher.told(now, true, entries, transport));
+        self.with(at, |dispatcher, now, transport| {
+            dispatcher.update_endpoints(now, true, entries, transport)
+        });
     }
 
     pub(super) fn ask(&mut self, at: u32) {
@@ -163,7 +165,7 @@
         }
         s.asking = false;
         let Some(told) = told else {
-            return self.with(at, |dispatcher, now, transport| dispatcher.untold(now, transport));
+            return self.with(at, |dispatcher, now, transport| dispatcher.discovery_failed(now, transport));
         };
         s.seq = Some(told.seq);
         let mut entries: Vec<Entry> = told.lines.iter().map(|l| l.entry(s.began)).collect();
@@ -176,19 +178,21 @@
         } else {
             for line in &told.lines {
                 s.known.retain(|l| l.node != line.node);
-                if line.condition != Condition::Off {
+                if line.condition != Condition::Removed {
                     s.known.push(*line);
                 }
             }
         }
         for line in &told.lines {
-            self.observer.told(now, at, line.node, line.condition == Condition::On);
+            self.observer.told(now, at, line.node, line.condition == Condition::Running);
         }
         if self.wanted.mutant == Mutant::Drain {
-            entries.retain(|e| e.condition == Condition::On);
+            entries.retain(|e| e.condition == Condition::Running);
         }
         let whole = told.whole && self.wanted.mutant != Mutant::Drain;
-        self.with(at, |dispatcher, now, transport| dispatcher.told(now, whole, entries, transport));
+        self.with(at, |dispatcher, now, transport| {
+            dispatcher.update_endpoints(now, whole, entries, transport)
+        });
         // A watch goes on at once.
         self.ask(at);
     }
--- a/crates/testing/load-simulator/tests/emulator.rs
+++ b/crates/testing/load-simulator/tests/emulator.rs
@@ -16,9 +16,9 @@
 #[test]
 fn who_has_fallen_behind_gets_the_whole_list() {
     let figures = Figures { history: 2, ..Figures::default() };
-    let mut list = Discovery::new(&figures, (0..3).map(|n| line(n, Condition::On)));
+    let mut list = Discovery::new(&figures, (0..3).map(|n| line(n, Condition::Running)));
     for node in 0..3 {
-        list.publish(line(node, Condition::Off));
+        list.publish(line(node, Condition::Removed));
     }
     let behind = list.tell(Some(1));
     assert!(behind.whole && behind.lines.is_empty() && behind.seq == 4);
