--- a/crates/sidecar/load-balancing/tests/common/mod.rs
+++ b/crates/sidecar/load-balancing/tests/common/mod.rs
@@ -12,17 +12,17 @@
 }
 
 /// A balancer with a clock and the actions of the last event.
-pub struct Rig {
+pub struct Harness {
     pub balancer: Balancer,
     pub now: f64,
     pub next: u64,
 }
 
-impl Rig {
+impl Harness {
     pub fn new(settings: Settings, entries: Vec<Entry>) -> Self {
-        let mut rig = Rig { balancer: Balancer::new(settings, 1, 0.0).unwrap(), now: 0.0, next: 0 };
-        rig.at(0.0, Event::FullList(entries));
-        rig
+        let mut harness = Harness { balancer: Balancer::new(settings, 1, 0.0).unwrap(), now: 0.0, next: 0 };
+        harness.at(0.0, Event::FullList(entries));
+        harness
     }
 
     pub fn at(&mut self, now: f64, event: Event) -> Vec<Action> {
@@ -81,3 +81,68 @@
 pub fn finals(actions: &[Action]) -> usize {
     actions.iter().filter(|a| matches!(a, Action::Reject { .. } | Action::Fail { .. })).count()
 }
+
+/// A load report with the CPU alone.
+pub fn cpu_report(value: f64) -> Option<Report> {
+    Some(Report { cpu: Some(value), ..Report::default() })
+}
+
+/// A load report with requests at the server and in its queue.
+pub fn queue_report(active: f64, waiting: f64) -> Option<Report> {
+    Some(Report { active: Some(active), waiting: Some(waiting), ..Report::default() })
+}
+
+/// Two zones of four; returns a harness that has served a while at 0.1 s a call.
+pub fn serve_two_zones(effect: Effect) -> Harness {
+    let zones = (1..=8).map(|n| Entry { zone: ZoneId((n % 2) as usize), ..entry(n) }).collect();
+    let mut harness = Harness::new(Settings { cancel: true, ..settings(effect) }, zones);
+    for n in 0..80 {
+        let now = f64::from(n) * 0.1;
+        let (id, actions) = harness.submit(now);
+        harness.end(now + 0.1, id, 0, sent(&actions).unwrap(), Ending::Delivered);
+    }
+    harness
+}
+
+/// Sends one request of a class, ends it, and says where it went.
+pub fn request_once(
+    harness: &mut Harness,
+    class: usize,
+    ending: impl Fn(UpstreamId) -> Ending,
+) -> UpstreamId {
+    harness.next += 1;
+    let (id, now) = (RequestId(harness.next), harness.now + 0.01);
+    let (class, tenant, ttl, work_hint) = (ClassId(class), None, 2.0, None);
+    let actions = harness.at(now, Event::Request { id, class, tenant, ttl, work_hint, repeat: false });
+    let to = sent(&actions).expect("a node");
+    harness.end(now + 0.01, id, 0, to, ending(to));
+    to
+}
+
+/// A request of class 0 with this work as its caller sees it.
+pub fn submit_with_cost(harness: &mut Harness, now: f64, work: f64) -> (RequestId, Vec<Action>) {
+    harness.next += 1;
+    let (id, class, ttl) = (RequestId(harness.next), ClassId(0), 4.0);
+    let event = Event::Request { id, class, tenant: None, ttl, work_hint: Some(work), repeat: false };
+    (id, harness.at(now, event))
+}
+
+/// The first attempt of a request is served at `now`, this long after it was sent.
+pub fn serve(harness: &mut Harness, now: f64, id: RequestId, upstream: UpstreamId, elapsed: f64) {
+    let (ending, last, report) = (Ending::Delivered, true, None);
+    harness.at(now, Event::Outcome(Outcome { id, attempt: 0, upstream, ending, elapsed, last, report }));
+}
+
+/// 200 calls, each answered after twice its work at upstream 1 and `slower` times that elsewhere; the time
+/// when the last one is over.
+pub fn observe_service_times(harness: &mut Harness, works: &[f64], slower: f64) -> f64 {
+    let mut now = 0.0;
+    for work in works.iter().copied().cycle().take(200) {
+        let (id, actions) = submit_with_cost(harness, now, work);
+        let to = sent(&actions).expect("a node");
+        let elapsed = 2.0 * work * if to == UpstreamId(1) { 1.0 } else { slower };
+        now += elapsed;
+        serve(harness, now, id, to, elapsed);
+    }
+    now
+}
--- /dev/null
+++ b/crates/sidecar/load-balancing/tests/endpoints.rs
@@ -0,0 +1,108 @@
+//! Endpoint list: updates, subscription and subsets.
+
+mod common;
+
+use common::*;
+use passrelay_load_balancing::*;
+use std::collections::BTreeSet;
+
+#[test]
+fn draining_and_absent_upstreams_get_no_new_attempts() {
+    let mut harness = Harness::new(settings(Effect::Safe), (1..=3).map(entry).collect());
+    harness.at(0.1, Event::ListChanges(vec![Entry { condition: Condition::Draining, ..entry(1) }]));
+    harness.at(0.1, Event::FullList(vec![Entry { condition: Condition::Draining, ..entry(1) }, entry(2)]));
+    for _ in 0..10 {
+        assert_eq!(sent(&harness.submit(0.2).1), Some(UpstreamId(2)));
+    }
+}
+
+#[test]
+fn a_failed_list_call_is_renewed_with_backoff() {
+    let set = Settings { ask_for_list: true, ..settings(Effect::Safe) };
+    let mut balancer = Balancer::new(set, 5, 0.0).unwrap();
+    let mut actions = Vec::new();
+    balancer.handle(0.0, Event::FullList(vec![entry(1)]), &mut actions);
+    assert!(actions.contains(&Action::Watch));
+    let mut total = 0.0;
+    for _ in 0..3 {
+        actions.clear();
+        balancer.handle(total, Event::ListFailed, &mut actions);
+        let [Action::Wake { after, token }] = actions[..] else { panic!("{actions:?}") };
+        total += after;
+        actions.clear();
+        balancer.handle(total, Event::Wake(token), &mut actions);
+        assert_eq!(actions, [Action::Watch]);
+    }
+    assert!(total < 10.0, "{total}");
+}
+
+#[test]
+fn many_instances_spread_their_calls_to_a_failing_discovery() {
+    // They all fail at the same moment and again at each call; each waits by a chance of its own.
+    let set = Settings { ask_for_list: true, ..settings(Effect::Safe) };
+    let mut calls = [0; 20];
+    for seed in 0..100 {
+        let mut balancer = Balancer::new(set.clone(), seed, 0.0).unwrap();
+        let mut now = 0.0;
+        balancer.handle(now, Event::FullList(vec![entry(1)]), &mut Vec::new());
+        while now < 20.0 {
+            let mut actions = Vec::new();
+            balancer.handle(now, Event::ListFailed, &mut actions);
+            let [Action::Wake { after, token: 1 }] = actions[..] else { panic!("{actions:?}") };
+            now += after;
+            calls.get_mut(now as usize).into_iter().for_each(|c| *c += 1);
+        }
+    }
+    // From the fifth second on a copy asks every four seconds, in no step with others.
+    assert!(calls[5..].iter().all(|c| (5..=60).contains(c)), "{calls:?}");
+}
+
+/// Which upstreams a copy uses for calls that are answered at once, one each half second.
+fn upstreams_used(harness: &mut Harness, calls: usize) -> Vec<u64> {
+    let ends = (0..calls).map(|_| {
+        let now = harness.now + 0.5;
+        let (id, actions) = harness.submit(now);
+        let to = sent(&actions).unwrap();
+        harness.end_with(now, id, 0, to, Ending::Delivered, cpu_report(0.5));
+        to.0
+    });
+    ends.collect()
+}
+
+#[test]
+fn instances_prefer_subsets_that_together_use_all_upstreams_equally() {
+    // A hundred copies that each use all of 60 upstreams open 6,000 connections and meet every bad one.
+    let mut counts = [0; 60];
+    for rank in 0..100 {
+        let set = Settings { instances: 100, rank, ..settings(Effect::Unsafe) };
+        let mut harness = Harness::new(set, (0..60).map(entry).collect());
+        let mut own = upstreams_used(&mut harness, 12);
+        own.iter().for_each(|u| counts[*u as usize] += 1);
+        own.sort_unstable();
+        own.dedup();
+        assert!((2..=3).contains(&own.len()), "{own:?}");
+        // With its own ones full of calls it goes to others.
+        let far: Vec<_> = (0..9).filter_map(|_| sent(&harness.submit(harness.now).1)).collect();
+        assert!(far.iter().any(|u| !own.contains(&u.0)), "{far:?}");
+    }
+    assert!(counts.iter().all(|c| (10..=30).contains(c)), "{counts:?}");
+}
+
+#[test]
+fn a_single_instance_uses_all_upstreams() {
+    let mut harness = Harness::new(settings(Effect::Unsafe), (0..9).map(entry).collect());
+    let own: BTreeSet<_> = upstreams_used(&mut harness, 18).into_iter().collect();
+    assert_eq!(own.len(), 9);
+}
+
+#[test]
+fn a_draining_upstream_is_in_no_subset() {
+    let set = Settings { instances: 12, rank: 11, ..settings(Effect::Unsafe) };
+    let mut harness = Harness::new(set, (1..=12).map(entry).collect());
+    assert!(upstreams_used(&mut harness, 9).contains(&12));
+    let gone = Entry { condition: Condition::Draining, ..entry(12) };
+    harness.at(harness.now, Event::ListChanges(vec![gone]));
+    // The share moves on to those that are left.
+    let own: BTreeSet<_> = upstreams_used(&mut harness, 9).into_iter().collect();
+    assert!(own.len() == 3 && !own.contains(&12), "{own:?}");
+}
--- /dev/null
+++ b/crates/sidecar/load-balancing/tests/health_check.rs
@@ -0,0 +1,86 @@
+//! Health checks ahead of a selection.
+
+mod common;
+
+use common::*;
+use passrelay_load_balancing::*;
+
+#[test]
+fn a_selection_is_confirmed_by_a_cheap_health_check() {
+    let set = Settings {
+        probes: true,
+        reports_concurrency: true,
+        reports_queue: true,
+        instances: 3,
+        ..settings(Effect::Unsafe)
+    };
+    let mut harness = Harness::new(set, vec![entry(1), entry(2)]);
+    // From the first request on, before anything is known of the workers.
+    let (_, actions) = harness.submit(5.0);
+    let [Action::Probe(asked), ..] = actions[..] else { panic!("{actions:?}") };
+    let busy = Event::Probed {
+        upstream: asked,
+        ending: Ending::Delivered,
+        elapsed: 0.001,
+        report: queue_report(1.0, 0.0),
+    };
+    let actions = harness.at(5.001, busy);
+    let [Action::Probe(other), ..] = actions[..] else { panic!("{actions:?}") };
+    assert_ne!(asked, other);
+    let idle = Event::Probed {
+        upstream: other,
+        ending: Ending::Delivered,
+        elapsed: 0.001,
+        report: queue_report(0.0, 0.0),
+    };
+    assert_eq!(sent(&harness.at(5.002, idle)), Some(other));
+}
+
+/// Guards against calls that wait for a spare worker which the reports cannot show: they tell how many
+/// calls a node holds, but not how many of these wait, and one held call is no sign of a full node.
+#[test]
+fn no_selection_is_confirmed_where_reports_cannot_show_a_spare_worker() {
+    let set = Settings { probes: true, reports_concurrency: true, instances: 3, ..settings(Effect::Unsafe) };
+    let mut harness = Harness::new(set, (1..=4).map(entry).collect());
+    let in_flight = |n| Some(Report { active: Some(n), cpu: Some(0.4), ..Report::default() });
+    let (id, actions) = harness.submit(0.0);
+    let to = sent(&actions).expect("the first call waits for no probe");
+    harness.end_with(0.1, id, 0, to, Ending::Delivered, in_flight(5.0));
+    for n in 0..8 {
+        let (_, actions) = harness.submit(0.2 + f64::from(n) * 0.01);
+        assert!(sent(&actions).is_some(), "call {n}: {actions:?}");
+        assert!(!actions.iter().any(|a| matches!(a, Action::Probe(_))), "call {n}: {actions:?}");
+    }
+}
+
+#[test]
+fn health_checks_stop_at_their_budget() {
+    let set = Settings {
+        probes: true,
+        reports_concurrency: true,
+        reports_queue: true,
+        price_probe: 0.005,
+        instances: 3,
+        ..settings(Effect::Unsafe)
+    };
+    let mut harness = Harness::new(set, (1..=40).map(entry).collect());
+    let mut probes = 0;
+    let mut actions = harness.submit(0.0).1;
+    for n in 1..=40 {
+        let Some(Action::Probe(upstream)) = actions.iter().find(|a| matches!(a, Action::Probe(_))).copied()
+        else {
+            break;
+        };
+        probes += 1;
+        let busy = Event::Probed {
+            upstream,
+            ending: Ending::Delivered,
+            elapsed: 0.001,
+            report: queue_report(3.0, 0.0),
+        };
+        actions = harness.at(f64::from(n) * 0.001, busy);
+    }
+    // Two points in 100 a request buy four of these; then the request goes unasked.
+    assert_eq!(probes, 4);
+    assert!(sent(&actions).is_some());
+}
--- /dev/null
+++ b/crates/sidecar/load-balancing/tests/outlier_ejection.rs
@@ -0,0 +1,139 @@
+//! Outlier ejection: failing and stalled upstreams, failed zones.
+
+mod common;
+
+use common::*;
+use passrelay_load_balancing::*;
+use std::collections::BTreeSet;
+
+#[test]
+fn a_failing_upstream_is_ejected_and_comes_back() {
+    let mut harness = Harness::new(settings(Effect::Unsafe), vec![entry(1), entry(2)]);
+    let mut now = 0.1;
+    let mut to_bad = [0, 0];
+    for n in 0..200 {
+        now += 0.05;
+        let (id, actions) = harness.submit(now);
+        let Some(to) = sent(&actions) else { continue };
+        let down = n < 100;
+        to_bad[usize::from(!down)] += usize::from(to.0 == 1);
+        if to.0 == 1 && down {
+            let actions = harness.end(now, id, 0, to, Ending::DialFailed);
+            let other = sent(&actions).unwrap();
+            harness.end(now + 0.01, id, 1, other, Ending::Delivered);
+        } else {
+            harness.end(now + 0.01, id, 0, to, Ending::Delivered);
+        }
+    }
+    assert!(to_bad[0] <= 6 && to_bad[1] >= 10, "{to_bad:?}");
+}
+
+#[test]
+fn a_stalled_upstream_is_ejected_while_peers_answer() {
+    let mut harness = Harness::new(settings(Effect::Unsafe), (1..=3).map(entry).collect());
+    let mut paused_sends = 0;
+    for n in 0..60 {
+        let now = f64::from(n) * 0.1;
+        let (id, actions) = harness.submit(now);
+        let to = sent(&actions).unwrap();
+        // Upstream 1 stops answering at 2 s.
+        if to.0 == 1 && now > 2.0 {
+            paused_sends += 1;
+        } else {
+            harness.end(now + 0.01, id, 0, to, Ending::Delivered);
+        }
+    }
+    assert!((1..=3).contains(&paused_sends), "{paused_sends}");
+}
+
+/// Guards against an upstream that stands aside because its one call is heavy: it is busy, not silent.
+#[test]
+fn an_upstream_busy_with_an_expensive_request_is_not_ejected() {
+    let set =
+        Settings { classes: vec![Class { latency_target: 9.0, ..Class::default() }], ..Settings::default() };
+    let mut harness = Harness::new(set, vec![entry(1), entry(2)]);
+    let now = observe_service_times(&mut harness, &[0.05, 0.1, 0.15, 0.2], 1.0);
+    // Usual answers take a quarter of a second, this one three.
+    let busy = sent(&submit_with_cost(&mut harness, now, 1.5).1).unwrap();
+    let (id, actions) = submit_with_cost(&mut harness, now + 1.4, 0.1);
+    let other = sent(&actions).unwrap();
+    assert_ne!(other, busy);
+    harness.end(now + 1.5, id, 0, other, Ending::Delivered);
+    assert_eq!(sent(&submit_with_cost(&mut harness, now + 1.5, 2.0).1), Some(other));
+    assert_eq!(
+        sent(&submit_with_cost(&mut harness, now + 1.5, 0.1).1),
+        Some(busy),
+        "it holds less than the other"
+    );
+}
+
+#[test]
+fn one_broken_connection_does_not_eject_but_two_without_an_answer_do() {
+    let mut harness = Harness::new(settings(Effect::Unsafe), vec![entry(1), entry(2)]);
+    let breaks = |to| if to == UpstreamId(1) { Ending::Dropped } else { Ending::Delivered };
+    while request_once(&mut harness, 0, breaks) != UpstreamId(1) {}
+    // Still sent to, though less often; the second break takes it out.
+    assert!((0..20).any(|_| request_once(&mut harness, 0, breaks) == UpstreamId(1)));
+    assert!((0..20).all(|_| request_once(&mut harness, 0, breaks) == UpstreamId(2)));
+}
+
+#[test]
+fn a_partitioned_zone_is_ejected_completely() {
+    let mut harness = serve_two_zones(Effect::Unsafe);
+    let (mut lost, mut seen) = (Vec::new(), 0);
+    for n in 0..200 {
+        let now = 10.0 + f64::from(n) * 0.02;
+        let (id, actions) = harness.submit(now);
+        let Some(to) = sent(&actions) else { continue };
+        if to.0 % 2 == 1 {
+            lost.push(now);
+        } else {
+            seen += 1;
+            harness.end(now + 0.01, id, 0, to, Ending::Delivered);
+        }
+    }
+    assert!(seen > 150 && lost.iter().all(|at| *at < 10.5), "{seen} {lost:?}");
+}
+
+#[test]
+fn an_instance_with_few_attempts_in_flight_ejects_a_large_failed_zone() {
+    let zones = (1..=60).map(|n| Entry { zone: ZoneId((n % 2) as usize), ..entry(n) }).collect();
+    let mut harness = Harness::new(settings(Effect::Unsafe), zones);
+    let mut lost = Vec::new();
+    for n in 0..300 {
+        let now = f64::from(n) * 0.02;
+        let (id, actions) = harness.submit(now);
+        let Some(to) = sent(&actions) else { continue };
+        if now > 2.0 && to.0 % 2 == 1 {
+            lost.push(now);
+        } else {
+            harness.end(now + 0.01, id, 0, to, Ending::Delivered);
+        }
+    }
+    // Judged upstream by upstream it would take a call at nearly each of the thirty.
+    assert!((1..=15).contains(&lost.len()), "{lost:?}");
+}
+
+#[test]
+fn trial_requests_in_a_failed_zone_go_only_to_upstreams_that_failed() {
+    let zones = (1..=60).map(|n| Entry { zone: ZoneId((n % 2) as usize), ..entry(n) }).collect();
+    let mut harness = Harness::new(settings(Effect::Unsafe), zones);
+    let mut failed = BTreeSet::new();
+    for n in 0..1500 {
+        let now = f64::from(n) * 0.02;
+        let (id, actions) = harness.submit(now);
+        let Some(mut to) = sent(&actions) else { continue };
+        for attempt in 0..3 {
+            if now < 2.0 || to.0 % 2 == 0 {
+                harness.end(now + 0.01, id, attempt, to, Ending::Delivered);
+                break;
+            }
+            failed.insert(to);
+            let Some(next) = sent(&harness.end(now + 0.01, id, attempt, to, Ending::DialFailed)) else {
+                break;
+            };
+            to = next;
+        }
+    }
+    assert!((1..=6).contains(&failed.len()), "{failed:?}");
+}
--- /dev/null
+++ b/crates/sidecar/load-balancing/tests/settings.rs
@@ -0,0 +1,64 @@
+//! Settings: validation and change at run time, and tolerance for odd input.
+
+mod common;
+
+use common::*;
+use passrelay_load_balancing::*;
+
+#[test]
+fn invalid_settings_are_rejected() {
+    let base = settings(Effect::Safe);
+    let cases = [
+        Settings { instances: 0, ..base.clone() },
+        Settings { classes: vec![], ..base.clone() },
+        Settings { overload_window: -1.0, ..base.clone() },
+        Settings { slow_start_duration: f64::NAN, ..base.clone() },
+        Settings { slow_start_capacity: 1.5, ..base.clone() },
+        Settings { tenants: vec![Tenant { quota_per_s: -1.0 }], ..base.clone() },
+    ];
+    for set in cases {
+        let error = Balancer::new(set, 1, 0.0).err().expect("must be refused");
+        assert!(error.to_string().contains(error.name));
+    }
+    assert!(Balancer::new(base, 1, 0.0).is_ok());
+}
+
+// Guards against a class added by a later generation that the turns do not know (an index out of bounds
+// in the module), and against settings that would take a class from under requests already taken.
+#[test]
+fn a_later_generation_adds_a_class_whose_requests_are_sent_at_once() {
+    let mut harness = Harness::new(settings(Effect::Safe), vec![entry(1), entry(2)]);
+    let (_, first) = harness.submit(0.1);
+    assert!(matches!(first[..], [Action::Send { .. }, ..]));
+    let unsafe_class = Class { effect: Effect::Unsafe, ..Class::default() };
+    let mut later = settings(Effect::Safe);
+    later.classes.push(unsafe_class);
+    harness.balancer.retune(later.clone()).unwrap();
+    let id = RequestId(99);
+    let event =
+        Event::Request { id, class: ClassId(1), tenant: None, ttl: 2.0, work_hint: None, repeat: false };
+    assert!(matches!(harness.at(0.2, event)[..], [Action::Send { id: RequestId(99), .. }, ..]));
+    assert!(harness.balancer.retune(settings(Effect::Safe)).is_err(), "classes may not be taken away");
+}
+
+#[test]
+fn odd_but_legal_input_is_ignored() {
+    let mut harness = Harness::new(settings(Effect::Safe), vec![entry(1), entry(1)]);
+    let nan = Some(Report {
+        active: Some(f64::NAN),
+        waiting: Some(f64::INFINITY),
+        cpu: Some(f64::NAN),
+        ..Report::default()
+    });
+    harness.end_with(0.1, RequestId(99), 7, UpstreamId(55), Ending::Delivered, nan);
+    harness.at(f64::NAN, Event::Gone(RequestId(98)));
+    harness.at(0.1, Event::StreamBegan { id: RequestId(97), attempt: 3 });
+    harness.at(
+        0.1,
+        Event::Probed { upstream: UpstreamId(5), ending: Ending::Expired, elapsed: -1.0, report: None },
+    );
+    let (id, actions) = harness.submit(-3.0);
+    let to = sent(&actions).unwrap();
+    assert!(harness.end_with(0.1, id, 0, to, Ending::Delivered, nan).is_empty());
+    assert!(sent(&harness.submit(0.1).1).is_some());
+}
--- /dev/null
+++ b/crates/sidecar/load-balancing/tests/slow_start.rs
@@ -0,0 +1,67 @@
+//! Slow start: how little a started upstream gets at first.
+
+mod common;
+
+use common::*;
+use passrelay_load_balancing::*;
+
+#[test]
+fn an_upstream_in_slow_start_gets_little_traffic() {
+    let mut harness = Harness::new(settings(Effect::Safe), (1..=4).map(entry).collect());
+    let mut cold = 0;
+    for n in 0..400 {
+        let now = f64::from(n) * 0.02;
+        if n == 200 {
+            harness.at(now, Event::ListChanges(vec![Entry { started: Some(now), ..entry(4) }]));
+        }
+        let (id, actions) = harness.submit(now);
+        let to = sent(&actions).unwrap();
+        cold += usize::from((200..300).contains(&n) && to.0 == 4);
+        harness.end(now + 0.01, id, 0, to, Ending::Delivered);
+    }
+    // A warm one gets 33 of these 100; the cold one starts at a fifth of its capacity.
+    assert!((1..=14).contains(&cold), "{cold}");
+}
+
+#[test]
+fn many_instances_together_do_not_overload_an_upstream_in_slow_start() {
+    // Twenty copies learn of the same start; each alone would send only a little.
+    let set =
+        Settings { instances: 20, overload_factor: 3.0, overload_window: 1.0, ..settings(Effect::Safe) };
+    let mut to_cold = Vec::new();
+    for seed in 0..20 {
+        let set = Settings { rank: seed as usize, ..set.clone() };
+        let mut balancer = Balancer::new(set, seed, 0.0).unwrap();
+        let mut actions = Vec::new();
+        balancer.handle(0.0, Event::FullList((1..=4).map(entry).collect()), &mut actions);
+        for n in 0..60 {
+            let now = f64::from(n) * 0.1;
+            if n == 30 {
+                let cold = Entry { started: Some(now), ..entry(4) };
+                balancer.handle(now, Event::ListChanges(vec![cold]), &mut actions);
+            }
+            actions.clear();
+            let id = RequestId(n as u64);
+            let ttl = 2.0;
+            let event =
+                Event::Request { id, class: ClassId(0), tenant: None, ttl, work_hint: None, repeat: false };
+            balancer.handle(now, event, &mut actions);
+            let Some(to) = sent(&actions) else { continue };
+            to_cold.extend((n >= 30 && to.0 == 4).then_some(now));
+            let done = Outcome {
+                id,
+                attempt: 0,
+                upstream: to,
+                ending: Ending::Delivered,
+                elapsed: 0.05,
+                last: true,
+                report: None,
+            };
+            balancer.handle(now + 0.05, Event::Outcome(done), &mut actions);
+        }
+    }
+    // Warm ones get about 50 calls a second here; the cold one has a fifth of that to start with, and falls over
+    // at three times as much. With under a fifth of that the warm ones carry all.
+    let first_second = to_cold.iter().filter(|t| **t < 4.0).count();
+    assert!((6..=24).contains(&first_second), "{first_second}");
+}
