--- a/crates/sidecar/load-balancing/benches/pick.rs
+++ b/crates/sidecar/load-balancing/benches/pick.rs
@@ -1,11 +1,11 @@
-//! What one request costs in the module: its arrival with the pick, and its answer.
+//! What one request costs in the balancer: its arrival with the selection, and its outcome.
 // The macros make functions of their own.
 #![allow(missing_docs)]
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
 use passrelay_load_balancing::*;
 
-/// The module before `nodes` nodes with `held` requests that it cannot send, and a clock.
+/// A balancer with a clock and a source of request ids.
 struct Bench {
     balancer: Balancer,
     now: f64,
@@ -30,7 +30,7 @@
             started: None,
         };
         bench.handle(Event::FullList((0..nodes).map(entry).collect()));
-        // Every node has been heard of, in every class.
+        // Every node has served every class.
         for _ in 0..nodes * 6 {
             bench.request(5.0);
         }
@@ -52,7 +52,7 @@
         })
     }
 
-    /// One request and its answer.
+    /// One request and its outcome.
     fn request(&mut self, ttl: f64) {
         self.now += 0.0005;
         let Some((id, upstream)) = self.arrive(ttl) else { return };
@@ -80,11 +80,11 @@
     group.finish();
 }
 
-fn held(c: &mut Criterion) {
+fn pending(c: &mut Criterion) {
     let mut group = c.benchmark_group("request_by_held");
     for held in [1, 100, 2000] {
         let mut bench = Bench::new(10);
-        // Nothing answers any more: what comes is sent until the room is full, and then held.
+        // Without answers, requests are sent until the limit is reached, and then queued.
         let mut waiting = 0;
         while waiting < held {
             waiting += u64::from(bench.arrive(1e9).is_none());
@@ -96,5 +96,5 @@
     group.finish();
 }
 
-criterion_group!(benches, nodes, held);
+criterion_group!(benches, nodes, pending);
 criterion_main!(benches);
--- a/crates/sidecar/load-balancing/tests/admission_control.rs
+++ b/crates/sidecar/load-balancing/tests/admission_control.rs
@@ -27,7 +27,7 @@
 
 #[test]
 fn a_pending_request_is_rejected_when_an_upstream_appears_too_late() {
-    // The client's time ends before the aim, nothing is known of answer times yet.
+    // The deadline is before the latency target, no response times are known yet.
     let mut harness = Harness::new(settings(Effect::Unsafe), vec![]);
     let id = RequestId(1);
     let event =
@@ -40,7 +40,7 @@
 #[test]
 fn response_times_over_the_latency_target_do_not_reject_at_once() {
     let mut harness = Harness::new(settings(Effect::Unsafe), vec![entry(1)]);
-    // Answers take longer than the aim of one second.
+    // Response times exceed the latency target of one second.
     for n in 0..200 {
         let now = f64::from(n) * 3.0;
         let (id, actions) = harness.submit(now);
@@ -61,15 +61,15 @@
     assert_eq!(finals(&actions), 0, "held, not refused: {actions:?}");
 }
 
-/// Guards against a core kept busy for seconds by a call that nobody can answer in time, and against the
-/// opposite: an upstream that was slow for a while must not have usual calls refused for ever.
+/// Guards against a core kept busy for seconds by a request that can't be answered in time, and against the
+/// opposite: after an upstream was slow for a while, usual requests must not be rejected for ever.
 #[test]
 fn infeasible_requests_are_rejected_at_once_and_usual_ones_always_accepted() {
     let mut harness = Harness::new(settings(Effect::Unsafe), vec![entry(1), entry(2)]);
     let now = observe_service_times(&mut harness, &[0.05, 0.1, 0.15, 0.2], 1.0);
     let (_, actions) = submit_with_cost(&mut harness, now, 5.0);
     assert!(sent(&actions).is_none() && finals(&actions) == 1, "{actions:?}");
-    // Half a second of work takes one second, which is the aim: hints are rough, so it is tried.
+    // Half a second of work takes one second, the latency target: hints are rough, so it is sent.
     assert!(sent(&submit_with_cost(&mut harness, now, 0.5).1).is_some());
     let mut slow = Harness::new(settings(Effect::Unsafe), vec![entry(2), entry(3)]);
     let now = observe_service_times(&mut slow, &[0.1], 20.0);
@@ -90,7 +90,7 @@
 
 #[test]
 fn a_burst_at_one_of_many_instances_is_within_the_quota() {
-    // 12 calls a second over 20 copies are 0.6 at each: two of these three counted as too much.
+    // 12 requests a second over 20 instances are 0.6 at each: two of these three exceeded the quota.
     let tenants = vec![Tenant { quota_per_s: 12.0 }];
     let set = Settings { instances: 20, tenants, over_quota_value: 0.2, ..settings(Effect::Unsafe) };
     let mut harness = Harness::new(set, vec![]);
@@ -102,7 +102,7 @@
     let actions = harness.at(0.1, Event::FullList((1..=60).map(entry).collect()));
     let order =
         actions.iter().filter_map(|a| if let Action::Send { id, .. } = a { Some(id.0) } else { None });
-    // Of equal worth the newest first; what is past the share comes last.
+    // Of equal priority the newest first; what exceeds the quota comes last.
     assert_eq!(order.collect::<Vec<_>>()[..7], [6, 5, 4, 3, 2, 1, 9]);
 }
 
--- a/crates/sidecar/load-balancing/tests/common/mod.rs
+++ b/crates/sidecar/load-balancing/tests/common/mod.rs
@@ -11,7 +11,7 @@
     Settings { classes: vec![Class { effect, ..Class::default() }], ..Settings::default() }
 }
 
-/// A balancer with a clock and the actions of the last event.
+/// A balancer with a clock and a source of request ids.
 pub struct Harness {
     pub balancer: Balancer,
     pub now: f64,
@@ -70,7 +70,7 @@
     }
 }
 
-/// Where the first send among the actions goes.
+/// The upstream of the first send among the actions.
 pub fn sent(actions: &[Action]) -> Option<UpstreamId> {
     actions.iter().find_map(|a| match a {
         Action::Send { upstream, .. } => Some(*upstream),
@@ -92,7 +92,7 @@
     Some(Report { active: Some(active), waiting: Some(waiting), ..Report::default() })
 }
 
-/// Two zones of four; returns a harness that has served a while at 0.1 s a call.
+/// Two zones of four upstreams; returns a harness that has served 80 requests of 0.1 s.
 pub fn serve_two_zones(effect: Effect) -> Harness {
     let zones = (1..=8).map(|n| Entry { zone: ZoneId((n % 2) as usize), ..entry(n) }).collect();
     let mut harness = Harness::new(Settings { cancel: true, ..settings(effect) }, zones);
@@ -104,7 +104,7 @@
     harness
 }
 
-/// Sends one request of a class, ends it, and says where it went.
+/// Sends one request of a class, ends it, and returns its upstream.
 pub fn request_once(
     harness: &mut Harness,
     class: usize,
@@ -119,7 +119,7 @@
     to
 }
 
-/// A request of class 0 with this work as its caller sees it.
+/// Submits a request of class 0 with this work hint.
 pub fn submit_with_cost(harness: &mut Harness, now: f64, work: f64) -> (RequestId, Vec<Action>) {
     harness.next += 1;
     let (id, class, ttl) = (RequestId(harness.next), ClassId(0), 4.0);
@@ -127,14 +127,14 @@
     (id, harness.at(now, event))
 }
 
-/// The first attempt of a request is served at `now`, this long after it was sent.
+/// Serves the first attempt of a request at `now`, this long after it was sent.
 pub fn serve(harness: &mut Harness, now: f64, id: RequestId, upstream: UpstreamId, elapsed: f64) {
     let (ending, last, report) = (Ending::Delivered, true, None);
     harness.at(now, Event::Outcome(Outcome { id, attempt: 0, upstream, ending, elapsed, last, report }));
 }
 
-/// 200 calls, each answered after twice its work at upstream 1 and `slower` times that elsewhere; the time
-/// when the last one is over.
+/// Serves 200 requests, each after twice its work at upstream 1 and `slower` times that elsewhere; returns the time
+/// of the last response.
 pub fn observe_service_times(harness: &mut Harness, works: &[f64], slower: f64) -> f64 {
     let mut now = 0.0;
     for work in works.iter().copied().cycle().take(200) {
--- a/crates/sidecar/load-balancing/tests/concurrency_limit.rs
+++ b/crates/sidecar/load-balancing/tests/concurrency_limit.rs
@@ -10,7 +10,7 @@
     let mut harness = Harness::new(settings(Effect::Unsafe), vec![entry(1)]);
     let (id, actions) = harness.submit(0.0);
     let to = sent(&actions).unwrap();
-    // Two held, one of them waiting: the server has one worker.
+    // Two requests, one of them queued: the server has one worker.
     harness.end_with(0.1, id, 0, to, Ending::Delivered, queue_report(2.0, 1.0));
     let (id, actions) = harness.submit(0.2);
     assert_eq!(sent(&actions), Some(to));
@@ -59,11 +59,12 @@
     let mut harness = Harness::new(settings(Effect::Unsafe), (1..=4).map(entry).collect());
     harness.at(0.1, Event::FullList((1..=2).map(entry).collect()));
     let sends = (0..60).filter(|_| sent(&harness.submit(0.2).1).is_some()).count();
-    // Twelve for each at the start.
+    // The initial limit is twelve for each upstream.
     assert!((20..=26).contains(&sends), "{sends}");
 }
 
-/// One copy of ten for each upstream, whose answers take twice the aim; sends of each tenth of 400 s.
+/// One of ten instances for each upstream, with response times of twice the latency target; sends in each tenth of
+/// 400 s, and by class.
 fn overload(classes: Vec<Class>, reports: Option<Report>) -> (Vec<usize>, Vec<usize>) {
     let count = classes.len();
     let set = Settings { instances: 20, classes, ..settings(Effect::Unsafe) };
@@ -97,7 +98,7 @@
 #[test]
 fn the_limit_of_an_instance_may_lie_below_one_request() {
     let (tenths, _) = overload(vec![Class { effect: Effect::Unsafe, ..Class::default() }], cpu_report(0.9));
-    // Answers take 2 s: one call at all times would be 20 in each tenth of 40 s.
+    // Responses take 2 s: one request at all times would be 20 in each tenth of 40 s.
     assert!((1..=15).contains(&tenths[9]), "{tenths:?}");
 }
 
@@ -108,7 +109,7 @@
     assert!(sent[1] > 3 * sent[0], "{sent:?}");
 }
 
-/// Calls that go out at once after 100 answers one by one after each of these times.
+/// Requests that are sent at once after 100 responses, one by one, with each of these response times.
 fn sends_after(times: &[f64]) -> usize {
     let mut harness = Harness::new(settings(Effect::Unsafe), vec![entry(1)]);
     for elapsed in times.iter().flat_map(|t| std::iter::repeat_n(*t, 100)) {
@@ -119,8 +120,8 @@
     (0..40).filter(|_| sent(&harness.submit(harness.now).1).is_some()).count()
 }
 
-/// Guards against a limit that a class shrinks which takes over half of its aim by nature, without a queue
-/// anywhere, and against one that stays wide while a queue grows.
+/// Guards against a limit reduced by a class whose service time exceeds half of its latency target, without a queue
+/// anywhere, and against one that is not reduced while a queue grows.
 #[test]
 fn the_limit_shrinks_for_queueing_and_not_for_long_service_times() {
     assert!(sends_after(&[0.6]) >= 12, "the median is half of the aim and more, and always was");
--- a/crates/sidecar/load-balancing/tests/dispatcher.rs
+++ b/crates/sidecar/load-balancing/tests/dispatcher.rs
@@ -6,7 +6,7 @@
 mod common;
 use common::{entry, settings};
 
-/// Sends each request to node 1, and again to node 2 when that ends.
+/// Sends each request to node 1, and retries it at node 2 when that attempt ends.
 struct Twice;
 
 impl Decider for Twice {
@@ -20,12 +20,12 @@
     }
 }
 
-/// A class that may be repeated within this time.
+/// The effect of a class whose repeats are dropped within this window.
 fn keyed(window: f64) -> Effect {
     Effect::Keyed { scope: DedupScope::All, window }
 }
 
-/// A transport that carries nothing out.
+/// A transport that does nothing.
 struct Idle;
 
 impl Transport for Idle {
@@ -37,7 +37,7 @@
     fn set_timer(&mut self, _: f64, _: Timer) {}
 }
 
-/// A dispatcher with one request of a class of this effect, whose first attempt ended like this at 0.1 s.
+/// A dispatcher with one request of a class with this effect, whose first attempt ended this way at 0.1 s.
 fn repeated(effect: Effect, ending: Ending) -> (Dispatcher<Twice>, RequestId) {
     let mut dispatcher = Dispatcher::with_decider(Twice, &settings(effect));
     dispatcher.update_endpoints(0.0, true, vec![entry(1), entry(2)], &mut Idle);
@@ -49,15 +49,15 @@
     (dispatcher, id)
 }
 
-// Guards against a repeat that goes out after its window: it was decided in time, but its connection came up later. The
+// Guards against a repeat that is sent after its window: it was decided in time, but connected later. The
 // window counts from the first attempt that may have run, and each class's own effect says how long it is.
 #[test]
-fn a_repeat_goes_out_within_its_classs_window_only() {
+fn a_repeat_is_sent_only_within_the_window_of_its_class() {
     let cases = [
         (keyed(0.5), Ending::Dropped, 0.4, true),
         (keyed(0.5), Ending::Dropped, 0.5, false),
         (keyed(0.5), Ending::Expired, 0.6, false),
-        // What never ran is no repeat.
+        // After an attempt that never ran, it is no repeat.
         (keyed(0.5), Ending::Unused, 0.6, true),
         (Effect::Safe, Ending::Dropped, 1.5, true),
         (Effect::Unsafe, Ending::Dropped, 0.2, false),
@@ -69,7 +69,7 @@
     }
 }
 
-// Guards against a repeat held to the window of a configuration that came after its request.
+// Guards against applying the window of a configuration that came after the request.
 #[test]
 fn a_request_keeps_the_window_of_its_arrival() {
     let (mut dispatcher, id) = repeated(keyed(0.5), Ending::Dropped);
@@ -78,10 +78,10 @@
     assert!(dispatcher.may_send(0.6, id, 1).is_none());
 }
 
-// Guards against an attempt sent for a client that left while its connection came up, to a node that is told to drain
-// meanwhile, or past the request's time.
+// Guards against an attempt sent for a client that disconnected during connection set-up, to a node that drains by then,
+// or after the request's deadline.
 #[test]
-fn nothing_goes_out_for_who_has_left_or_to_who_drains() {
+fn no_attempt_is_sent_for_a_disconnected_client_or_to_a_draining_node() {
     let (mut dispatcher, id) = repeated(Effect::Safe, Ending::Unused);
     assert!(dispatcher.may_send(0.2, id, 1).is_some());
     assert!(dispatcher.may_send(2.0, id, 1).is_none());
--- a/crates/sidecar/load-balancing/tests/endpoints.rs
+++ b/crates/sidecar/load-balancing/tests/endpoints.rs
@@ -38,7 +38,7 @@
 
 #[test]
 fn many_instances_spread_their_calls_to_a_failing_discovery() {
-    // They all fail at the same moment and again at each call; each waits by a chance of its own.
+    // All fail at the same moment and again at each call; each backs off with its own jitter.
     let set = Settings { ask_for_list: true, ..settings(Effect::Safe) };
     let mut calls = [0; 20];
     for seed in 0..100 {
@@ -53,11 +53,11 @@
             calls.get_mut(now as usize).into_iter().for_each(|c| *c += 1);
         }
     }
-    // From the fifth second on a copy asks every four seconds, in no step with others.
+    // From the fifth second on an instance calls every four seconds, out of step with others.
     assert!(calls[5..].iter().all(|c| (5..=60).contains(c)), "{calls:?}");
 }
 
-/// Which upstreams a copy uses for calls that are answered at once, one each half second.
+/// The upstreams that an instance uses for requests that are answered at once, one each half second.
 fn upstreams_used(harness: &mut Harness, calls: usize) -> Vec<u64> {
     let ends = (0..calls).map(|_| {
         let now = harness.now + 0.5;
@@ -71,7 +71,7 @@
 
 #[test]
 fn instances_prefer_subsets_that_together_use_all_upstreams_equally() {
-    // A hundred copies that each use all of 60 upstreams open 6,000 connections and meet every bad one.
+    // A hundred instances that each use all of 60 upstreams open 6,000 connections and meet every failing one.
     let mut counts = [0; 60];
     for rank in 0..100 {
         let set = Settings { instances: 100, rank, ..settings(Effect::Unsafe) };
@@ -81,7 +81,7 @@
         own.sort_unstable();
         own.dedup();
         assert!((2..=3).contains(&own.len()), "{own:?}");
-        // With its own ones full of calls it goes to others.
+        // With its subset at the limit it uses other upstreams.
         let far: Vec<_> = (0..9).filter_map(|_| sent(&harness.submit(harness.now).1)).collect();
         assert!(far.iter().any(|u| !own.contains(&u.0)), "{far:?}");
     }
@@ -102,7 +102,7 @@
     assert!(upstreams_used(&mut harness, 9).contains(&12));
     let gone = Entry { condition: Condition::Draining, ..entry(12) };
     harness.at(harness.now, Event::ListChanges(vec![gone]));
-    // The share moves on to those that are left.
+    // The subset moves on to the remaining upstreams.
     let own: BTreeSet<_> = upstreams_used(&mut harness, 9).into_iter().collect();
     assert!(own.len() == 3 && !own.contains(&12), "{own:?}");
 }
--- a/crates/sidecar/load-balancing/tests/health_check.rs
+++ b/crates/sidecar/load-balancing/tests/health_check.rs
@@ -15,7 +15,7 @@
         ..settings(Effect::Unsafe)
     };
     let mut harness = Harness::new(set, vec![entry(1), entry(2)]);
-    // From the first request on, before anything is known of the workers.
+    // From the first request on, before the number of workers is known.
     let (_, actions) = harness.submit(5.0);
     let [Action::Probe(asked), ..] = actions[..] else { panic!("{actions:?}") };
     let busy = Event::Probed {
@@ -36,8 +36,8 @@
     assert_eq!(sent(&harness.at(5.002, idle)), Some(other));
 }
 
-/// Guards against calls that wait for a spare worker which the reports cannot show: they tell how many
-/// calls a node holds, but not how many of these wait, and one held call is no sign of a full node.
+/// Guards against requests that wait for a spare worker which the reports can't show: they carry how many
+/// requests are at a node, but not how many of these are queued, and one request does not make a node busy.
 #[test]
 fn no_selection_is_confirmed_where_reports_cannot_show_a_spare_worker() {
     let set = Settings { probes: true, reports_concurrency: true, instances: 3, ..settings(Effect::Unsafe) };
@@ -80,7 +80,7 @@
         };
         actions = harness.at(f64::from(n) * 0.001, busy);
     }
-    // Two points in 100 a request buy four of these; then the request goes unasked.
+    // A budget of 0.02 a request covers four of these; then the request is sent unconfirmed.
     assert_eq!(probes, 4);
     assert!(sent(&actions).is_some());
 }
--- a/crates/sidecar/load-balancing/tests/hedging.rs
+++ b/crates/sidecar/load-balancing/tests/hedging.rs
@@ -21,7 +21,7 @@
             cancels += actions.iter().filter(|a| **a == Action::Cancel { id, attempt: 0 }).count();
         }
         assert_eq!(cancels, usize::from(withdrawn), "{effect:?}");
-        // Still inside the aim: past it, nothing is sent again.
+        // Still within the latency target: after it, nothing is retried.
         let actions = harness.end(10.995, id, 0, silent, Ending::Revoked);
         assert_eq!(sent(&actions).is_some(), withdrawn);
         assert_eq!(finals(&actions), usize::from(!withdrawn));
@@ -36,10 +36,10 @@
     let began = harness.now;
     harness.submit(began);
     let cancelled = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::Cancel { .. }));
-    // Its node is long silent by the typical time of 0.1 s; the aim is 1 s.
+    // By the median response time of 0.1 s its node has long stalled; the latency target is 1 s.
     let actions = harness.at(began + 0.45, Event::Wake(9));
     assert!(!cancelled(&actions));
-    // A peer that answers meanwhile shows that the fault lies with this one.
+    // A peer that answers meanwhile shows that the fault is at this node.
     while request_once(&mut harness, 0, |_| Ending::Delivered) == UpstreamId(0) {}
     let actions = harness.at(began + 0.6, Event::Wake(9));
     assert!(cancelled(&actions));
--- a/crates/sidecar/load-balancing/tests/outlier_ejection.rs
+++ b/crates/sidecar/load-balancing/tests/outlier_ejection.rs
@@ -46,14 +46,14 @@
     assert!((1..=3).contains(&paused_sends), "{paused_sends}");
 }
 
-/// Guards against an upstream that stands aside because its one call is heavy: it is busy, not silent.
+/// Guards against ejecting an upstream because its one request is expensive: it is busy, not stalled.
 #[test]
 fn an_upstream_busy_with_an_expensive_request_is_not_ejected() {
     let set =
         Settings { classes: vec![Class { latency_target: 9.0, ..Class::default() }], ..Settings::default() };
     let mut harness = Harness::new(set, vec![entry(1), entry(2)]);
     let now = observe_service_times(&mut harness, &[0.05, 0.1, 0.15, 0.2], 1.0);
-    // Usual answers take a quarter of a second, this one three.
+    // Usual responses take a quarter of a second, this one three.
     let busy = sent(&submit_with_cost(&mut harness, now, 1.5).1).unwrap();
     let (id, actions) = submit_with_cost(&mut harness, now + 1.4, 0.1);
     let other = sent(&actions).unwrap();
@@ -72,7 +72,7 @@
     let mut harness = Harness::new(settings(Effect::Unsafe), vec![entry(1), entry(2)]);
     let breaks = |to| if to == UpstreamId(1) { Ending::Dropped } else { Ending::Delivered };
     while request_once(&mut harness, 0, breaks) != UpstreamId(1) {}
-    // Still sent to, though less often; the second break takes it out.
+    // It still gets requests, though fewer; the second broken connection ejects it.
     assert!((0..20).any(|_| request_once(&mut harness, 0, breaks) == UpstreamId(1)));
     assert!((0..20).all(|_| request_once(&mut harness, 0, breaks) == UpstreamId(2)));
 }
@@ -110,7 +110,7 @@
             harness.end(now + 0.01, id, 0, to, Ending::Delivered);
         }
     }
-    // Judged upstream by upstream it would take a call at nearly each of the thirty.
+    // Upstream by upstream, nearly each of the thirty would have to fail a request.
     assert!((1..=15).contains(&lost.len()), "{lost:?}");
 }
 
--- a/crates/sidecar/load-balancing/tests/retry.rs
+++ b/crates/sidecar/load-balancing/tests/retry.rs
@@ -11,7 +11,7 @@
     let all = Effect::Keyed { scope: DedupScope::All, window: 5.0 };
     let cell = Effect::Keyed { scope: DedupScope::Cell, window: 5.0 };
     let short = Effect::Keyed { scope: DedupScope::All, window: 0.01 };
-    // (effect, outcome, may be sent again, final answer otherwise is a refusal)
+    // (effect, ending, whether it is retried)
     let table = [
         (Effect::Safe, AppError, true),
         (Effect::Safe, Dropped, true),
@@ -67,7 +67,7 @@
     assert!(matches!(actions[..], [Action::Reject { .. }]), "{actions:?}");
 }
 
-/// Guards against work for nobody: after the aim no answer is worth anything, and a retry takes a core.
+/// Guards against useless work: after the latency target an answer has no value, and a retry takes a core.
 #[test]
 fn a_request_that_fails_after_its_latency_target_is_not_retried() {
     for (failed_at, again) in [(0.5, true), (1.1, false)] {
--- a/crates/sidecar/load-balancing/tests/selection.rs
+++ b/crates/sidecar/load-balancing/tests/selection.rs
@@ -50,7 +50,7 @@
         let (id, actions) = harness.submit(f64::from(n));
         let to = sent(&actions).unwrap();
         harness.end_with(f64::from(n) + 0.1, id, 0, to, Ending::Delivered, queue_report(1.0, 0.0));
-        // One that told of a queue is not taken again at once, one without is.
+        // One that reported a queue is not selected again at once, one without is.
         let (id, actions) = harness.submit(f64::from(n) + 0.11);
         assert_eq!(sent(&actions), Some(to));
         harness.end_with(f64::from(n) + 0.2, id, 0, to, Ending::Delivered, queue_report(3.0, 2.0));
@@ -82,7 +82,7 @@
         let (_, actions) = harness.submit(0.1);
         out[usize::from(sent(&actions) == Some(UpstreamId(2)))] += 1;
     }
-    // In turns alone it would be 8 to 0.
+    // By weights alone it would be 8 to 0.
     assert_eq!(out, [4, 4]);
 }
 
@@ -91,7 +91,7 @@
     let mut harness = Harness::new(settings(Effect::Unsafe), vec![entry(1), entry(2)]);
     let mut got = [0, 0];
     for n in 0..200 {
-        // Typical times of 0.1 s, a call each two seconds: no report is ever fresh.
+        // Response times of 0.1 s, a request each two seconds: every report has aged.
         let now = 2.0 * f64::from(n);
         let (id, actions) = harness.submit(now);
         let to = sent(&actions).unwrap();
@@ -120,20 +120,20 @@
         let class = usize::from(n % 3 == 0);
         got[class] += usize::from(request_once(&mut harness, class, |to| ending(class, to)) == UpstreamId(1));
     }
-    // Equal turns would be 7 of 15; a failing class must not cost it the class that it serves.
+    // Equal weights would be 7 of 15; a failing class must not cost it the traffic of the class that it serves.
     assert!(got[1] <= 4 && got[0] >= 10, "{got:?}");
 }
 
 #[test]
 fn an_upstream_that_rejects_all_gets_little_traffic() {
-    // It drains before the list says so, or is full; either way it is idle and looks free.
+    // It drains before the list says so, or is full; either way it is idle and reports spare capacity.
     let mut harness = Harness::new(settings(Effect::Unsafe), vec![entry(1), entry(2)]);
     let ending = |to| if to == UpstreamId(1) { Ending::Shed } else { Ending::Delivered };
     let turned = (0..60).filter(|_| request_once(&mut harness, 0, ending) == UpstreamId(1)).count();
     assert!((1..=10).contains(&turned), "{turned}");
 }
 
-/// Guards against spreading by number: a light call behind a heavy one waits for it.
+/// Guards against balancing by number: a cheap request behind an expensive one is queued.
 #[test]
 fn requests_are_balanced_by_cost() {
     let mut harness = Harness::new(settings(Effect::Unsafe), vec![entry(1), entry(2)]);
@@ -144,7 +144,7 @@
     }
 }
 
-/// Guards against heavy calls at a slow upstream: there they take longest past the aim.
+/// Guards against expensive requests at a slow upstream: there they exceed the latency target by most.
 #[test]
 fn expensive_requests_go_to_the_faster_upstream() {
     let mut harness = Harness::new(settings(Effect::Unsafe), vec![entry(1), entry(2)]);
@@ -154,7 +154,7 @@
     harness.end(now, id, 0, UpstreamId(1), Ending::Delivered);
 }
 
-/// Guards against crossings that are paid for without need; where calls wait, any upstream is taken.
+/// Guards against needless cross-zone attempts; where requests are queued, any upstream is selected.
 #[test]
 fn the_own_zone_is_preferred_where_cross_zone_attempts_have_a_price() {
     for (price, own) in [(0.01, 12), (0.0, 8)] {
@@ -163,7 +163,7 @@
         let mut harness = Harness::new(set, vec![entry(1), far(2), entry(3), far(4)]);
         let got = (0..16).filter(|_| request_once(&mut harness, 0, |_| Ending::Delivered).0 % 2 == 1).count();
         assert!(if price > 0.0 { got >= own } else { got <= own }, "{got} at price {price}");
-        // Busy ones of the own zone are no place to wait.
+        // Busy ones of the own zone are not waited for.
         let used: BTreeSet<_> = (0..8).filter_map(|_| sent(&harness.submit(harness.now).1)).collect();
         assert_eq!(used.len(), 4);
     }
--- a/crates/sidecar/load-balancing/tests/settings.rs
+++ b/crates/sidecar/load-balancing/tests/settings.rs
@@ -23,8 +23,8 @@
     assert!(Balancer::new(base, 1, 0.0).is_ok());
 }
 
-// Guards against a class added by a later generation that the turns do not know (an index out of bounds
-// in the module), and against settings that would take a class from under requests already taken.
+// Guards against a class added by a later generation without round robin state (an index out of bounds
+// in the module), and against settings that would remove the class of admitted requests.
 #[test]
 fn a_later_generation_adds_a_class_whose_requests_are_sent_at_once() {
     let mut harness = Harness::new(settings(Effect::Safe), vec![entry(1), entry(2)]);
--- a/crates/sidecar/load-balancing/tests/slow_start.rs
+++ b/crates/sidecar/load-balancing/tests/slow_start.rs
@@ -19,13 +19,13 @@
         cold += usize::from((200..300).contains(&n) && to.0 == 4);
         harness.end(now + 0.01, id, 0, to, Ending::Delivered);
     }
-    // A warm one gets 33 of these 100; the cold one starts at a fifth of its capacity.
+    // An upstream past its slow start gets 33 of these 100; this one starts at a fifth of its capacity.
     assert!((1..=14).contains(&cold), "{cold}");
 }
 
 #[test]
 fn many_instances_together_do_not_overload_an_upstream_in_slow_start() {
-    // Twenty copies learn of the same start; each alone would send only a little.
+    // Twenty instances observe the same start; each alone would send only a little.
     let set =
         Settings { instances: 20, overload_factor: 3.0, overload_window: 1.0, ..settings(Effect::Safe) };
     let mut to_cold = Vec::new();
@@ -60,8 +60,8 @@
             balancer.handle(now + 0.05, Event::Outcome(done), &mut actions);
         }
     }
-    // Warm ones get about 50 calls a second here; the cold one has a fifth of that to start with, and falls over
-    // at three times as much. With under a fifth of that the warm ones carry all.
+    // Warmed-up ones get about 50 requests a second here; this one has a fifth of that capacity at first, and fails
+    // at three times as much. With under a fifth of that the others carry all.
     let first_second = to_cold.iter().filter(|t| **t < 4.0).count();
     assert!((6..=24).contains(&first_second), "{first_second}");
 }
