--- /dev/null
+++ b/crates/sidecar/simulator-adapter/src/host.rs
@@ -0,0 +1,202 @@
+//! The balancer instances of this process, and the batch of lines that is being read.
+//!
+//! A batch starts with `mark` (clock and number) and ends with `eob`. Its messages are handled line by line, and the
+//! actions are collected until `eob`, when the reply is complete.
+
+use crate::wire::{self, Fields, LineError};
+use passrelay_load_balancing::{Action, Balancer, Event};
+use passrelay_sidecar_settings::{Item, Names, ServiceSettings};
+use std::any::Any;
+use std::collections::BTreeMap;
+use std::panic::{catch_unwind, AssertUnwindSafe};
+
+/// Messages that concern one instance.
+const INSTANCE_MESSAGES: [&str; 8] =
+    ["directory_update", "submit", "first", "reply", "gone", "ring", "probed", "from_peer"];
+
+/// Whether a line completes a reply.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Reply {
+    /// The batch goes on.
+    Incomplete,
+    /// The reply is complete; [`Host::take_reply`] returns it.
+    Complete,
+}
+
+/// One balancer instance with the names of its classes, tenants and zones.
+struct Instance {
+    /// `None` after a panic: its further messages are ignored.
+    balancer: Option<Balancer>,
+    names: Names,
+}
+
+/// An endpoint list whose items are being read.
+#[derive(Clone, Copy)]
+struct OpenList {
+    number: u64,
+    /// Items still to come; at least 1.
+    remaining: usize,
+}
+
+/// Clock and number of the batch that is being read.
+#[derive(Clone, Copy)]
+struct Batch {
+    now: f64,
+    number: u64,
+}
+
+/// All instances of the process and the batch that is being read.
+#[derive(Default)]
+pub struct Host {
+    instances: BTreeMap<u64, Instance>,
+    lists: BTreeMap<u64, Vec<Item>>,
+    open_list: Option<OpenList>,
+    batch: Option<Batch>,
+    reply: String,
+    /// Reused for each event.
+    actions: Vec<Action>,
+}
+
+impl Host {
+    /// Handles one line without its end.
+    ///
+    /// # Errors
+    ///
+    /// Returns what was expected in its place; the host can't go on after that.
+    pub fn handle_line(&mut self, line: &str) -> Result<Reply, LineError> {
+        let fields = Fields::new(line);
+        if let Some(list) = self.open_list {
+            self.add_item(list, &fields)?;
+            return Ok(Reply::Incomplete);
+        }
+        let Some(batch) = self.batch else {
+            self.start_batch(&fields)?;
+            return Ok(Reply::Incomplete);
+        };
+        match fields.name() {
+            "mark" => return Err("eob before the next mark".to_owned().into()),
+            "eob" => {
+                fields.check_count(0, 0)?;
+                self.reply.push_str(&format!("eor\t{}\n", batch.number));
+                self.batch = None;
+                return Ok(Reply::Complete);
+            }
+            "list" => self.start_list(&fields)?,
+            "power_on" => self.start_instance(batch.now, &fields)?,
+            "stop" => self.stop_instance(&fields)?,
+            _ => self.handle_event(batch.now, &fields)?,
+        }
+        Ok(Reply::Incomplete)
+    }
+
+    /// The reply to the batch, which is cleared.
+    pub fn take_reply(&mut self) -> String {
+        std::mem::take(&mut self.reply)
+    }
+
+    fn start_batch(&mut self, fields: &Fields<'_>) -> Result<(), LineError> {
+        if fields.name() != "mark" {
+            return Err(format!("mark, got '{}'", fields.name()).into());
+        }
+        fields.check_count(2, 2)?;
+        let now = fields.required_seconds(0, "a clock time")?;
+        let number = fields.required(1, "a batch number")?;
+        self.batch = Some(Batch { now, number });
+        Ok(())
+    }
+
+    fn start_list(&mut self, fields: &Fields<'_>) -> Result<(), LineError> {
+        fields.check_count(2, 2)?;
+        let number = fields.required(0, "a list number")?;
+        let remaining = fields.required(1, "a number of entries")?;
+        self.lists.insert(number, Vec::new());
+        self.open_list = (remaining > 0).then_some(OpenList { number, remaining });
+        Ok(())
+    }
+
+    fn add_item(&mut self, list: OpenList, fields: &Fields<'_>) -> Result<(), LineError> {
+        let OpenList { number, remaining } = list;
+        if fields.name() != "item" {
+            return Err(format!("{remaining} more item lines, got '{}'", fields.name()).into());
+        }
+        self.lists.entry(number).or_default().push(wire::parse_item(fields)?);
+        self.open_list = (remaining > 1).then(|| OpenList { number, remaining: remaining - 1 });
+        Ok(())
+    }
+
+    fn start_instance(&mut self, now: f64, fields: &Fields<'_>) -> Result<(), LineError> {
+        if fields.rest(0).len() < 2 {
+            return Err("power_on with an instance and a seed".to_owned().into());
+        }
+        let id = fields.required(0, "an instance")?;
+        let seed = fields.required(1, "a seed")?;
+        let service =
+            ServiceSettings::from_pairs(fields.rest(2)).map_err(|error| format!("power_on: {error}"))?;
+        let balancer = Balancer::new(service.settings, seed, now).map_err(|error| error.to_string())?;
+        self.instances.insert(id, Instance { balancer: Some(balancer), names: service.names });
+        Ok(())
+    }
+
+    fn stop_instance(&mut self, fields: &Fields<'_>) -> Result<(), LineError> {
+        fields.check_count(1, 1)?;
+        let id: u64 = fields.required(0, "an instance")?;
+        self.instances.remove(&id).ok_or_else(|| format!("an instance that runs, got {id}"))?;
+        Ok(())
+    }
+
+    /// Passes a message to its instance and prints the actions. A panic ends the instance, not the process.
+    fn handle_event(&mut self, now: f64, fields: &Fields<'_>) -> Result<(), LineError> {
+        if !INSTANCE_MESSAGES.contains(&fields.name()) {
+            return Err(format!("a message of the wire, got '{}'", fields.name()).into());
+        }
+        let id: u64 = fields.required(0, "an instance")?;
+        let Some(instance) = self.instances.get_mut(&id) else {
+            return Err(format!("an instance that was powered on, got {id}").into());
+        };
+        let event = if fields.name() == "directory_update" {
+            Some(directory_update(&self.lists, &mut instance.names, fields)?)
+        } else {
+            wire::parse_event(fields, &instance.names)?
+        };
+        let (Some(event), Some(balancer)) = (event, instance.balancer.as_mut()) else { return Ok(()) };
+        self.actions.clear();
+        let actions = &mut self.actions;
+        match catch_unwind(AssertUnwindSafe(|| balancer.handle(now, event, actions))) {
+            Ok(()) => {
+                self.actions.iter().for_each(|action| wire::print_action(&mut self.reply, id, action));
+            }
+            Err(panic) => {
+                let text = panic_message(panic.as_ref()).replace(['\n', '\t'], " ");
+                self.reply.push_str(&format!("broken\t{id}\t{text}\n"));
+                instance.balancer = None;
+            }
+        }
+        Ok(())
+    }
+}
+
+/// Parses a `directory_update` line, which refers to a list sent before.
+fn directory_update(
+    lists: &BTreeMap<u64, Vec<Item>>,
+    names: &mut Names,
+    fields: &Fields<'_>,
+) -> Result<Event, LineError> {
+    fields.check_count(3, 4)?;
+    let form = fields.required_text(1, "a form")?;
+    if form == "failed" {
+        return Ok(Event::ListFailed);
+    }
+    let number: u64 = fields.required(3, "a list number")?;
+    let items = lists.get(&number).ok_or_else(|| format!("a list sent before, got {number}"))?;
+    let entries = names.entries(items);
+    match form {
+        "delta" => Ok(Event::ListChanges(entries)),
+        "full" | "cached" => Ok(Event::FullList(entries)),
+        other => Err(format!("delta, full, cached or failed, got '{other}'").into()),
+    }
+}
+
+fn panic_message(panic: &(dyn Any + Send)) -> &str {
+    let owned = panic.downcast_ref::<String>().map(String::as_str);
+    owned.or_else(|| panic.downcast_ref::<&str>().copied()).unwrap_or("panic")
+}
