--- a/crates/sidecar/load-balancing/src/api/events.rs
+++ b/crates/sidecar/load-balancing/src/api/events.rs
@@ -126,11 +126,11 @@
     /// An attempt ended; one for each [`Action::Send`].
     Outcome(Outcome),
     /// The client disconnected; nothing more is owed.
-    Gone(RequestId),
+    ClientDisconnected(RequestId),
     /// A wake-up asked for with [`Action::Wake`].
     Wake(u64),
-    /// The result of [`Action::Probe`].
-    Probed {
+    /// The result of [`Action::HealthCheck`].
+    HealthChecked {
         /// The upstream.
         upstream: UpstreamId,
         /// How the health check ended.
@@ -181,7 +181,7 @@
         token: u64,
     },
     /// Send a health check to an upstream.
-    Probe(UpstreamId),
+    HealthCheck(UpstreamId),
     /// Subscribe to changes of the endpoint list.
-    Watch,
+    Subscribe,
 }
--- a/crates/sidecar/load-balancing/src/api/settings.rs
+++ b/crates/sidecar/load-balancing/src/api/settings.rs
@@ -95,11 +95,11 @@
     /// Price of one attempt in another zone, as a part of a request's value; 0 by default.
     pub price_cross_zone: f64,
     /// Price of one health check, as a part of a request's value; 0 by default.
-    pub price_probe: f64,
-    /// Updates of the endpoint list need a subscription ([`Action::Watch`](crate::Action::Watch)); false by default.
-    pub ask_for_list: bool,
+    pub price_health_check: f64,
+    /// Updates of the endpoint list need a subscription ([`Action::Subscribe`](crate::Action::Subscribe)); false by default.
+    pub list_by_subscription: bool,
     /// Without updates for this long an instance that subscribes counts as informed, in seconds; 10 by default.
-    pub ask_every: f64,
+    pub list_validity: f64,
     /// Reports come in answers (false: only in health check results); true by default.
     pub reports_in_answers: bool,
     /// Reports carry the number of requests at an upstream; false by default.
@@ -107,7 +107,7 @@
     /// ... and how many of these are queued, so that a spare worker shows; false by default.
     pub reports_queue: bool,
     /// Health checks are allowed; false by default.
-    pub probes: bool,
+    pub health_checks: bool,
     /// Cancelling an attempt is allowed; false by default.
     pub cancel: bool,
     /// Two attempts of one request may be in flight together; false by default.
@@ -145,13 +145,13 @@
             value_by_work: false,
             zone: ZoneId(0),
             price_cross_zone: 0.0,
-            price_probe: 0.0,
-            ask_for_list: false,
-            ask_every: 10.0,
+            price_health_check: 0.0,
+            list_by_subscription: false,
+            list_validity: 10.0,
             reports_in_answers: true,
             reports_concurrency: false,
             reports_queue: false,
-            probes: false,
+            health_checks: false,
             cancel: false,
             duplicates: false,
             max_attempts: 3,
@@ -206,7 +206,7 @@
     /// Names in errors are those of the settings' keys, which differ from the fields' names.
     fn validate_spans(&self) -> Result<(), SettingsError> {
         let spans = [
-            ("ask_every", self.ask_every),
+            ("ask_every", self.list_validity),
             ("connect_timeout", self.connect_timeout),
             ("drain_grace", self.drain_grace),
             ("warm_within", self.slow_start_duration),
@@ -215,7 +215,7 @@
             ("tick", self.tick),
             ("max_retry_after", self.max_retry_after),
             ("price_cross_zone", self.price_cross_zone),
-            ("price_probe", self.price_probe),
+            ("price_probe", self.price_health_check),
         ];
         match spans.iter().find(|(_, value)| !value.is_finite() || *value < 0.0) {
             Some((name, _)) => invalid(name, "must be finite and not negative"),
--- a/crates/sidecar/load-balancing/src/dispatcher.rs
+++ b/crates/sidecar/load-balancing/src/dispatcher.rs
@@ -44,15 +44,15 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
     /// Requests that arrived; the sum of the next four and the open ones.
-    pub taken: u64,
+    pub arrived: u64,
     /// Requests that were served.
     pub served: u64,
     /// Requests that were rejected.
-    pub refused: u64,
+    pub rejected: u64,
     /// Requests that failed.
     pub failed: u64,
     /// Requests whose client disconnected first.
-    pub gone: u64,
+    pub disconnected: u64,
     /// Attempts that were sent.
     pub attempts: u64,
     /// Attempts that ended without an answer to serve.
@@ -150,7 +150,7 @@
     /// Number of requests without a final answer.
     pub fn open_requests(&self) -> usize {
         let counts = &self.counts;
-        (counts.taken - counts.served - counts.refused - counts.failed - counts.gone) as usize
+        (counts.arrived - counts.served - counts.rejected - counts.failed - counts.disconnected) as usize
     }
 
     /// Seconds after which a rejected client may retry, where that is sent.
@@ -168,7 +168,7 @@
     pub fn arrive(&mut self, now: f64, id: RequestId, arrival: Arrival, transport: &mut dyn Transport) {
         let Arrival { class, tenant, budget, work, repeat } = arrival;
         let deadline = now + budget;
-        self.counts.taken += 1;
+        self.counts.arrived += 1;
         let request = Request {
             deadline,
             answered: false,
@@ -184,11 +184,11 @@
     }
 
     /// The client has disconnected. The outcomes of attempts in flight are still due.
-    pub fn gone(&mut self, now: f64, id: RequestId, transport: &mut dyn Transport) {
+    pub fn client_disconnected(&mut self, now: f64, id: RequestId, transport: &mut dyn Transport) {
         let Some(request) = self.requests.get_mut(&id).filter(|request| !request.answered) else { return };
         request.answered = true;
-        self.counts.gone += 1;
-        self.feed(Event::Gone(id), &mut Context { now, transport });
+        self.counts.disconnected += 1;
+        self.feed(Event::ClientDisconnected(id), &mut Context { now, transport });
         self.forget(id);
     }
 
@@ -210,14 +210,14 @@
     /// disconnected: the request is not retried, and no node is blamed for it.
     pub fn reject_invalid(&mut self, now: f64, id: RequestId, attempt: u32, transport: &mut dyn Transport) {
         let mut context = Context { now, transport };
-        self.finish(id, Answer::Faulty, &mut context);
-        self.feed(Event::Gone(id), &mut context);
+        self.finish(id, Answer::Invalid, &mut context);
+        self.feed(Event::ClientDisconnected(id), &mut context);
         let end = AttemptEnd { id, attempt, ending: Ending::Revoked, report: None };
         self.finish_attempt(&end, &mut context);
     }
 
     /// A health check has ended.
-    pub fn probed(
+    pub fn health_check_ended(
         &mut self,
         now: f64,
         upstream: UpstreamId,
@@ -226,7 +226,7 @@
         report: Option<Report>,
         transport: &mut dyn Transport,
     ) {
-        let event = Event::Probed { upstream, ending, elapsed, report };
+        let event = Event::HealthChecked { upstream, ending, elapsed, report };
         self.feed(event, &mut Context { now, transport });
     }
 
@@ -288,11 +288,11 @@
         let answer = if request.may_have_run() {
             Answer::Failed { late: true }
         } else {
-            Answer::Refused { retry_after: self.retry_after }
+            Answer::Rejected { retry_after: self.retry_after }
         };
         self.counts.forced += 1;
         self.finish(id, answer, context);
-        self.feed(Event::Gone(id), context);
+        self.feed(Event::ClientDisconnected(id), context);
         // Attempts that the decider sent in response to the last expiry, with no time left.
         for attempt in in_flight {
             self.expire(id, attempt, context);
@@ -318,7 +318,7 @@
             Action::Send { id, upstream, timeout } => self.send(id, upstream, timeout, context),
             Action::Cancel { id, attempt } => self.cancel(id, attempt, context),
             Action::Reject { id, retry_after } => {
-                self.finish(id, Answer::Refused { retry_after }, context);
+                self.finish(id, Answer::Rejected { retry_after }, context);
             }
             Action::Fail { id } => {
                 let late = self.requests.get(&id).is_some_and(Request::has_expired);
@@ -327,8 +327,8 @@
             Action::Wake { after, token } => {
                 context.transport.set_timer(context.now + after, Timer::Wake(token));
             }
-            Action::Probe(node) => context.transport.probe(node),
-            Action::Watch => context.transport.watch(),
+            Action::HealthCheck(node) => context.transport.health_check(node),
+            Action::Subscribe => context.transport.subscribe(),
         }
     }
 
@@ -337,7 +337,7 @@
         let Some(request) = self.requests.get_mut(&id).filter(|request| !request.answered) else { return };
         request.answered = true;
         match answer {
-            Answer::Refused { .. } => self.counts.refused += 1,
+            Answer::Rejected { .. } => self.counts.rejected += 1,
             _ => self.counts.failed += 1,
         }
         context.transport.answer(id, answer);
--- a/crates/sidecar/load-balancing/src/dispatcher/attempts.rs
+++ b/crates/sidecar/load-balancing/src/dispatcher/attempts.rs
@@ -70,7 +70,7 @@
     /// Cancels an attempt in flight as the decider asks.
     pub(super) fn cancel(&mut self, id: RequestId, attempt: u32, context: &mut Context<'_>) {
         if self.is_in_flight(id, attempt) {
-            context.transport.withdraw(id, attempt);
+            context.transport.cancel(id, attempt);
             let end = AttemptEnd { id, attempt, ending: Ending::Revoked, report: None };
             let event = self.end_attempt(&end, context);
             self.backlog.extend(event);
@@ -80,7 +80,7 @@
     /// Ends an attempt in flight by a time-out.
     pub(super) fn expire(&mut self, id: RequestId, attempt: u32, context: &mut Context<'_>) {
         if self.is_in_flight(id, attempt) {
-            context.transport.withdraw(id, attempt);
+            context.transport.cancel(id, attempt);
             let end = AttemptEnd { id, attempt, ending: Ending::Expired, report: None };
             self.finish_attempt(&end, context);
         }
--- a/crates/sidecar/load-balancing/src/dispatcher/transport.rs
+++ b/crates/sidecar/load-balancing/src/dispatcher/transport.rs
@@ -11,7 +11,7 @@
         attempt: u32,
     },
     /// Rejected; a retry by the client is harmless.
-    Refused {
+    Rejected {
         /// Seconds after which the client may retry, if that is to be sent.
         retry_after: Option<f64>,
     },
@@ -21,7 +21,7 @@
         late: bool,
     },
     /// Failed: the request itself is invalid.
-    Faulty,
+    Invalid,
 }
 
 /// A timer, which the transport passes back to [`Dispatcher::timer_fired`](super::Dispatcher::timer_fired).
@@ -37,16 +37,16 @@
 
 /// What a protocol does for the dispatcher. No call may call back into the dispatcher.
 pub trait Transport {
-    /// Sends an attempt. Unless it is withdrawn, one [`Dispatcher::outcome`](super::Dispatcher::outcome) must follow.
+    /// Sends an attempt. Unless it is cancelled, one [`Dispatcher::outcome`](super::Dispatcher::outcome) must follow.
     fn send(&mut self, id: RequestId, attempt: u32, to: UpstreamId);
     /// Cancels an attempt, whose outcome must not be reported any more.
-    fn withdraw(&mut self, id: RequestId, attempt: u32);
+    fn cancel(&mut self, id: RequestId, attempt: u32);
     /// Gives the client its one final answer.
     fn answer(&mut self, id: RequestId, answer: Answer);
-    /// Sends a health check to a node; one [`Dispatcher::probed`](super::Dispatcher::probed) must follow.
-    fn probe(&mut self, node: UpstreamId);
+    /// Sends a health check to a node; one [`Dispatcher::health_check_ended`](super::Dispatcher::health_check_ended) must follow.
+    fn health_check(&mut self, node: UpstreamId);
     /// Subscribes to changes of the endpoint list.
-    fn watch(&mut self);
+    fn subscribe(&mut self);
     /// Sets a timer for the first tick at or after this time.
     fn set_timer(&mut self, at: f64, timer: Timer);
 }
--- a/crates/sidecar/load-balancing/src/policy.rs
+++ b/crates/sidecar/load-balancing/src/policy.rs
@@ -57,9 +57,9 @@
             }
             Event::StreamBegan { id, .. } => self.requests.complete(id),
             Event::Outcome(outcome) => self.observe_outcome(&outcome, actions),
-            Event::Gone(id) => self.requests.finish(id),
+            Event::ClientDisconnected(id) => self.requests.finish(id),
             Event::Wake(token) => self.wake(token, actions),
-            Event::Probed { upstream, ending, report, .. } => {
+            Event::HealthChecked { upstream, ending, report, .. } => {
                 self.observe_health_check(upstream, ending, report);
             }
         }
@@ -67,8 +67,8 @@
     }
 
     fn wake(&mut self, token: u64, actions: &mut Vec<Action>) {
-        if token == WAKE_LIST && self.settings.ask_for_list {
-            actions.push(Action::Watch);
+        if token == WAKE_LIST && self.settings.list_by_subscription {
+            actions.push(Action::Subscribe);
         }
         if self.now + self.settings.tick >= self.next_wake {
             self.next_wake = f64::INFINITY;
--- a/crates/sidecar/load-balancing/src/policy/admission_control.rs
+++ b/crates/sidecar/load-balancing/src/policy/admission_control.rs
@@ -38,7 +38,7 @@
         let answer_by = if rules.late_value > 0.0 { deadline } else { target.min(deadline) };
         let expected_time = self.expected_time(class, cost, answer_by);
         self.retry_budget.earn();
-        self.health_check_budget.earn(self.settings.price_probe);
+        self.health_check_budget.earn(self.settings.price_health_check);
         let request = Request {
             class,
             arrived_at: self.now,
--- a/crates/sidecar/load-balancing/src/policy/endpoints.rs
+++ b/crates/sidecar/load-balancing/src/policy/endpoints.rs
@@ -30,7 +30,7 @@
     /// instance counts as informed.
     pub(super) fn back_off_list(&mut self, actions: &mut Vec<Action>) {
         self.list_failures = (self.list_failures + 1).min(MAX_LIST_BACKOFF_EXPONENT);
-        let base = self.settings.ask_every / LIST_BACKOFF_DIVISOR;
+        let base = self.settings.list_validity / LIST_BACKOFF_DIVISOR;
         let jitter = 0.5 + self.rng.next();
         let backoff = base * f64::from(1 << self.list_failures) * jitter;
         actions.push(Action::Wake { after: backoff, token: WAKE_LIST });
@@ -38,8 +38,8 @@
 
     /// Applies changed entries of the endpoint list.
     pub(super) fn update_endpoints(&mut self, entries: &[Entry], actions: &mut Vec<Action>) {
-        if self.settings.ask_for_list && self.upstreams.is_empty() && self.list_failures == 0 {
-            actions.push(Action::Watch);
+        if self.settings.list_by_subscription && self.upstreams.is_empty() && self.list_failures == 0 {
+            actions.push(Action::Subscribe);
         }
         self.list_failures = 0;
         for entry in entries {
--- a/crates/sidecar/load-balancing/src/policy/health_check.rs
+++ b/crates/sidecar/load-balancing/src/policy/health_check.rs
@@ -32,8 +32,8 @@
 
     /// Whether selections are confirmed by a health check: they are cheap and show spare workers.
     pub(super) fn confirms_selections(&self) -> bool {
-        let affordable = 2.0 * self.settings.price_probe <= HEALTH_CHECK_BUDGET_PER_REQUEST;
-        self.settings.probes && affordable && self.settings.reports_queue
+        let affordable = 2.0 * self.settings.price_health_check <= HEALTH_CHECK_BUDGET_PER_REQUEST;
+        self.settings.health_checks && affordable && self.settings.reports_queue
     }
 
     /// Whether a recent report shows a spare worker.
@@ -72,7 +72,7 @@
         if let Some(upstream) = self.upstreams.get_mut(&id) {
             upstream.health_check_sent_at = Some(self.now);
         }
-        actions.push(Action::Probe(id));
+        actions.push(Action::HealthCheck(id));
         true
     }
 
--- a/crates/sidecar/load-balancing/src/policy/outcome.rs
+++ b/crates/sidecar/load-balancing/src/policy/outcome.rs
@@ -29,7 +29,7 @@
         if let Some(class) = class {
             self.observe_class_outcome(outcome, class, cost);
         }
-        self.settle_attempt(outcome, actions);
+        self.close_attempt(outcome, actions);
     }
 
     /// Updates load, contact and health of the upstream.
@@ -94,7 +94,7 @@
     }
 
     /// Marks the attempt as ended. Without another one in flight, the request is retried or answered.
-    fn settle_attempt(&mut self, outcome: &Outcome, actions: &mut Vec<Action>) {
+    fn close_attempt(&mut self, outcome: &Outcome, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&outcome.id) else { return };
         if let Some(attempt) = request.attempts.get_mut(outcome.attempt as usize) {
             attempt.in_flight = false;
--- a/crates/sidecar/load-balancing/tests/decision_trace.rs
+++ b/crates/sidecar/load-balancing/tests/decision_trace.rs
@@ -52,8 +52,8 @@
             Action::Reject { id, retry_after } => [3, id.0, optional(retry_after), 0],
             Action::Fail { id } => [4, id.0, 0, 0],
             Action::Wake { after, token } => [5, after.to_bits(), token, 0],
-            Action::Probe(upstream) => [6, upstream.0, 0, 0],
-            Action::Watch => [7, 0, 0, 0],
+            Action::HealthCheck(upstream) => [6, upstream.0, 0, 0],
+            Action::Subscribe => [7, 0, 0, 0],
         };
         words.into_iter().for_each(|word| self.add(word));
     }
@@ -80,7 +80,7 @@
     /// By time (as bits of a positive float, which sort as the float) and number.
     due: BTreeMap<(u64, u64), Due>,
     attempts: BTreeMap<RequestId, u32>,
-    /// Requests of unsettled fate, for clients that leave and streams that begin.
+    /// Requests without a final answer, for clients that disconnect and streams that begin.
     open: Vec<RequestId>,
     /// How many actions of each kind there were.
     kinds: [usize; 7],
@@ -120,7 +120,7 @@
         self.balancer.handle(self.now, event, &mut actions);
         for action in actions {
             self.digest.add_action(&action);
-            self.carry_out(action);
+            self.apply(action);
         }
     }
 
@@ -129,7 +129,7 @@
         self.due.insert(((self.now + after).to_bits(), self.next_due), due);
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn apply(&mut self, action: Action) {
         let kind = match action {
             Action::Send { id, upstream, .. } => {
                 let attempt = self.attempts.entry(id).and_modify(|n| *n += 1).or_insert(0);
@@ -161,14 +161,14 @@
                 self.schedule(after.max(0.001), Due::Wake(token));
                 4
             }
-            Action::Probe(upstream) => {
+            Action::HealthCheck(upstream) => {
                 let sent = self.now;
                 let ending = if self.generator.chance(3) { Ending::DialFailed } else { Ending::Delivered };
                 let after = 0.001 + 0.002 * self.generator.fraction();
                 self.schedule(after, Due::ProbeEnds { upstream, sent, ending });
                 5
             }
-            Action::Watch => 6,
+            Action::Subscribe => 6,
         };
         self.kinds[kind] += 1;
     }
@@ -216,7 +216,7 @@
         Some(report)
     }
 
-    /// A request of a random class and tenant; half of them tell their work.
+    /// A request of a random class and tenant; half of them have a work hint.
     fn request(&mut self) {
         self.next_request += 1;
         let id = RequestId(self.next_request);
@@ -262,7 +262,7 @@
         }
     }
 
-    fn come_due(&mut self, due: Due) {
+    fn fire(&mut self, due: Due) {
         match due {
             Due::AttemptEnds { id, attempt, upstream, sent, ending } => {
                 let report = self.report();
@@ -276,7 +276,7 @@
             Due::ProbeEnds { upstream, sent, ending } => {
                 let report = self.report();
                 let elapsed = self.now - sent;
-                self.handle(Event::Probed { upstream, ending, elapsed, report });
+                self.handle(Event::HealthChecked { upstream, ending, elapsed, report });
             }
             Due::Wake(token) => self.handle(Event::Wake(token)),
         }
@@ -292,7 +292,7 @@
             if let Some(at) = next.filter(|at| *at <= outside) {
                 self.now = self.now.max(at);
                 let (_, due) = self.due.pop_first().unwrap();
-                self.come_due(due);
+                self.fire(due);
                 continue;
             }
             self.now = self.now.max(outside);
@@ -303,7 +303,7 @@
                 0..=4 => self.change_list(),
                 5..=14 => {
                     if let Some(id) = self.open.pop() {
-                        self.handle(Event::Gone(id));
+                        self.handle(Event::ClientDisconnected(id));
                     }
                 }
                 15..=19 => {
@@ -350,14 +350,14 @@
     vec![Tenant { quota_per_s: 20.0 }, Tenant { quota_per_s: f64::INFINITY }]
 }
 
-/// A lone balancer whose upstreams report what they hold, with cancels and duplicates.
-fn lone() -> Settings {
+/// A single balancer whose upstreams report their requests, with cancels and duplicates.
+fn single() -> Settings {
     Settings {
         classes: classes(DedupScope::Zone),
         tenants: tenants(),
         over_quota_value: 0.3,
         price_cross_zone: 0.01,
-        ask_for_list: true,
+        list_by_subscription: true,
         reports_concurrency: true,
         cancel: true,
         duplicates: true,
@@ -367,18 +367,18 @@
     }
 }
 
-/// One of eight balancers that checks each pick by a probe.
-fn probing() -> Settings {
+/// One of eight balancers that confirms each selection by a health check.
+fn with_health_checks() -> Settings {
     Settings {
         instances: 8,
         rank: 3,
         classes: classes(DedupScope::Cell),
         tenants: tenants(),
         over_quota_value: 0.5,
-        price_probe: 0.002,
+        price_health_check: 0.002,
         reports_concurrency: true,
         reports_queue: true,
-        probes: true,
+        health_checks: true,
         cancel: true,
         max_attempts: 4,
         ..Settings::default()
@@ -391,7 +391,7 @@
         instances: 40,
         rank: 17,
         classes: classes(DedupScope::All),
-        ask_for_list: true,
+        list_by_subscription: true,
         slow_start_duration: 5.0,
         overload_factor: 3.0,
         overload_window: 1.0,
@@ -405,20 +405,20 @@
 }
 
 #[test]
-fn a_lone_balancer_decides_as_recorded() {
-    let (digest, kinds) = trace(lone(), 11, 9, 0.006);
+fn a_single_balancer_decides_as_recorded() {
+    let (digest, kinds) = trace(single(), 11, 9, 0.006);
     assert_eq!((digest, kinds), (5_161_653_225_787_428_303, [1014, 1, 1076, 44, 1639, 0, 4]));
 }
 
 #[test]
-fn a_lone_balancer_with_idle_upstreams_decides_as_recorded() {
-    let (digest, kinds) = trace(lone(), 12, 24, 0.02);
+fn a_single_balancer_with_idle_upstreams_decides_as_recorded() {
+    let (digest, kinds) = trace(single(), 12, 24, 0.02);
     assert_eq!((digest, kinds), (15_371_244_191_944_741_541, [2167, 5, 6, 54, 772, 0, 2]));
 }
 
 #[test]
-fn a_balancer_that_probes_decides_as_recorded() {
-    let (digest, kinds) = trace(probing(), 13, 30, 0.03);
+fn a_balancer_with_health_checks_decides_as_recorded() {
+    let (digest, kinds) = trace(with_health_checks(), 13, 30, 0.03);
     assert_eq!((digest, kinds), (5_132_750_592_031_961_873, [440, 2, 122, 23, 1352, 2650, 0]));
 }
 
@@ -430,9 +430,9 @@
 
 #[test]
 fn retuned_settings_decide_as_recorded() {
-    let mut simulation = Simulation::new(lone(), 15, 12);
+    let mut simulation = Simulation::new(single(), 15, 12);
     simulation.run(0.01);
-    let mut later = lone();
+    let mut later = single();
     later.classes.push(Class { latency_target: 1.5, value: 2.0, ..Class::default() });
     later.tenants.push(Tenant { quota_per_s: 5.0 });
     later.max_attempts = 2;
--- a/crates/sidecar/load-balancing/tests/dispatcher.rs
+++ b/crates/sidecar/load-balancing/tests/dispatcher.rs
@@ -30,10 +30,10 @@
 
 impl Transport for Idle {
     fn send(&mut self, _: RequestId, _: u32, _: UpstreamId) {}
-    fn withdraw(&mut self, _: RequestId, _: u32) {}
+    fn cancel(&mut self, _: RequestId, _: u32) {}
     fn answer(&mut self, _: RequestId, _: Answer) {}
-    fn probe(&mut self, _: UpstreamId) {}
-    fn watch(&mut self) {}
+    fn health_check(&mut self, _: UpstreamId) {}
+    fn subscribe(&mut self) {}
     fn set_timer(&mut self, _: f64, _: Timer) {}
 }
 
@@ -88,6 +88,6 @@
     dispatcher.update_endpoints(0.2, true, vec![entry(1)], &mut Idle);
     assert!(dispatcher.may_send(0.2, id, 1).is_none());
     let (mut dispatcher, id) = repeated(Effect::Safe, Ending::Unused);
-    dispatcher.gone(0.2, id, &mut Idle);
+    dispatcher.client_disconnected(0.2, id, &mut Idle);
     assert!(dispatcher.may_send(0.2, id, 1).is_none());
 }
--- a/crates/sidecar/load-balancing/tests/endpoints.rs
+++ b/crates/sidecar/load-balancing/tests/endpoints.rs
@@ -18,11 +18,11 @@
 
 #[test]
 fn a_failed_list_call_is_renewed_with_backoff() {
-    let set = Settings { ask_for_list: true, ..settings(Effect::Safe) };
+    let set = Settings { list_by_subscription: true, ..settings(Effect::Safe) };
     let mut balancer = Balancer::new(set, 5, 0.0).unwrap();
     let mut actions = Vec::new();
     balancer.handle(0.0, Event::FullList(vec![entry(1)]), &mut actions);
-    assert!(actions.contains(&Action::Watch));
+    assert!(actions.contains(&Action::Subscribe));
     let mut total = 0.0;
     for _ in 0..3 {
         actions.clear();
@@ -31,7 +31,7 @@
         total += after;
         actions.clear();
         balancer.handle(total, Event::Wake(token), &mut actions);
-        assert_eq!(actions, [Action::Watch]);
+        assert_eq!(actions, [Action::Subscribe]);
     }
     assert!(total < 10.0, "{total}");
 }
@@ -39,7 +39,7 @@
 #[test]
 fn many_instances_spread_their_calls_to_a_failing_discovery() {
     // All fail at the same moment and again at each call; each backs off with its own jitter.
-    let set = Settings { ask_for_list: true, ..settings(Effect::Safe) };
+    let set = Settings { list_by_subscription: true, ..settings(Effect::Safe) };
     let mut calls = [0; 20];
     for seed in 0..100 {
         let mut balancer = Balancer::new(set.clone(), seed, 0.0).unwrap();
--- a/crates/sidecar/load-balancing/tests/health_check.rs
+++ b/crates/sidecar/load-balancing/tests/health_check.rs
@@ -8,7 +8,7 @@
 #[test]
 fn a_selection_is_confirmed_by_a_cheap_health_check() {
     let set = Settings {
-        probes: true,
+        health_checks: true,
         reports_concurrency: true,
         reports_queue: true,
         instances: 3,
@@ -17,17 +17,17 @@
     let mut harness = Harness::new(set, vec![entry(1), entry(2)]);
     // From the first request on, before the number of workers is known.
     let (_, actions) = harness.submit(5.0);
-    let [Action::Probe(asked), ..] = actions[..] else { panic!("{actions:?}") };
-    let busy = Event::Probed {
+    let [Action::HealthCheck(asked), ..] = actions[..] else { panic!("{actions:?}") };
+    let busy = Event::HealthChecked {
         upstream: asked,
         ending: Ending::Delivered,
         elapsed: 0.001,
         report: queue_report(1.0, 0.0),
     };
     let actions = harness.at(5.001, busy);
-    let [Action::Probe(other), ..] = actions[..] else { panic!("{actions:?}") };
+    let [Action::HealthCheck(other), ..] = actions[..] else { panic!("{actions:?}") };
     assert_ne!(asked, other);
-    let idle = Event::Probed {
+    let idle = Event::HealthChecked {
         upstream: other,
         ending: Ending::Delivered,
         elapsed: 0.001,
@@ -40,7 +40,8 @@
 /// requests are at a node, but not how many of these are queued, and one request does not make a node busy.
 #[test]
 fn no_selection_is_confirmed_where_reports_cannot_show_a_spare_worker() {
-    let set = Settings { probes: true, reports_concurrency: true, instances: 3, ..settings(Effect::Unsafe) };
+    let set =
+        Settings { health_checks: true, reports_concurrency: true, instances: 3, ..settings(Effect::Unsafe) };
     let mut harness = Harness::new(set, (1..=4).map(entry).collect());
     let in_flight = |n| Some(Report { active: Some(n), cpu: Some(0.4), ..Report::default() });
     let (id, actions) = harness.submit(0.0);
@@ -49,17 +50,17 @@
     for n in 0..8 {
         let (_, actions) = harness.submit(0.2 + f64::from(n) * 0.01);
         assert!(sent(&actions).is_some(), "call {n}: {actions:?}");
-        assert!(!actions.iter().any(|a| matches!(a, Action::Probe(_))), "call {n}: {actions:?}");
+        assert!(!actions.iter().any(|a| matches!(a, Action::HealthCheck(_))), "call {n}: {actions:?}");
     }
 }
 
 #[test]
 fn health_checks_stop_at_their_budget() {
     let set = Settings {
-        probes: true,
+        health_checks: true,
         reports_concurrency: true,
         reports_queue: true,
-        price_probe: 0.005,
+        price_health_check: 0.005,
         instances: 3,
         ..settings(Effect::Unsafe)
     };
@@ -67,12 +68,13 @@
     let mut probes = 0;
     let mut actions = harness.submit(0.0).1;
     for n in 1..=40 {
-        let Some(Action::Probe(upstream)) = actions.iter().find(|a| matches!(a, Action::Probe(_))).copied()
+        let Some(Action::HealthCheck(upstream)) =
+            actions.iter().find(|a| matches!(a, Action::HealthCheck(_))).copied()
         else {
             break;
         };
         probes += 1;
-        let busy = Event::Probed {
+        let busy = Event::HealthChecked {
             upstream,
             ending: Ending::Delivered,
             elapsed: 0.001,
--- a/crates/sidecar/load-balancing/tests/hedging.rs
+++ b/crates/sidecar/load-balancing/tests/hedging.rs
@@ -30,7 +30,7 @@
 
 #[test]
 fn a_safe_attempt_is_not_cancelled_before_half_of_the_latency_target() {
-    let set = Settings { cancel: true, duplicates: true, probes: false, ..settings(Effect::Safe) };
+    let set = Settings { cancel: true, duplicates: true, health_checks: false, ..settings(Effect::Safe) };
     let mut harness = Harness::new(set, vec![entry(1), entry(2)]);
     (0..20).for_each(|_| _ = request_once(&mut harness, 0, |_| Ending::Delivered));
     let began = harness.now;
--- a/crates/sidecar/load-balancing/tests/retry.rs
+++ b/crates/sidecar/load-balancing/tests/retry.rs
@@ -92,7 +92,7 @@
 fn a_request_of_a_disconnected_client_is_not_retried() {
     let mut harness = Harness::new(settings(Effect::Safe), vec![entry(1), entry(2)]);
     let (id, actions) = harness.submit(0.0);
-    harness.at(0.5, Event::Gone(id));
+    harness.at(0.5, Event::ClientDisconnected(id));
     assert!(harness.end(0.6, id, 0, sent(&actions).unwrap(), Ending::Dropped).is_empty());
 }
 
@@ -103,6 +103,6 @@
         let (id, actions) = harness.submit(0.0);
         let actions = harness.end(2.0, id, 0, sent(&actions).unwrap(), Ending::Expired);
         assert_eq!(finals(&actions), 1, "{effect:?}");
-        assert!(harness.at(2.1, Event::Gone(id)).is_empty());
+        assert!(harness.at(2.1, Event::ClientDisconnected(id)).is_empty());
     }
 }
--- a/crates/sidecar/load-balancing/tests/selection.rs
+++ b/crates/sidecar/load-balancing/tests/selection.rs
@@ -74,7 +74,12 @@
         let report = Some(Report { cpu: Some(cpu), ..Report::default() });
         harness.at(
             0.1,
-            Event::Probed { upstream: UpstreamId(node), ending: Ending::Delivered, elapsed: 0.01, report },
+            Event::HealthChecked {
+                upstream: UpstreamId(node),
+                ending: Ending::Delivered,
+                elapsed: 0.01,
+                report,
+            },
         );
     }
     let mut out = [0, 0];
--- a/crates/sidecar/load-balancing/tests/settings.rs
+++ b/crates/sidecar/load-balancing/tests/settings.rs
@@ -51,11 +51,16 @@
         ..Report::default()
     });
     harness.end_with(0.1, RequestId(99), 7, UpstreamId(55), Ending::Delivered, nan);
-    harness.at(f64::NAN, Event::Gone(RequestId(98)));
+    harness.at(f64::NAN, Event::ClientDisconnected(RequestId(98)));
     harness.at(0.1, Event::StreamBegan { id: RequestId(97), attempt: 3 });
     harness.at(
         0.1,
-        Event::Probed { upstream: UpstreamId(5), ending: Ending::Expired, elapsed: -1.0, report: None },
+        Event::HealthChecked {
+            upstream: UpstreamId(5),
+            ending: Ending::Expired,
+            elapsed: -1.0,
+            report: None,
+        },
     );
     let (id, actions) = harness.submit(-3.0);
     let to = sent(&actions).unwrap();
--- a/crates/sidecar/proxy/src/connections.rs
+++ b/crates/sidecar/proxy/src/connections.rs
@@ -207,7 +207,7 @@
         self.set_out(to, Attempt::Request { id, number });
     }
 
-    fn withdraw(&mut self, id: RequestId, number: u32) {
+    fn cancel(&mut self, id: RequestId, number: u32) {
         if let Some(key) = self.out.remove(&(id, number)) {
             self.close_upstream(key);
         }
@@ -231,13 +231,13 @@
                 client.reply(self.now, head, Some((buffer, body)));
                 self.write_out(key);
             }
-            (Answer::Refused { retry_after: Some(wait) }, _) => {
+            (Answer::Rejected { retry_after: Some(wait) }, _) => {
                 self.word(key, 503, "refused, come again later\n", &[("Retry-After", &wait)]);
             }
-            (Answer::Refused { retry_after: None }, _) => {
+            (Answer::Rejected { retry_after: None }, _) => {
                 self.word(key, 503, "refused, come again later\n", &[]);
             }
-            (Answer::Faulty, _) => self.word(key, 400, "the node finds the request at fault\n", &[]),
+            (Answer::Invalid, _) => self.word(key, 400, "the node finds the request at fault\n", &[]),
             (Answer::Failed { late: true }, _) => self.word(key, 504, "no answer in time\n", &[]),
             (Answer::Failed { late: false } | Answer::Served { .. }, _) => {
                 self.word(key, 502, "failed\n", &[]);
@@ -245,11 +245,11 @@
         }
     }
 
-    fn probe(&mut self, node: UpstreamId) {
+    fn health_check(&mut self, node: UpstreamId) {
         self.set_out(node, Attempt::Probe { sent: self.now });
     }
 
-    fn watch(&mut self) {
+    fn subscribe(&mut self) {
         self.discovery.wanted = true;
         self.ask();
     }
--- a/crates/sidecar/proxy/src/sidecar.rs
+++ b/crates/sidecar/proxy/src/sidecar.rs
@@ -153,7 +153,7 @@
         sidecar.learn(known.unwrap_or(NodeListUpdate { whole: true, ..NodeListUpdate::default() }));
         if !sidecar.connections.discovery.wanted {
             // The list is asked for also where changes come unasked in the simulator: here they never do.
-            passrelay_load_balancing::dispatcher::Transport::watch(&mut sidecar.connections);
+            passrelay_load_balancing::dispatcher::Transport::subscribe(&mut sidecar.connections);
         }
         sidecar.settle();
         Ok(sidecar)
@@ -238,10 +238,10 @@
                     self.dispatcher.outcome(now, id, number, ending, None, &mut self.connections);
                 }
                 News::Probe { node, ending } => {
-                    self.dispatcher.probed(now, node, ending, 0.0, None, &mut self.connections);
+                    self.dispatcher.health_check_ended(now, node, ending, 0.0, None, &mut self.connections);
                 }
                 News::ListFailed => {
-                    if !self.service.settings.ask_for_list {
+                    if !self.service.settings.list_by_subscription {
                         // Such a module never asks by itself.
                         self.connections.discovery.wanted = true;
                         self.connections.timers.set(now + ASK_AGAIN_S, Timer::Ask);
@@ -319,11 +319,11 @@
             self.connections.upstreams.len(),
         );
         let figures: [(&str, &dyn Display); 11] = [
-            ("taken", &c.taken),
+            ("taken", &c.arrived),
             ("served", &c.served),
-            ("refused", &c.refused),
+            ("refused", &c.rejected),
             ("failed", &c.failed),
-            ("gone", &c.gone),
+            ("gone", &c.disconnected),
             ("forced", &c.forced),
             ("passes", &c.attempts),
             ("turned", &c.unserved_attempts),
--- a/crates/sidecar/proxy/src/sidecar/clients.rs
+++ b/crates/sidecar/proxy/src/sidecar/clients.rs
@@ -79,7 +79,7 @@
                     if let Stage::Waiting(id) = stage {
                         self.connections.unseat(id);
                         self.connections.abandon(id);
-                        self.dispatcher.gone(self.connections.now, id, &mut self.connections);
+                        self.dispatcher.client_disconnected(self.connections.now, id, &mut self.connections);
                     }
                     return;
                 }
--- a/crates/sidecar/proxy/src/sidecar/operators.rs
+++ b/crates/sidecar/proxy/src/sidecar/operators.rs
@@ -30,7 +30,7 @@
                     "name": self.name, "serving": serving, "ready": ready,
                     "standby": self.lifecycle.standby_since().is_some(), "ending": self.shift != Shift::On,
                     "owed": self.dispatcher.open_requests(), "clients": self.connections.clients.len(), "node_connections": self.connections.upstreams.len(), "buffers": self.connections.buffers.out,
-                    "taken": c.taken, "served": c.served, "refused": c.refused, "failed": c.failed,
+                    "taken": c.arrived, "served": c.served, "refused": c.rejected, "failed": c.failed,
                     "standbys": self.lifecycle.standby_count, "operator_cut_off": admin.cut_off, "generation": self.generation,
                 });
                 if let Some(fleet) = &self.fleet {
--- a/crates/sidecar/proxy/src/sidecar/upstreams.rs
+++ b/crates/sidecar/proxy/src/sidecar/upstreams.rs
@@ -114,7 +114,14 @@
             }
             Attempt::Probe { sent } => {
                 self.connections.load = load;
-                self.dispatcher.probed(now, node, ending, now - sent, report, &mut self.connections);
+                self.dispatcher.health_check_ended(
+                    now,
+                    node,
+                    ending,
+                    now - sent,
+                    report,
+                    &mut self.connections,
+                );
             }
         }
         // Not served: the client had left, or it was no answer to serve.
--- a/crates/sidecar/simulator-adapter/src/wire.rs
+++ b/crates/sidecar/simulator-adapter/src/wire.rs
@@ -74,7 +74,7 @@
         }
         "gone" => {
             fields.check_count(2, 2)?;
-            Event::Gone(request_id(fields)?)
+            Event::ClientDisconnected(request_id(fields)?)
         }
         "ring" => {
             fields.check_count(2, 2)?;
@@ -82,7 +82,7 @@
         }
         "probed" => {
             fields.check_count(4, 5)?;
-            Event::Probed {
+            Event::HealthChecked {
                 upstream: upstream_id(fields, 1)?,
                 ending: parse_ending(fields.required_text(2, "an outcome")?)?,
                 elapsed: fields.required_seconds(3, "a time")?,
@@ -164,7 +164,7 @@
         }
         Action::Fail { id } => writeln!(out, "error\t{instance}\t{}", id.0),
         Action::Wake { after, token } => writeln!(out, "sleep\t{instance}\t{after:.6}\t{token}"),
-        Action::Probe(upstream) => writeln!(out, "test\t{instance}\t{}", upstream.0),
-        Action::Watch => writeln!(out, "observe\t{instance}\t1"),
+        Action::HealthCheck(upstream) => writeln!(out, "test\t{instance}\t{}", upstream.0),
+        Action::Subscribe => writeln!(out, "observe\t{instance}\t1"),
     };
 }
--- a/crates/testing/load-simulator/src/rivals/mod.rs
+++ b/crates/testing/load-simulator/src/rivals/mod.rs
@@ -316,7 +316,7 @@
     fn listed(&mut self, entries: &[Entry], actions: &mut Vec<Action>) {
         entries.iter().for_each(|e| self.view.put(e));
         if !std::mem::replace(&mut self.asked, true) {
-            actions.push(Action::Watch);
+            actions.push(Action::Subscribe);
         }
         self.picker.listed(&self.view);
     }
@@ -345,7 +345,7 @@
             }
             Event::ListChanges(entries) => self.listed(&entries, actions),
             Event::ListFailed => actions.push(Action::Wake { after: ASK_AGAIN_S, token: 1 }),
-            Event::Wake(1) => actions.push(Action::Watch),
+            Event::Wake(1) => actions.push(Action::Subscribe),
             Event::Wake(_) | Event::StreamBegan { .. } => {}
             Event::Request { id, class, ttl, .. } => {
                 let effect = self.settings.classes.get(class.0).map_or(Effect::Unsafe, |c| c.effect);
@@ -355,16 +355,16 @@
                 if !self.send(id, actions) {
                     self.end(id, actions);
                 }
-                if self.settings.probes {
+                if self.settings.health_checks {
                     self.picker.probes(&self.view, &mut self.rng, &mut self.probes);
-                    actions.extend(self.probes.drain(..).map(Action::Probe));
+                    actions.extend(self.probes.drain(..).map(Action::HealthCheck));
                 }
             }
             Event::Outcome(o) => self.outcome(&o, actions),
-            Event::Gone(id) => {
+            Event::ClientDisconnected(id) => {
                 self.open.remove(&id);
             }
-            Event::Probed { upstream, ending, elapsed, report } => {
+            Event::HealthChecked { upstream, ending, elapsed, report } => {
                 let report = report.filter(|_| ending == Ending::Delivered);
                 self.picker.probed(&self.view, upstream, report, elapsed);
             }
--- a/crates/testing/load-simulator/src/world.rs
+++ b/crates/testing/load-simulator/src/world.rs
@@ -103,16 +103,16 @@
     fn send(&mut self, id: RequestId, attempt: u32, to: UpstreamId) {
         self.0.push(Wish::Send(id, attempt, to));
     }
-    fn withdraw(&mut self, id: RequestId, attempt: u32) {
+    fn cancel(&mut self, id: RequestId, attempt: u32) {
         self.0.push(Wish::Withdraw(id, attempt));
     }
     fn answer(&mut self, id: RequestId, answer: Answer) {
         self.0.push(Wish::Answer(id, answer));
     }
-    fn probe(&mut self, node: UpstreamId) {
+    fn health_check(&mut self, node: UpstreamId) {
         self.0.push(Wish::Probe(node));
     }
-    fn watch(&mut self) {
+    fn subscribe(&mut self) {
         self.0.push(Wish::Watch);
     }
     fn set_timer(&mut self, at: f64, timer: Timer) {
@@ -504,7 +504,7 @@
                     let elapsed = seconds(now - sent);
                     let report = report.map(|r| *r);
                     self.with(sidecar, |dispatcher, now, transport| {
-                        dispatcher.probed(
+                        dispatcher.health_check_ended(
                             now,
                             UpstreamId(u64::from(node)),
                             ending,
--- a/crates/testing/load-simulator/src/world/attempts.rs
+++ b/crates/testing/load-simulator/src/world/attempts.rs
@@ -241,8 +241,8 @@
         let held_back = if self.wanted.mutant == Mutant::Late { nanos(0.1) } else { 0 };
         let note = match answer {
             Answer::Served { .. } => Note::Served,
-            Answer::Refused { .. } => Note::Refused,
-            Answer::Failed { .. } | Answer::Faulty => Note::Failed,
+            Answer::Rejected { .. } => Note::Refused,
+            Answer::Failed { .. } | Answer::Invalid => Note::Failed,
         };
         self.observer.answered(now + held_back, id, note);
         let Some(r) = self.request(id) else { return };
@@ -257,7 +257,7 @@
                 let delay = self.net.delay(zone, zone) + held_back;
                 let (heard, cause) = match (answer, last) {
                     (Answer::Served { .. }, _) => (Heard::Served, None),
-                    (Answer::Refused { retry_after }, ending) => (
+                    (Answer::Rejected { retry_after }, ending) => (
                         Heard::Refused(retry_after),
                         Some(match ending {
                             _ if !sent => Cause::RefusedUnsent,
--- a/crates/testing/load-simulator/src/world/callers.rs
+++ b/crates/testing/load-simulator/src/world/callers.rs
@@ -141,7 +141,9 @@
         let (sidecar, taken) = (r.sidecar, r.taken);
         if taken {
             self.observer.gone(now, id);
-            self.with(sidecar, |dispatcher, now, transport| dispatcher.gone(now, RequestId(id), transport));
+            self.with(sidecar, |dispatcher, now, transport| {
+                dispatcher.client_disconnected(now, RequestId(id), transport)
+            });
         }
         self.forget(id);
     }
