--- a/crates/router/data-plane/src/balancer/round_robin.rs
+++ b/crates/router/data-plane/src/balancer/round_robin.rs
@@ -1,10 +1,10 @@
 //! Smooth weighted round robin among endpoints, with preference for the own zone.
 //!
 //! The turn itself (current weights grow by the weight, the winner pays the sum) is shared with the sidecar and lives in
-//! `passrelay_load_balancing::turns`; this module sets the weights and the order of the candidates.
+//! `passrelay_load_balancing::weighted_round_robin`; this module sets the weights and the order of the candidates.
 
 use super::endpoint::Endpoint;
-use passrelay_load_balancing::turns::{take_turn, Candidate};
+use passrelay_load_balancing::weighted_round_robin::{select, Candidate};
 use std::collections::HashMap;
 use std::sync::Arc;
 
@@ -38,7 +38,7 @@
     }
 }
 
-/// Picks one of `ids` by weighted turns and advances their current weights. `None` where there are none.
+/// Picks one of `ids` by weighted round robin and advances their current weights. `None` where there are none.
 pub(super) fn pick_by_weight(
     endpoints: &mut HashMap<Arc<str>, Endpoint>,
     ids: &[Arc<str>],
@@ -51,8 +51,8 @@
     let ordered: Vec<Arc<str>> = chosen.iter().map(|(id, _)| (*id).clone()).collect();
     let candidates = chosen.into_iter().enumerate().map(|(index, (_, endpoint))| Candidate {
         item: index,
-        factor: weights.of(endpoint),
-        tally: endpoint.current_weight_mut(),
+        weight: weights.of(endpoint),
+        current_weight: endpoint.current_weight_mut(),
     });
-    take_turn(candidates).map(|index| ordered[index].clone())
+    select(candidates).map(|index| ordered[index].clone())
 }
--- a/crates/sidecar/load-balancing/tests/trace.rs
+++ b/crates/sidecar/load-balancing/tests/trace.rs
@@ -41,24 +41,24 @@
         let kind = match action {
             Action::Send { .. } => 1,
             Action::Cancel { .. } => 2,
-            Action::Refuse { .. } => 3,
+            Action::Reject { .. } => 3,
             Action::Fail { .. } => 4,
             Action::Wake { .. } => 5,
-            Action::Probe(_) => 6,
-            Action::Watch => 7,
+            Action::HealthCheck(_) => 6,
+            Action::Subscribe => 7,
         };
         self.number(kind);
         match *action {
-            Action::Send { id, upstream, patience } => {
+            Action::Send { id, upstream, timeout } => {
                 self.number(id.0);
                 self.number(upstream.0);
-                self.optional(patience);
+                self.optional(timeout);
             }
             Action::Cancel { id, attempt } => {
                 self.number(id.0);
                 self.number(u64::from(attempt));
             }
-            Action::Refuse { id, retry_after } => {
+            Action::Reject { id, retry_after } => {
                 self.number(id.0);
                 self.optional(retry_after);
             }
@@ -67,8 +67,8 @@
                 self.real(after);
                 self.number(token);
             }
-            Action::Probe(upstream) => self.number(upstream.0),
-            Action::Watch => {}
+            Action::HealthCheck(upstream) => self.number(upstream.0),
+            Action::Subscribe => {}
         }
         kind
     }
@@ -151,7 +151,7 @@
         let number = self.next_upstream;
         let started = self.chance.happens(0.5).then_some(self.now as f64 / 1e6);
         let zone = ZoneId((number % 2) as usize);
-        Entry { upstream: UpstreamId(number), zone, cell: number % 3, condition: Condition::On, started }
+        Entry { upstream: UpstreamId(number), zone, cell: number % 3, condition: Condition::Running, started }
     }
 
     fn schedule(&mut self, after: f64, event: Event) {
@@ -192,9 +192,9 @@
                 Event::FullList(list)
             }
             2 | 3 => self.change_of_the_list(),
-            4 if self.next_request > 0 => {
-                Event::Gone(RequestId(self.next_request - self.chance.below(self.next_request.min(20))))
-            }
+            4 if self.next_request > 0 => Event::ClientDisconnected(RequestId(
+                self.next_request - self.chance.below(self.next_request.min(20)),
+            )),
             _ => self.request(),
         }
     }
@@ -205,12 +205,12 @@
             0 => {
                 // A replacement stands at its place.
                 let fresh = self.upstream();
-                let gone = Entry { condition: Condition::Off, ..self.upstreams[at] };
+                let gone = Entry { condition: Condition::Removed, ..self.upstreams[at] };
                 self.upstreams[at] = fresh;
                 return Event::ListChanges(vec![gone, fresh]);
             }
-            1 => Condition::Fading,
-            _ => Condition::On,
+            1 => Condition::Draining,
+            _ => Condition::Running,
         };
         let started = self.chance.happens(0.3).then_some(self.now as f64 / 1e6);
         self.upstreams[at] = Entry { condition: changed, started, ..self.upstreams[at] };
@@ -272,7 +272,7 @@
 
     fn carry_out(&mut self, action: &Action) {
         match *action {
-            Action::Send { id, upstream, patience } => {
+            Action::Send { id, upstream, timeout } => {
                 let attempts = self.attempts.entry(id.0).or_default();
                 let attempt = *attempts;
                 *attempts += 1;
@@ -280,7 +280,7 @@
                 let stuck = upstream.0 % 3 == 0 && self.now / 3_000_000 % 3 == 0;
                 let ending = if stuck { Ending::Expired } else { self.ending(upstream) };
                 let elapsed = if stuck { 3.0 } else { 0.01 + 0.3 * self.chance.part() };
-                let elapsed = elapsed.min(patience.unwrap_or(f64::INFINITY));
+                let elapsed = elapsed.min(timeout.unwrap_or(f64::INFINITY));
                 let (last, report) = (ending == Ending::Delivered, self.report());
                 if last && self.chance.happens(0.1) {
                     self.schedule(elapsed / 2.0, Event::StreamBegan { id, attempt });
@@ -297,16 +297,16 @@
                 }
             }
             Action::Wake { after, token } => self.schedule(after, Event::Wake(token)),
-            Action::Probe(upstream) => {
+            Action::HealthCheck(upstream) => {
                 let (ending, report) = (self.ending(upstream), self.report());
                 let elapsed = 0.002 + 0.02 * self.chance.part();
-                self.schedule(elapsed, Event::Probed { upstream, ending, elapsed, report });
+                self.schedule(elapsed, Event::HealthChecked { upstream, ending, elapsed, report });
             }
-            Action::Watch => {
+            Action::Subscribe => {
                 let list = self.upstreams.clone();
                 self.schedule(0.05, Event::FullList(list));
             }
-            Action::Refuse { .. } | Action::Fail { .. } => {}
+            Action::Reject { .. } | Action::Fail { .. } => {}
         }
     }
 }
@@ -314,9 +314,15 @@
 /// Classes of every kind, tenants, and everything allowed that may be.
 fn rich() -> Settings {
     let keyed = |scope| Effect::Keyed { scope, window: 0.4 };
-    let class = |aim, gain, effect| Class { aim, aim_stretch: 0.5, gain, late_value: 0.2, effect };
+    let class = |latency_target, value, effect| Class {
+        latency_target,
+        latency_target_per_work: 0.5,
+        value,
+        late_value: 0.2,
+        effect,
+    };
     Settings {
-        balancers: 3,
+        instances: 3,
         rank: 1,
         classes: vec![
             class(0.3, 1.0, Effect::Safe),
@@ -325,16 +331,16 @@
             class(0.8, 2.0, keyed(DedupScope::Zone)),
             class(0.8, 0.5, keyed(DedupScope::Cell)),
         ],
-        tenants: vec![Tenant { allowance_per_s: 20.0 }, Tenant { allowance_per_s: f64::INFINITY }],
-        over_share_worth: 0.5,
-        worth_by_work: true,
+        tenants: vec![Tenant { quota_per_s: 20.0 }, Tenant { quota_per_s: f64::INFINITY }],
+        over_quota_value: 0.5,
+        value_by_work: true,
         price_cross_zone: 0.05,
-        price_probe: 0.01,
-        ask_for_list: true,
-        ask_every: 1.0,
-        reports_held: true,
+        price_health_check: 0.01,
+        list_by_subscription: true,
+        list_validity: 1.0,
+        reports_concurrency: true,
         reports_queue: true,
-        probes: true,
+        health_checks: true,
         cancel: true,
         duplicates: true,
         retry_after: true,
@@ -345,7 +351,7 @@
 
 /// Safe calls only, which may be withdrawn and sent elsewhere.
 fn cancelling() -> Settings {
-    Settings { cancel: true, duplicates: true, reports_held: true, ..Settings::default() }
+    Settings { cancel: true, duplicates: true, reports_concurrency: true, ..Settings::default() }
 }
 
 /// All kinds of actions.
--- a/crates/sidecar/proxy/src/sidecar.rs
+++ b/crates/sidecar/proxy/src/sidecar.rs
@@ -155,7 +155,7 @@
         sidecar.apply_node_list(known.unwrap_or(NodeListUpdate { whole: true, ..NodeListUpdate::default() }));
         if !sidecar.connections.discovery.wanted {
             // The list is asked for also where changes come unasked in the simulator: here they never do.
-            passrelay_load_balancing::dispatcher::Transport::watch(&mut sidecar.connections);
+            passrelay_load_balancing::dispatcher::Transport::subscribe(&mut sidecar.connections);
         }
         sidecar.dispatch_events();
         Ok(sidecar)
@@ -230,7 +230,7 @@
     fn is_done(&self) -> bool {
         let late = self.connections.now - self.shutdown_requested_at >= self.end.exits_by;
         self.shutdown_phase == ShutdownPhase::Closed
-            && (late || self.dispatcher.owed() == 0 && self.connections.clients.is_empty())
+            && (late || self.dispatcher.open_requests() == 0 && self.connections.clients.is_empty())
     }
 
     /// Tells the dispatcher what has come up on the connections meanwhile.
@@ -242,15 +242,15 @@
                     self.dispatcher.outcome(now, id, number, ending, None, &mut self.connections);
                 }
                 ConnectionEvent::ProbeOutcome { node, ending } => {
-                    self.dispatcher.probed(now, node, ending, 0.0, None, &mut self.connections);
+                    self.dispatcher.health_check_ended(now, node, ending, 0.0, None, &mut self.connections);
                 }
                 ConnectionEvent::DiscoveryFailed => {
-                    if !self.service.settings.ask_for_list {
+                    if !self.service.settings.list_by_subscription {
                         // Such a module never asks by itself.
                         self.connections.discovery.wanted = true;
                         self.connections.timers.set(now + DISCOVERY_RETRY_S, Timer::Ask);
                     }
-                    self.dispatcher.untold(now, &mut self.connections);
+                    self.dispatcher.discovery_failed(now, &mut self.connections);
                 }
                 ConnectionEvent::DiscoveryRequested => self.discovery_ready(),
                 // Guards against an end that has been overtaken: the slot may have a new attempt by now.
@@ -294,7 +294,7 @@
             Timer::Sweep => {
                 self.connections.sweep_upstreams();
                 self.connections.sweep_clients();
-                if self.lifecycle.sends_idle_away() {
+                if self.lifecycle.closes_idle_connections() {
                     self.connections.close_idle_clients();
                 }
                 if let Some(admin) = self.admin.as_mut() {
@@ -319,17 +319,20 @@
 
     fn figures(&mut self, event: &str) {
         let c = self.dispatcher.counts();
-        let (owed, clients, upstreams) =
-            (self.dispatcher.owed(), self.connections.clients.len(), self.connections.upstreams.len());
+        let (owed, clients, upstreams) = (
+            self.dispatcher.open_requests(),
+            self.connections.clients.len(),
+            self.connections.upstreams.len(),
+        );
         let figures: [(&str, &dyn Display); 11] = [
-            ("taken", &c.taken),
+            ("taken", &c.arrived),
             ("served", &c.served),
-            ("refused", &c.refused),
+            ("refused", &c.rejected),
             ("failed", &c.failed),
-            ("disconnected", &c.gone),
+            ("disconnected", &c.disconnected),
             ("forced", &c.forced),
             ("attempts", &c.attempts),
-            ("unserved_attempts", &c.turned),
+            ("unserved_attempts", &c.unserved_attempts),
             ("pending", &owed),
             ("client_connections", &clients),
             ("node_connections", &upstreams),
--- a/crates/sidecar/proxy/src/sidecar/operators.rs
+++ b/crates/sidecar/proxy/src/sidecar/operators.rs
@@ -2,7 +2,7 @@
 
 use super::{ShutdownPhase, Sidecar};
 use crate::admin::Call;
-use passrelay_load_balancing::lifecycle::Turn;
+use passrelay_load_balancing::lifecycle::Transition;
 
 impl Sidecar {
     /// Tells the connections whether answers end their connections, as the lifecycle and the shift say.
@@ -33,9 +33,9 @@
                 let mut body = serde_json::json!({
                     "name": self.name, "serving": serving, "ready": ready,
                     "standby": self.lifecycle.standby_since().is_some(), "ending": self.shutdown_phase != ShutdownPhase::Serving,
-                    "owed": self.dispatcher.owed(), "clients": self.connections.clients.len(), "node_connections": self.connections.upstreams.len(), "buffers": self.connections.buffers.out,
-                    "taken": c.taken, "served": c.served, "refused": c.refused, "failed": c.failed,
-                    "standbys": self.lifecycle.standbys, "operator_cut_off": admin.cut_off, "generation": self.generation,
+                    "owed": self.dispatcher.open_requests(), "clients": self.connections.clients.len(), "node_connections": self.connections.upstreams.len(), "buffers": self.connections.buffers.out,
+                    "taken": c.arrived, "served": c.served, "refused": c.rejected, "failed": c.failed,
+                    "standbys": self.lifecycle.standby_count, "operator_cut_off": admin.cut_off, "generation": self.generation,
                 });
                 if let Some(fleet) = &self.fleet {
                     body["fleet"] = fleet();
@@ -43,21 +43,28 @@
                 (if serving { 200 } else { 503 }, format!("{body}\n"))
             }
             Call::Standby => {
-                if self.lifecycle.standby(now) == Turn::Changed {
+                if self.lifecycle.standby(now) == Transition::Changed {
                     self.set_closing();
                     self.connections.close_idle_clients();
                     self.connections.log_event(
                         "info",
                         "standby",
-                        &[("pending", &self.dispatcher.owed()), ("clients", &self.connections.clients.len())],
+                        &[
+                            ("pending", &self.dispatcher.open_requests()),
+                            ("clients", &self.connections.clients.len()),
+                        ],
                     );
                 }
                 (200, "{\"standby\":true}\n".to_owned())
             }
             Call::Active => {
-                if self.lifecycle.active() == Turn::Changed {
+                if self.lifecycle.active() == Transition::Changed {
                     self.set_closing();
-                    self.connections.log_event("info", "active", &[("pending", &self.dispatcher.owed())]);
+                    self.connections.log_event(
+                        "info",
+                        "active",
+                        &[("pending", &self.dispatcher.open_requests())],
+                    );
                 }
                 (200, "{\"standby\":false}\n".to_owned())
             }
--- a/crates/sidecar/proxy/src/sidecar/signals.rs
+++ b/crates/sidecar/proxy/src/sidecar/signals.rs
@@ -30,7 +30,7 @@
                 self.connections.log_event(
                     "info",
                     "ending",
-                    &[("signal", &signal), ("pending", &self.dispatcher.owed())],
+                    &[("signal", &signal), ("pending", &self.dispatcher.open_requests())],
                 );
             }
         }
--- a/crates/sidecar/proxy/src/sidecar/upstreams.rs
+++ b/crates/sidecar/proxy/src/sidecar/upstreams.rs
@@ -106,7 +106,7 @@
         match attempt {
             Attempt::Request { id, number } if verdict == Blame::RejectedRequest => {
                 load.into_iter().for_each(|l| self.connections.buffers.give_back(l.buffer));
-                self.dispatcher.turn_back(now, id, number, &mut self.connections);
+                self.dispatcher.reject_invalid(now, id, number, &mut self.connections);
             }
             Attempt::Request { id, number } => {
                 self.connections.load = load;
@@ -114,7 +114,14 @@
             }
             Attempt::Probe { sent } => {
                 self.connections.load = load;
-                self.dispatcher.probed(now, node, ending, now - sent, report, &mut self.connections);
+                self.dispatcher.health_check_ended(
+                    now,
+                    node,
+                    ending,
+                    now - sent,
+                    report,
+                    &mut self.connections,
+                );
             }
         }
         // Not served: the client had left, or it was no answer to serve.
--- a/crates/testing/load-simulator/src/rivals/mod.rs
+++ b/crates/testing/load-simulator/src/rivals/mod.rs
@@ -196,7 +196,7 @@
     }
 
     fn put(&mut self, entry: &Entry) {
-        if entry.condition == Condition::On {
+        if entry.condition == Condition::Running {
             if !self.at.contains_key(&entry.upstream) {
                 self.at.insert(entry.upstream, self.nodes.len());
                 let since = self.now;
@@ -267,7 +267,7 @@
         open.tried.push(to);
         open.out += 1;
         self.picker.sent(&self.view, to);
-        actions.push(Action::Send { id, upstream: to, patience: None });
+        actions.push(Action::Send { id, upstream: to, timeout: None });
         true
     }
 
@@ -276,7 +276,7 @@
         let Some(open) = self.open.remove(&id) else { return };
         let retry_after = self.settings.retry_after.then_some(self.settings.max_retry_after);
         actions.push(if !open.may_have_run || open.effect == Effect::Safe {
-            Action::Refuse { id, retry_after }
+            Action::Reject { id, retry_after }
         } else {
             Action::Fail { id }
         });
@@ -316,7 +316,7 @@
     fn listed(&mut self, entries: &[Entry], actions: &mut Vec<Action>) {
         entries.iter().for_each(|e| self.view.put(e));
         if !std::mem::replace(&mut self.asked, true) {
-            actions.push(Action::Watch);
+            actions.push(Action::Subscribe);
         }
         self.picker.listed(&self.view);
     }
@@ -327,7 +327,7 @@
         self.view.now = now.max(self.view.now);
         match event {
             Event::FullList(entries) => {
-                let on = entries.iter().filter(|e| e.condition == Condition::On).map(|e| e.upstream);
+                let on = entries.iter().filter(|e| e.condition == Condition::Running).map(|e| e.upstream);
                 let on: BTreeSet<UpstreamId> = on.collect();
                 let known = self.view.nodes.iter().map(|n| n.id);
                 let gone: Vec<UpstreamId> = known.filter(|id| !on.contains(id)).collect();
@@ -337,7 +337,7 @@
                         upstream: id,
                         zone,
                         cell,
-                        condition: Condition::Off,
+                        condition: Condition::Removed,
                         started: None,
                     });
                 }
@@ -345,7 +345,7 @@
             }
             Event::ListChanges(entries) => self.listed(&entries, actions),
             Event::ListFailed => actions.push(Action::Wake { after: ASK_AGAIN_S, token: 1 }),
-            Event::Wake(1) => actions.push(Action::Watch),
+            Event::Wake(1) => actions.push(Action::Subscribe),
             Event::Wake(_) | Event::StreamBegan { .. } => {}
             Event::Request { id, class, ttl, .. } => {
                 let effect = self.settings.classes.get(class.0).map_or(Effect::Unsafe, |c| c.effect);
@@ -355,16 +355,16 @@
                 if !self.send(id, actions) {
                     self.end(id, actions);
                 }
-                if self.settings.probes {
+                if self.settings.health_checks {
                     self.picker.probes(&self.view, &mut self.rng, &mut self.probes);
-                    actions.extend(self.probes.drain(..).map(Action::Probe));
+                    actions.extend(self.probes.drain(..).map(Action::HealthCheck));
                 }
             }
             Event::Outcome(o) => self.outcome(&o, actions),
-            Event::Gone(id) => {
+            Event::ClientDisconnected(id) => {
                 self.open.remove(&id);
             }
-            Event::Probed { upstream, ending, elapsed, report } => {
+            Event::HealthChecked { upstream, ending, elapsed, report } => {
                 let report = report.filter(|_| ending == Ending::Delivered);
                 self.picker.probed(&self.view, upstream, report, elapsed);
             }
--- a/crates/testing/load-simulator/src/world.rs
+++ b/crates/testing/load-simulator/src/world.rs
@@ -103,16 +103,16 @@
     fn send(&mut self, id: RequestId, attempt: u32, to: UpstreamId) {
         self.0.push(Wish::Send(id, attempt, to));
     }
-    fn withdraw(&mut self, id: RequestId, attempt: u32) {
+    fn cancel(&mut self, id: RequestId, attempt: u32) {
         self.0.push(Wish::Withdraw(id, attempt));
     }
     fn answer(&mut self, id: RequestId, answer: Answer) {
         self.0.push(Wish::Answer(id, answer));
     }
-    fn probe(&mut self, node: UpstreamId) {
+    fn health_check(&mut self, node: UpstreamId) {
         self.0.push(Wish::Probe(node));
     }
-    fn watch(&mut self) {
+    fn subscribe(&mut self) {
         self.0.push(Wish::Watch);
     }
     fn set_timer(&mut self, at: f64, timer: Timer) {
@@ -315,7 +315,8 @@
                     world.add_node(tier, kind, zone, None);
                 }
             }
-            let lines: Vec<Line> = world.tiers[tier].iter().map(|n| world.line(*n, Condition::On)).collect();
+            let lines: Vec<Line> =
+                world.tiers[tier].iter().map(|n| world.line(*n, Condition::Running)).collect();
             world.lists.push(Discovery::new(&e.discovery, lines.into_iter()));
         }
         world.first_list = world.lists[0].tell(None);
@@ -383,7 +384,7 @@
             settings.classes.iter_mut().for_each(|c| c.effect = passrelay_load_balancing::Effect::Safe);
         }
         let decider = self.policy.decider(&settings, seed, &self.streams, &self.sights);
-        Ok(Dispatcher::round(decider.map_err(RunError::Settings)?, &settings))
+        Ok(Dispatcher::with_decider(decider.map_err(RunError::Settings)?, &settings))
     }
 
     fn balancers(&self, tier: usize) -> usize {
@@ -503,7 +504,7 @@
                     let elapsed = seconds(now - sent);
                     let report = report.map(|r| *r);
                     self.with(sidecar, |dispatcher, now, transport| {
-                        dispatcher.probed(
+                        dispatcher.health_check_ended(
                             now,
                             UpstreamId(u64::from(node)),
                             ending,
