--- a/crates/testing/cluster-simulation/src/disk.rs
+++ b/crates/testing/cluster-simulation/src/disk.rs
@@ -1,101 +1,116 @@
-//! A member's disk: writes take time, and what was not synced may be lost with power.
+//! A voter's disk: a write takes time, and what was not synced may be lost with power.
+//!
+//! A disk knows nothing of the protocol beyond the two records that it stores. Its mutations break the contract that the
+//! protocol relies on, each in one way, so that the checker can be tested.
 
 use passrelay_control_plane::replication::{DurableState, DurableWrite, MemberId, WriteId};
 use rand::Rng;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// A write that is under way.
+/// How much later than acknowledged a write is synced under `DiskMutation::AcknowledgesBeforeSync`.
+const LATE_SYNC: Duration = Duration::from_millis(400);
+
+/// A write in flight.
 #[derive(Debug)]
-struct Pending {
+struct PendingWrite {
     write_id: WriteId,
     write: DurableWrite,
     done_at: Duration,
 }
 
-/// How a disk is made to break its promises; each of these has to be found by the checker.
+/// How a disk breaks its contract; the checker has to detect each of these.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiskMutation {
-    /// A write is told as done before it is synced.
+    /// A write is acknowledged before it is synced.
     AcknowledgesBeforeSync,
-    /// A wiped machine keeps its identity.
+    /// A wiped machine keeps its member id.
     KeepsIdentityWhenWiped,
-    /// What the witness has stored is lost at each restart.
+    /// The witness' promise is lost at each restart.
     ForgetsWitness,
-    /// Taken orders are lost at each restart.
+    /// The log of applied changes is lost at each restart.
     DropsAppliedChanges,
-    /// That the machine was started with the whole system is forgotten when its process ends.
+    /// That the disk took part in the cluster's bootstrap is lost at each restart.
     ForgetsBootstrap,
 }
 
+/// What a process finds on its disk when it starts.
+#[derive(Debug)]
+pub struct OpenedDisk {
+    /// The member id.
+    pub identity: MemberId,
+    /// Whether the disk was first used in the cluster's bootstrap.
+    pub bootstrap: bool,
+    /// The synced records.
+    pub state: DurableState,
+}
+
 /// The disk of one machine.
 #[derive(Debug)]
 pub struct Disk {
     identity: MemberId,
-    /// Whether this disk was first used when the whole system was started; unknown before that.
-    founding: Option<bool>,
+    /// Whether this disk was first used in the cluster's bootstrap; `None` before its first use.
+    bootstrap: Option<bool>,
     synced: DurableState,
-    pending: VecDeque<Pending>,
-    mutant: Option<DiskMutation>,
+    /// Writes in flight, in the order in which they end.
+    pending: VecDeque<PendingWrite>,
+    mutation: Option<DiskMutation>,
     /// Time that a sync takes.
     pub latency: Duration,
-    /// Nothing ends before this time.
+    /// No write that is submitted ends before this time.
     pub stalled_until: Duration,
-    /// Writes are refused before this time.
+    /// Writes that end before this time fail.
     pub full_until: Duration,
 }
 
 impl Disk {
-    /// An empty disk.
-    pub fn new(rng: &mut impl Rng, latency: Duration, mutant: Option<DiskMutation>) -> Self {
+    /// An empty disk with a random member id.
+    pub fn new(rng: &mut impl Rng, latency: Duration, mutation: Option<DiskMutation>) -> Self {
         Disk {
             identity: MemberId(rng.random_range(1..u64::MAX)),
-            founding: None,
+            bootstrap: None,
             synced: DurableState::default(),
             pending: VecDeque::new(),
-            mutant,
+            mutation,
             latency,
             stalled_until: Duration::ZERO,
             full_until: Duration::ZERO,
         }
     }
 
-    /// Takes a write; returns when it will have ended.
+    /// Submits a write; returns when its end is reported.
     pub fn write(&mut self, now: Duration, write_id: WriteId, write: DurableWrite) -> Duration {
-        let after = self.pending.back().map_or(now, |p| p.done_at.max(now));
-        let done_at = after.max(self.stalled_until) + self.latency;
-        self.pending.push_back(Pending { write_id, write, done_at });
-        match self.mutant {
-            Some(DiskMutation::AcknowledgesBeforeSync) => {
-                // The sync comes much later than it is told.
-                if let Some(last) = self.pending.back_mut() {
-                    last.done_at = done_at + Duration::from_millis(400);
-                }
-                now
-            }
-            _ => done_at,
+        let after = self.pending.back().map_or(now, |pending| pending.done_at.max(now));
+        let reported_at = after.max(self.stalled_until) + self.latency;
+        let early = self.mutation == Some(DiskMutation::AcknowledgesBeforeSync);
+        let done_at = if early { reported_at + LATE_SYNC } else { reported_at };
+        self.pending.push_back(PendingWrite { write_id, write, done_at });
+        if early {
+            now
+        } else {
+            reported_at
         }
     }
 
-    /// A write's time is over. Returns whether it has succeeded; `None` if it was lost with the process.
+    /// Ends a write. Returns whether it has succeeded; `None` if it was lost with the process that submitted it.
     pub fn finish(&mut self, now: Duration, write_id: WriteId) -> Option<bool> {
-        let refused = now < self.full_until;
-        if self.mutant == Some(DiskMutation::AcknowledgesBeforeSync) {
+        let has_space = now >= self.full_until;
+        if self.mutation == Some(DiskMutation::AcknowledgesBeforeSync) {
             self.apply_until(now);
-            return Some(!refused);
+            return Some(has_space);
         }
-        let index = self.pending.iter().position(|p| p.write_id == write_id)?;
+        let index = self.pending.iter().position(|pending| pending.write_id == write_id)?;
         let pending = self.pending.remove(index)?;
-        if !refused {
+        if has_space {
             self.apply(pending.write);
         }
-        Some(!refused)
+        Some(has_space)
     }
 
-    /// The process ends or power is lost: of the writes under way, a random number was done.
+    /// The process ends or power is lost: of the writes in flight, a random number is synced, the oldest first.
     pub fn crash(&mut self, now: Duration, rng: &mut impl Rng) {
         self.apply_until(now);
-        let early = self.mutant == Some(DiskMutation::AcknowledgesBeforeSync);
+        let early = self.mutation == Some(DiskMutation::AcknowledgesBeforeSync);
         let done = if early { 0 } else { rng.random_range(0..=self.pending.len()) };
         for pending in std::mem::take(&mut self.pending).into_iter().take(done) {
             self.apply(pending.write);
@@ -106,18 +121,18 @@
     pub fn wipe(&mut self, rng: &mut impl Rng) {
         self.pending.clear();
         self.synced = DurableState::default();
-        self.founding = None;
-        if self.mutant != Some(DiskMutation::KeepsIdentityWhenWiped) {
+        self.bootstrap = None;
+        if self.mutation != Some(DiskMutation::KeepsIdentityWhenWiped) {
             self.identity = MemberId(rng.random_range(1..u64::MAX));
         }
     }
 
-    /// What a process finds when it starts: its identity, whether the disk was first used when the whole system was
-    /// started, and the rest.
-    pub fn open(&mut self, bootstrap: bool) -> (MemberId, bool, DurableState) {
-        let kept = *self.founding.get_or_insert(bootstrap);
-        let founding = if self.mutant == Some(DiskMutation::ForgetsBootstrap) { bootstrap } else { kept };
-        match self.mutant {
+    /// What a process that starts finds; `bootstrap` says whether its machine takes part in the cluster's bootstrap now,
+    /// and is stored if the disk was never used.
+    pub fn open(&mut self, bootstrap: bool) -> OpenedDisk {
+        let stored = *self.bootstrap.get_or_insert(bootstrap);
+        let forgets = self.mutation == Some(DiskMutation::ForgetsBootstrap);
+        match self.mutation {
             Some(DiskMutation::ForgetsWitness) => {
                 if let Some(record) = &self.synced.witness.record {
                     // The record stays, so that the member takes part; the promise is gone.
@@ -128,11 +143,15 @@
             Some(DiskMutation::DropsAppliedChanges) => self.synced.state.applied_changes.clear(),
             _ => {}
         }
-        (self.identity, founding, self.synced.clone())
+        OpenedDisk {
+            identity: self.identity,
+            bootstrap: if forgets { bootstrap } else { stored },
+            state: self.synced.clone(),
+        }
     }
 
     fn apply_until(&mut self, now: Duration) {
-        while self.pending.front().is_some_and(|p| p.done_at <= now) {
+        while self.pending.front().is_some_and(|pending| pending.done_at <= now) {
             if let Some(pending) = self.pending.pop_front() {
                 self.apply(pending.write);
             }
--- a/crates/testing/cluster-simulation/src/failover.rs
+++ b/crates/testing/cluster-simulation/src/failover.rs
@@ -54,9 +54,9 @@
             cluster.wipe(primary);
             cluster.start_after(primary, Duration::from_millis(300));
         }
-        PrimaryLoss::Cut => cluster.cut_off(primary),
-        PrimaryLoss::Freeze => cluster.freeze(primary, GIVE_UP),
-        PrimaryLoss::DiskStall => cluster.stall(primary, GIVE_UP),
+        PrimaryLoss::Cut => cluster.isolate(primary),
+        PrimaryLoss::Freeze => cluster.pause(primary, GIVE_UP),
+        PrimaryLoss::DiskStall => cluster.stall_disk(primary, GIVE_UP),
         PrimaryLoss::CrashOfAll => {
             for machine in 0..cluster.len() {
                 cluster.crash(machine);
--- a/crates/testing/cluster-simulation/src/faults.rs
+++ b/crates/testing/cluster-simulation/src/faults.rs
@@ -1,6 +1,6 @@
 //! Random faults of machines, within what is tolerated.
 
-use crate::cluster::Cluster;
+use crate::cluster::{Cluster, PartitionDirection};
 use rand::seq::{IndexedRandom, SliceRandom};
 use rand::Rng;
 use std::collections::BTreeMap;
@@ -96,7 +96,7 @@
             }
         }
         for machine in due {
-            cluster.join(machine);
+            cluster.heal(machine);
         }
         for machine in take_due(&mut self.losing_disk, now) {
             cluster.crash(machine);
@@ -104,7 +104,7 @@
             cluster.start_after(machine, Duration::from_millis(300));
         }
         for machine in take_due(&mut self.returning, now) {
-            cluster.bring_back(machine);
+            cluster.restore(machine);
             cluster.start_after(machine, Duration::ZERO);
         }
     }
@@ -120,7 +120,7 @@
         if !self.may_lose(cluster, machine, span) {
             return;
         }
-        let counts = cluster.counts(machine);
+        let counts = cluster.is_voter(machine);
         let may_lose_disk = !counts || self.may_lose_disk();
         match cluster.rng.random_range(0..9) {
             0 | 1 => {
@@ -135,9 +135,9 @@
                     self.lose_disk(machine, cluster.now() + span);
                 }
             }
-            3 => cluster.freeze(machine, span),
-            4 => cluster.stall(machine, span),
-            5 => cluster.fill(machine, span),
+            3 => cluster.pause(machine, span),
+            4 => cluster.stall_disk(machine, span),
+            5 => cluster.fill_disk(machine, span),
             6 | 7 => self.cut(cluster, machine, span),
             8 if counts && may_lose_disk => self.replace(cluster, machine, span),
             _ => {}
@@ -157,16 +157,11 @@
         members.truncate(size);
         members.retain(|m| self.may_lose(cluster, *m, span));
         if cluster.rng.random_bool(0.4) {
-            members.iter().for_each(|m| cluster.freeze(*m, span));
+            members.iter().for_each(|m| cluster.pause(*m, span));
             return;
         }
-        for member in &members {
-            for other in (0..cluster.len()).filter(|m| !members.contains(m)) {
-                cluster.cut(*member, other);
-                cluster.cut(other, *member);
-            }
-            self.healing.push((cluster.now() + span, *member));
-        }
+        cluster.partition(&members, &cluster.all_except(&members), PartitionDirection::Both);
+        self.healing.extend(members.iter().map(|member| (cluster.now() + span, *member)));
     }
 
     /// A long cut of counted machines, the primary most often among them, whatever is tolerated: no disk is lost. Now and
@@ -174,7 +169,7 @@
     pub fn inject_long_cut(&mut self, cluster: &mut Cluster) {
         let span = Duration::from_millis(cluster.rng.random_range(6_000..25_000));
         let mut counted: Vec<usize> =
-            (0..cluster.len()).filter(|m| cluster.counts(*m) && cluster.runs(*m)).collect();
+            (0..cluster.len()).filter(|m| cluster.is_voter(*m) && cluster.runs(*m)).collect();
         if counted.len() < 2 || !self.healing.is_empty() {
             return;
         }
@@ -189,15 +184,9 @@
         let others: Vec<usize> = (0..cluster.len())
             .filter(|m| !inside.contains(m) && (all_others || outside.contains(m)))
             .collect();
-        let (away, back) = [(true, true), (true, false), (false, true)][cluster.rng.random_range(0..3)];
-        for (one, other) in inside.iter().flat_map(|one| others.iter().map(move |other| (*one, *other))) {
-            if away {
-                cluster.cut(one, other);
-            }
-            if back {
-                cluster.cut(other, one);
-            }
-        }
+        let direction = [PartitionDirection::Both, PartitionDirection::Outbound, PartitionDirection::Inbound]
+            [cluster.rng.random_range(0..3)];
+        cluster.partition(inside, &others, direction);
         let until = cluster.now() + span;
         self.hold_up_until(until);
         self.healing.extend(inside.iter().map(|m| (until, *m)));
@@ -224,9 +213,9 @@
         let stall = Duration::from_millis(cluster.rng.random_range(200..500));
         let Some(primary) = cluster.primary().filter(|primary| *primary != machine) else { return };
         if self.may_lose(cluster, primary, stall) {
-            cluster.stall(primary, stall);
+            cluster.stall_disk(primary, stall);
         }
-        if !cluster.counts(machine) {
+        if !cluster.is_voter(machine) {
             let pause = Duration::from_millis(cluster.rng.random_range(5..40));
             restart(cluster, machine, pause);
         }
@@ -241,8 +230,8 @@
         let stall = Duration::from_millis(cluster.rng.random_range(2_000..5_000));
         let until = cluster.now() + stall;
         for machine in (0..cluster.len()).filter(|m| *m != primary) {
-            if cluster.counts(machine) {
-                cluster.stall(machine, stall);
+            if cluster.is_voter(machine) {
+                cluster.stall_disk(machine, stall);
                 self.lost.insert(machine, until + self.catch_up);
             }
         }
@@ -263,14 +252,9 @@
         let (one_part, other_part) = machines.split_at(cluster.rng.random_range(1..machines.len()));
         let until = cluster.now() + span;
         self.hold_up_until(until);
-        for one in one_part {
-            for other in other_part {
-                cluster.cut(*one, *other);
-                cluster.cut(*other, *one);
-            }
-            self.healing.push((until, *one));
-        }
-        for machine in machines.iter().filter(|m| cluster.counts(**m)) {
+        cluster.partition(one_part, other_part, PartitionDirection::Both);
+        self.healing.extend(one_part.iter().map(|machine| (until, *machine)));
+        for machine in machines.iter().filter(|m| cluster.is_voter(**m)) {
             self.lost.insert(*machine, until + self.catch_up);
         }
     }
@@ -278,7 +262,7 @@
     /// A machine is dark for long and loses its place to a newcomer; later it comes back with its disk.
     pub fn inject_return(&mut self, cluster: &mut Cluster) {
         let counted: Vec<usize> =
-            (0..cluster.len()).filter(|m| cluster.counts(*m) && cluster.runs(*m)).collect();
+            (0..cluster.len()).filter(|m| cluster.is_voter(*m) && cluster.runs(*m)).collect();
         let Some(machine) = counted.choose(&mut cluster.rng).copied() else { return };
         let span = Duration::from_millis(cluster.rng.random_range(1_000..3_000));
         if !self.may_lose_disk() || !self.may_lose(cluster, machine, span) {
@@ -295,10 +279,10 @@
         let until = cluster.now() + dark + self.catch_up;
         self.hold_up_until(cluster.now() + dark + Duration::from_millis(300));
         for machine in 0..cluster.len() {
-            if cluster.runs(machine) && (everybody || cluster.counts(machine)) {
+            if cluster.runs(machine) && (everybody || cluster.is_voter(machine)) {
                 let apart = Duration::from_millis(cluster.rng.random_range(0..300));
                 restart(cluster, machine, dark + apart);
-                if cluster.counts(machine) {
+                if cluster.is_voter(machine) {
                     self.lost.insert(machine, until + apart);
                 }
             }
@@ -307,7 +291,7 @@
 
     /// Whether a machine may have a fault of this length; it is in the books from then on.
     fn may_lose(&mut self, cluster: &Cluster, machine: usize, span: Duration) -> bool {
-        let counts = cluster.counts(machine);
+        let counts = cluster.is_voter(machine);
         if counts && (self.lost.len() >= self.tolerated || self.lost.contains_key(&machine)) {
             return false;
         }
@@ -320,19 +304,12 @@
     }
 
     fn cut(&mut self, cluster: &mut Cluster, machine: usize, span: Duration) {
-        let (away, back) = match cluster.rng.random_range(0..3) {
-            0 => (true, false),
-            1 => (false, true),
-            _ => (true, true),
+        let direction = match cluster.rng.random_range(0..3) {
+            0 => PartitionDirection::Outbound,
+            1 => PartitionDirection::Inbound,
+            _ => PartitionDirection::Both,
         };
-        for other in (0..cluster.len()).filter(|m| *m != machine) {
-            if away {
-                cluster.cut(machine, other);
-            }
-            if back {
-                cluster.cut(other, machine);
-            }
-        }
+        cluster.partition(&[machine], &cluster.all_except(&[machine]), direction);
         self.healing.push((cluster.now() + span, machine));
     }
 
--- a/crates/testing/cluster-simulation/src/history.rs
+++ b/crates/testing/cluster-simulation/src/history.rs
@@ -230,7 +230,7 @@
     /// Hundreds of changes in a row, a machine dark through them; when it is back it holds the newest state in time.
     fn many_changes(&mut self) {
         let changes = if self.settings.cluster.seed % 8 == 0 { 1_500 } else { 300 };
-        let dark = (0..self.cluster.len()).filter(|m| self.cluster.counts(*m)).collect::<Vec<_>>();
+        let dark = (0..self.cluster.len()).filter(|m| self.cluster.is_voter(*m)).collect::<Vec<_>>();
         let dark = dark.choose(&mut self.cluster.rng).copied().unwrap_or(0);
         self.cluster.crash(dark);
         self.lost_answers = LOST_ANSWERS_OF_MANY;
@@ -444,7 +444,7 @@
                 continue;
             }
             self.cluster.crash(machine);
-            if wiped > 0 && self.cluster.counts(machine) && self.cluster.rng.random_bool(0.6) {
+            if wiped > 0 && self.cluster.is_voter(machine) && self.cluster.rng.random_bool(0.6) {
                 self.cluster.wipe(machine);
                 wiped -= 1;
             }
--- a/crates/testing/cluster-simulation/tests/histories.rs
+++ b/crates/testing/cluster-simulation/tests/histories.rs
@@ -174,5 +174,5 @@
 #[case(DiskMutation::DropsAppliedChanges, Scenario::Mixed)]
 #[case(DiskMutation::ForgetsBootstrap, Scenario::Bootstrap)]
 fn a_broken_disk_is_found_out(#[case] mutant: DiskMutation, #[case] scenario: Scenario) {
-    is_found_out(&format!("{mutant:?}"), scenario, |cluster| cluster.mutant = Some(mutant));
+    is_found_out(&format!("{mutant:?}"), scenario, |cluster| cluster.disk_mutation = Some(mutant));
 }
