--- a/crates/testing/cluster-simulation/src/faults.rs
+++ b/crates/testing/cluster-simulation/src/faults.rs
@@ -1,353 +1,212 @@
-//! Random faults of machines, within what is tolerated.
+//! Random faults of machines, disks and the network.
+//!
+//! `FaultInjector::inject` draws one fault of one machine within what the cluster tolerates; the methods in `correlated`
+//! inject faults of several machines. `FaultInjector::heal` has to be called as time passes: it ends partitions and injects
+//! what was planned for later. Crashes, pauses and disk faults end by themselves.
+
+mod budget;
+mod correlated;
 
 use crate::cluster::{Cluster, PartitionDirection};
-use rand::seq::{IndexedRandom, SliceRandom};
+use budget::LossBudget;
+use rand::seq::IndexedRandom;
 use rand::Rng;
-use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Injects faults and takes those back that end after a time.
-pub struct FaultInjector {
-    /// Counted machines that may be lost at one time.
-    tolerated: usize,
-    /// A lost machine counts as lost for this long after its return.
-    catch_up: Duration,
-    /// Counted machines that are lost, until when.
-    lost: BTreeMap<usize, Duration>,
-    /// Disks that are lost, until their successors hold everything. Never more than tolerated, however losses overlap.
-    disks_lost: BTreeMap<usize, Duration>,
-    /// Disks that may still be lost at all; `None` for no such bound.
-    disk_losses_left: Option<usize>,
-    /// Cuts, and when they end.
-    healing: Vec<(Duration, usize)>,
-    /// Machines whose processes are killed just after the next cut has healed.
-    killed_at_healing: Vec<usize>,
-    /// Machines that lose their disks, and when.
-    losing_disk: Vec<(Duration, usize)>,
-    /// Machines that were replaced and come back with their disks, and when.
-    returning: Vec<(Duration, usize)>,
-    /// The last time at which any machine had a fault, by machine.
-    troubled_until: BTreeMap<usize, Duration>,
+/// How long a machine that crashes on a plan, rather than by a draw, is down.
+const PLANNED_RESTART_DELAY: Duration = Duration::from_millis(300);
+
+/// A fault of one machine.
+#[derive(Clone, Copy, Debug)]
+enum MachineFault {
+    /// The process ends and starts again later.
+    Crash,
+    /// The same, and the disk is lost.
+    Wipe,
+    /// The machine stands still.
+    Pause,
+    /// No write ends.
+    DiskStall,
+    /// All writes fail.
+    DiskFull,
+    /// A partition from all other machines, in one or both directions.
+    Partition,
+    /// The machine is gone; an empty one comes at another address. Voters only.
+    Replace,
 }
 
-impl FaultInjector {
-    /// An injector of a cluster that tolerates so many losses at one time.
-    pub fn new(tolerated: usize, catch_up: Duration) -> Self {
-        FaultInjector {
-            tolerated,
-            catch_up,
-            lost: BTreeMap::new(),
-            disks_lost: BTreeMap::new(),
-            disk_losses_left: None,
-            healing: Vec::new(),
-            killed_at_healing: Vec::new(),
-            losing_disk: Vec::new(),
-            returning: Vec::new(),
-            troubled_until: BTreeMap::new(),
-        }
+/// Faults of one machine as often as they are injected, relative to each other.
+const MACHINE_FAULTS: [MachineFault; 9] = [
+    MachineFault::Crash,
+    MachineFault::Crash,
+    MachineFault::Wipe,
+    MachineFault::Pause,
+    MachineFault::DiskStall,
+    MachineFault::DiskFull,
+    MachineFault::Partition,
+    MachineFault::Partition,
+    MachineFault::Replace,
+];
+
+/// Machines to which something happens at planned times.
+#[derive(Default)]
+struct Plan {
+    entries: Vec<PlanEntry>,
+}
+
+struct PlanEntry {
+    at: Duration,
+    machine: usize,
+}
+
+impl Plan {
+    fn push(&mut self, at: Duration, machine: usize) {
+        self.entries.push(PlanEntry { at, machine });
     }
 
-    /// Losses that may be added now, also of disks.
-    pub fn left(&self) -> usize {
-        self.tolerated.saturating_sub(self.lost.len().max(self.disks_lost.len()))
+    fn is_empty(&self) -> bool {
+        self.entries.is_empty()
     }
 
-    /// Nothing is in touch with everything else before a time: what returned lately has to catch up after it.
-    fn hold_up_until(&mut self, until: Duration) {
-        for lost in self.lost.values_mut().chain(self.disks_lost.values_mut()) {
-            *lost = (*lost).max(until + self.catch_up);
-        }
+    /// Takes out the machines that are due, in the order in which they were planned.
+    fn take_due(&mut self, now: Duration) -> Vec<usize> {
+        let due = self.entries.iter().filter(|entry| entry.at <= now).map(|entry| entry.machine).collect();
+        self.entries.retain(|entry| entry.at > now);
+        due
     }
+}
 
-    /// Bounds how many more disks may be lost, at whatever times.
-    pub fn bound_disk_losses(&mut self, left: Option<usize>) {
-        self.disk_losses_left = left;
+/// Injects faults and ends those that don't end by themselves.
+pub struct FaultInjector {
+    budget: LossBudget,
+    /// Ends of partitions.
+    healing: Plan,
+    /// Machines that crash just before the next partition heals.
+    crashing_at_healing: Vec<usize>,
+    /// Losses of disks.
+    disk_losses: Plan,
+    /// Returns of replaced machines with their disks.
+    returns: Plan,
+}
+
+impl FaultInjector {
+    /// An injector for a cluster that tolerates so many losses of voters at the same time. A lost voter counts as lost for
+    /// `catch_up` after its return.
+    pub fn new(tolerated: usize, catch_up: Duration) -> Self {
+        FaultInjector {
+            budget: LossBudget::new(tolerated, catch_up),
+            healing: Plan::default(),
+            crashing_at_healing: Vec::new(),
+            disk_losses: Plan::default(),
+            returns: Plan::default(),
+        }
     }
 
-    fn may_lose_disk(&self) -> bool {
-        self.disks_lost.len() < self.tolerated && self.disk_losses_left != Some(0)
+    /// Further voters that may be lost now, with their disks.
+    pub fn losses_left(&self) -> usize {
+        self.budget.left()
     }
 
-    /// A disk is lost now, and its machine, or the one that follows it, is back at a time.
-    fn lose_disk(&mut self, machine: usize, back: Duration) {
-        self.disks_lost.insert(machine, back + self.catch_up);
-        self.disk_losses_left = self.disk_losses_left.map(|left| left.saturating_sub(1));
+    /// Bounds how many more disks may be lost, at whatever times; `None` removes the bound.
+    pub fn bound_disk_losses(&mut self, left: Option<usize>) {
+        self.budget.bound_disk_losses(left);
     }
 
-    /// When everything that is lost now will have come back.
-    pub fn calm_at(&self) -> Duration {
-        self.lost.values().max().copied().unwrap_or_default()
+    /// When all voters that are lost now will have caught up.
+    pub fn recovered_at(&self) -> Duration {
+        self.budget.recovered_at()
     }
 
-    /// When a machine's last fault ends; zero if it had none.
-    pub fn troubled_until(&self, machine: usize) -> Duration {
-        self.troubled_until.get(&machine).copied().unwrap_or_default()
+    /// When the last fault of a machine ends; zero if it had none.
+    pub fn faulty_until(&self, machine: usize) -> Duration {
+        self.budget.faulty_until(machine)
     }
 
-    /// Ends what is due to end.
+    /// Ends what has to end by now and injects what was planned for now.
     pub fn heal(&mut self, cluster: &mut Cluster) {
         let now = cluster.now();
-        self.lost.retain(|_, until| *until > now);
-        self.disks_lost.retain(|_, until| *until > now);
-        let due = take_due(&mut self.healing, now);
-        if !due.is_empty() {
-            for machine in std::mem::take(&mut self.killed_at_healing) {
-                restart(cluster, machine, Duration::from_millis(300));
+        self.budget.expire(now);
+        let healing = self.healing.take_due(now);
+        if !healing.is_empty() {
+            // Before the partition heals: delayed messages then reach machines that are down.
+            for machine in std::mem::take(&mut self.crashing_at_healing) {
+                restart(cluster, machine, PLANNED_RESTART_DELAY);
             }
         }
-        for machine in due {
+        for machine in healing {
             cluster.heal(machine);
         }
-        for machine in take_due(&mut self.losing_disk, now) {
+        for machine in self.disk_losses.take_due(now) {
             cluster.crash(machine);
             cluster.wipe(machine);
-            cluster.start_after(machine, Duration::from_millis(300));
+            cluster.start_after(machine, PLANNED_RESTART_DELAY);
         }
-        for machine in take_due(&mut self.returning, now) {
+        for machine in self.returns.take_due(now) {
             cluster.restore(machine);
             cluster.start_after(machine, Duration::ZERO);
         }
     }
 
-    /// A fault of a machine, the primary's as often as any other's; none where no more is tolerated.
+    /// Injects a random fault of one machine, in at least half of the cases the primary; none where no further loss is
+    /// tolerated.
     pub fn inject(&mut self, cluster: &mut Cluster) {
-        let machines: Vec<usize> = (0..cluster.len()).filter(|m| cluster.runs(*m)).collect();
-        let Some(mut machine) = machines.choose(&mut cluster.rng).copied() else { return };
+        let running: Vec<usize> = (0..cluster.len()).filter(|machine| cluster.runs(*machine)).collect();
+        let Some(mut machine) = running.choose(&mut cluster.rng).copied() else { return };
         if cluster.rng.random_bool(0.5) {
             machine = cluster.primary().unwrap_or(machine);
         }
-        let span = Duration::from_millis(cluster.rng.random_range(50..4_000));
-        if !self.may_lose(cluster, machine, span) {
+        let duration = Duration::from_millis(cluster.rng.random_range(50..4_000));
+        if !self.budget.reserve(cluster, machine, duration) {
             return;
         }
-        let counts = cluster.is_voter(machine);
-        let may_lose_disk = !counts || self.may_lose_disk();
-        match cluster.rng.random_range(0..9) {
-            0 | 1 => {
+        let is_voter = cluster.is_voter(machine);
+        let may_lose_disk = !is_voter || self.budget.may_lose_disk();
+        match MACHINE_FAULTS[cluster.rng.random_range(0..MACHINE_FAULTS.len())] {
+            MachineFault::Crash => {
                 cluster.crash(machine);
-                cluster.start_after(machine, span);
+                cluster.start_after(machine, duration);
             }
-            2 if may_lose_disk => {
+            MachineFault::Wipe if may_lose_disk => {
                 cluster.crash(machine);
                 cluster.wipe(machine);
-                cluster.start_after(machine, span);
-                if counts {
-                    self.lose_disk(machine, cluster.now() + span);
+                cluster.start_after(machine, duration);
+                if is_voter {
+                    self.budget.record_disk_loss(machine, cluster.now() + duration);
                 }
             }
-            3 => cluster.pause(machine, span),
-            4 => cluster.stall_disk(machine, span),
-            5 => cluster.fill_disk(machine, span),
-            6 | 7 => self.cut(cluster, machine, span),
-            8 if counts && may_lose_disk => self.replace(cluster, machine, span),
-            _ => {}
-        }
-    }
-
-    /// Part of the machines, the primary often among them, is cut off together, or stands still, for longer than any
-    /// grant or freshness lasts.
-    pub fn inject_long(&mut self, cluster: &mut Cluster) {
-        let span = Duration::from_millis(cluster.rng.random_range(4_000..9_000));
-        let size = cluster.rng.random_range(1..=cluster.len() / 2);
-        let mut members: Vec<usize> = (0..cluster.len()).filter(|m| cluster.runs(*m)).collect();
-        members.shuffle(&mut cluster.rng);
-        if let Some(primary) = cluster.primary().filter(|_| cluster.rng.random_bool(0.7)) {
-            members.insert(0, primary);
-        }
-        members.truncate(size);
-        members.retain(|m| self.may_lose(cluster, *m, span));
-        if cluster.rng.random_bool(0.4) {
-            members.iter().for_each(|m| cluster.pause(*m, span));
-            return;
+            MachineFault::Pause => cluster.pause(machine, duration),
+            MachineFault::DiskStall => cluster.stall_disk(machine, duration),
+            MachineFault::DiskFull => cluster.fill_disk(machine, duration),
+            MachineFault::Partition => self.partition(cluster, machine, duration),
+            MachineFault::Replace if is_voter && may_lose_disk => self.replace(cluster, machine, duration),
+            MachineFault::Wipe | MachineFault::Replace => {}
         }
-        cluster.partition(&members, &cluster.all_except(&members), PartitionDirection::Both);
-        self.healing.extend(members.iter().map(|member| (cluster.now() + span, *member)));
     }
 
-    /// A long cut of counted machines, the primary most often among them, whatever is tolerated: no disk is lost. Now and
-    /// then machines on either side are restarted meanwhile, or killed as the cut heals.
-    pub fn inject_long_cut(&mut self, cluster: &mut Cluster) {
-        let span = Duration::from_millis(cluster.rng.random_range(6_000..25_000));
-        let mut counted: Vec<usize> =
-            (0..cluster.len()).filter(|m| cluster.is_voter(*m) && cluster.runs(*m)).collect();
-        if counted.len() < 2 || !self.healing.is_empty() {
-            return;
-        }
-        counted.shuffle(&mut cluster.rng);
-        if let Some(primary) = cluster.primary().filter(|_| cluster.rng.random_bool(0.8)) {
-            counted.retain(|m| *m != primary);
-            counted.insert(0, primary);
-        }
-        let most = if cluster.rng.random_bool(0.4) { counted.len() / 2 } else { 1 };
-        let (inside, outside) = counted.split_at(most.max(1));
-        let all_others = cluster.rng.random_bool(0.4);
-        let others: Vec<usize> = (0..cluster.len())
-            .filter(|m| !inside.contains(m) && (all_others || outside.contains(m)))
-            .collect();
-        let direction = [PartitionDirection::Both, PartitionDirection::Outbound, PartitionDirection::Inbound]
+    fn partition(&mut self, cluster: &mut Cluster, machine: usize, duration: Duration) {
+        let direction = [PartitionDirection::Outbound, PartitionDirection::Inbound, PartitionDirection::Both]
             [cluster.rng.random_range(0..3)];
-        cluster.partition(inside, &others, direction);
-        let until = cluster.now() + span;
-        self.hold_up_until(until);
-        self.healing.extend(inside.iter().map(|m| (until, *m)));
-        for machine in &counted {
-            let trouble = self.troubled_until.entry(*machine).or_default();
-            *trouble = (*trouble).max(until);
-            self.lost.insert(*machine, until + self.catch_up);
-        }
-        match cluster.rng.random_range(0..5) {
-            0 => inside.iter().for_each(|m| restart(cluster, *m, Duration::from_millis(400))),
-            1 => outside.iter().for_each(|m| restart(cluster, *m, Duration::from_millis(400))),
-            2 => self.killed_at_healing = outside.to_vec(),
-            3 if self.may_lose_disk() => {
-                lose_disk_beside_cut(cluster, outside, span);
-                outside.first().iter().for_each(|machine| self.lose_disk(**machine, until));
-            }
-            _ => {}
-        }
-    }
-
-    /// The primary's disk stalls, and a machine that passes operators' calls on to it ends and is back at once: calls of
-    /// its earlier process still wait there.
-    pub fn inject_quick_restart(&mut self, cluster: &mut Cluster, machine: usize) {
-        let stall = Duration::from_millis(cluster.rng.random_range(200..500));
-        let Some(primary) = cluster.primary().filter(|primary| *primary != machine) else { return };
-        if self.may_lose(cluster, primary, stall) {
-            cluster.stall_disk(primary, stall);
-        }
-        if !cluster.is_voter(machine) {
-            let pause = Duration::from_millis(cluster.rng.random_range(5..40));
-            restart(cluster, machine, pause);
-        }
-    }
-
-    /// The disks of all counted machines but the primary stall, whatever is tolerated, and the primary's is lost while
-    /// they do: nothing may have been acknowledged that it alone held.
-    pub fn inject_lone_disk(&mut self, cluster: &mut Cluster) {
-        let Some(primary) = cluster.primary().filter(|_| self.lost.is_empty() && self.may_lose_disk()) else {
-            return;
-        };
-        let stall = Duration::from_millis(cluster.rng.random_range(2_000..5_000));
-        let until = cluster.now() + stall;
-        for machine in (0..cluster.len()).filter(|m| *m != primary) {
-            if cluster.is_voter(machine) {
-                cluster.stall_disk(machine, stall);
-                self.lost.insert(machine, until + self.catch_up);
-            }
-        }
-        let lost_after = Duration::from_millis(cluster.rng.random_range(800..1_800));
-        self.lost.insert(primary, until + self.catch_up);
-        self.lose_disk(primary, until);
-        self.losing_disk.push((cluster.now() + lost_after, primary));
-    }
-
-    /// All machines fall into two parts that hear nothing of each other.
-    pub fn inject_split(&mut self, cluster: &mut Cluster) {
-        if !self.healing.is_empty() {
-            return;
-        }
-        let span = Duration::from_millis(cluster.rng.random_range(500..8_000));
-        let mut machines: Vec<usize> = (0..cluster.len()).collect();
-        machines.shuffle(&mut cluster.rng);
-        let (one_part, other_part) = machines.split_at(cluster.rng.random_range(1..machines.len()));
-        let until = cluster.now() + span;
-        self.hold_up_until(until);
-        cluster.partition(one_part, other_part, PartitionDirection::Both);
-        self.healing.extend(one_part.iter().map(|machine| (until, *machine)));
-        for machine in machines.iter().filter(|m| cluster.is_voter(**m)) {
-            self.lost.insert(*machine, until + self.catch_up);
-        }
-    }
-
-    /// A machine is dark for long and loses its place to a newcomer; later it comes back with its disk.
-    pub fn inject_return(&mut self, cluster: &mut Cluster) {
-        let counted: Vec<usize> =
-            (0..cluster.len()).filter(|m| cluster.is_voter(*m) && cluster.runs(*m)).collect();
-        let Some(machine) = counted.choose(&mut cluster.rng).copied() else { return };
-        let span = Duration::from_millis(cluster.rng.random_range(1_000..3_000));
-        if !self.may_lose_disk() || !self.may_lose(cluster, machine, span) {
-            return;
-        }
-        self.replace(cluster, machine, span);
-        let dark = Duration::from_millis(cluster.rng.random_range(4_000..15_000));
-        self.returning.push((cluster.now() + dark, machine));
-    }
-
-    /// All counted machines, or all machines, are killed or lose power at the same time.
-    pub fn inject_blackout(&mut self, cluster: &mut Cluster, everybody: bool) {
-        let dark = Duration::from_millis(cluster.rng.random_range(100..1_500));
-        let until = cluster.now() + dark + self.catch_up;
-        self.hold_up_until(cluster.now() + dark + Duration::from_millis(300));
-        for machine in 0..cluster.len() {
-            if cluster.runs(machine) && (everybody || cluster.is_voter(machine)) {
-                let apart = Duration::from_millis(cluster.rng.random_range(0..300));
-                restart(cluster, machine, dark + apart);
-                if cluster.is_voter(machine) {
-                    self.lost.insert(machine, until + apart);
-                }
-            }
-        }
-    }
-
-    /// Whether a machine may have a fault of this length; it is in the books from then on.
-    fn may_lose(&mut self, cluster: &Cluster, machine: usize, span: Duration) -> bool {
-        let counts = cluster.is_voter(machine);
-        if counts && (self.lost.len() >= self.tolerated || self.lost.contains_key(&machine)) {
-            return false;
-        }
-        if counts {
-            self.lost.insert(machine, cluster.now() + span + self.catch_up);
-        }
-        let trouble = self.troubled_until.entry(machine).or_default();
-        *trouble = (*trouble).max(cluster.now() + span);
-        true
-    }
-
-    fn cut(&mut self, cluster: &mut Cluster, machine: usize, span: Duration) {
-        let direction = match cluster.rng.random_range(0..3) {
-            0 => PartitionDirection::Outbound,
-            1 => PartitionDirection::Inbound,
-            _ => PartitionDirection::Both,
-        };
         cluster.partition(&[machine], &cluster.all_except(&[machine]), direction);
-        self.healing.push((cluster.now() + span, machine));
+        self.healing.push(cluster.now() + duration, machine);
     }
 
-    /// A machine is gone; an empty one comes at another address.
-    fn replace(&mut self, cluster: &mut Cluster, machine: usize, span: Duration) {
+    /// Replaces a voter by an empty machine, which starts after `down`.
+    fn replace(&mut self, cluster: &mut Cluster, machine: usize, down: Duration) {
         let successor = cluster.replace(machine);
-        self.lose_disk(machine, cluster.now() + span);
-        cluster.start_after(successor, span);
-        if let Some(until) = self.lost.remove(&machine) {
-            self.lost.insert(successor, until);
-        }
+        self.budget.record_disk_loss(machine, cluster.now() + down);
+        cluster.start_after(successor, down);
+        self.budget.move_loss(machine, successor);
     }
 }
 
-/// Takes out the machines whose time has come.
-fn take_due(planned: &mut Vec<(Duration, usize)>, now: Duration) -> Vec<usize> {
-    let due = planned.iter().filter(|(at, _)| *at <= now).map(|(_, machine)| *machine).collect();
-    planned.retain(|(at, _)| *at > now);
-    due
-}
-
-/// A minority misses changes while one of the others loses its disk and the rest are dark for a while.
-fn lose_disk_beside_cut(cluster: &mut Cluster, outside: &[usize], span: Duration) {
-    for (index, machine) in outside.iter().enumerate() {
-        let dark = Duration::from_millis(cluster.rng.random_range(1_000..6_000)).min(span);
-        if cluster.runs(*machine) {
-            cluster.crash(*machine);
-            if index == 0 {
-                cluster.wipe(*machine);
-            }
-            cluster.start_after(*machine, dark);
-        }
-    }
+fn running_voters(cluster: &Cluster) -> Vec<usize> {
+    (0..cluster.len()).filter(|machine| cluster.is_voter(*machine) && cluster.runs(*machine)).collect()
 }
 
-fn restart(cluster: &mut Cluster, machine: usize, pause: Duration) {
+/// Crashes a machine that runs, and starts it after a delay.
+fn restart(cluster: &mut Cluster, machine: usize, delay: Duration) {
     if cluster.runs(machine) {
         cluster.crash(machine);
-        cluster.start_after(machine, pause);
+        cluster.start_after(machine, delay);
     }
 }
--- a/crates/testing/cluster-simulation/src/history.rs
+++ b/crates/testing/cluster-simulation/src/history.rs
@@ -177,13 +177,13 @@
         }
         match self.settings.scenario {
             Scenario::LongCuts if self.cluster.rng.random_bool(0.01) => {
-                self.faults.inject_long_cut(&mut self.cluster);
+                self.faults.inject_long_partition(&mut self.cluster);
             }
             Scenario::Repairs if self.cluster.rng.random_bool(0.02) => {
-                self.faults.inject_return(&mut self.cluster);
+                self.faults.inject_returning_voter(&mut self.cluster);
             }
             Scenario::Repairs if self.cluster.rng.random_bool(0.006) => {
-                self.faults.inject_lone_disk(&mut self.cluster);
+                self.faults.inject_only_replica_loss(&mut self.cluster);
             }
             Scenario::Races if self.cluster.rng.random_bool(0.04) => {
                 self.faults.inject_quick_restart(&mut self.cluster, self.favourite);
@@ -193,7 +193,7 @@
             }
             Scenario::Repairs | Scenario::Races if self.cluster.rng.random_bool(0.004) => {
                 let everybody = self.cluster.rng.random_bool(0.5);
-                self.faults.inject_blackout(&mut self.cluster, everybody);
+                self.faults.inject_outage(&mut self.cluster, everybody);
             }
             _ => {}
         }
@@ -207,10 +207,10 @@
         while self.cluster.now() < until {
             if self.cluster.rng.random_bool(0.1) {
                 let everybody = self.cluster.rng.random_bool(0.3);
-                self.faults.inject_blackout(&mut self.cluster, everybody);
+                self.faults.inject_outage(&mut self.cluster, everybody);
             }
             if self.cluster.rng.random_bool(0.05) {
-                self.faults.inject_split(&mut self.cluster);
+                self.faults.inject_network_split(&mut self.cluster);
             }
             if self.cluster.rng.random_bool(0.15) {
                 self.faults.inject(&mut self.cluster);
@@ -222,7 +222,7 @@
             self.advance(next);
         }
         // Faults of this time may overlap beyond the tolerance: everything has to come back before others begin.
-        let calm = self.faults.calm_at().max(self.cluster.now()) + LEAD;
+        let calm = self.faults.recovered_at().max(self.cluster.now()) + LEAD;
         self.advance(calm);
         self.faults.bound_disk_losses(None);
     }
@@ -432,13 +432,13 @@
     fn final_fault(&mut self) {
         // In half of the histories what was lost before has come back.
         if self.cluster.rng.random_bool(0.5) {
-            let calm = self.faults.calm_at().max(self.cluster.now());
+            let calm = self.faults.recovered_at().max(self.cluster.now());
             self.advance(calm + Duration::from_millis(100));
         }
         self.order();
         let until = self.cluster.now() + Duration::from_millis(self.cluster.rng.random_range(1..60));
         self.advance(until);
-        let mut wiped = if self.cluster.rng.random_bool(0.5) { self.faults.left() } else { 0 };
+        let mut wiped = if self.cluster.rng.random_bool(0.5) { self.faults.losses_left() } else { 0 };
         for machine in 0..self.cluster.len() {
             if !self.cluster.runs(machine) {
                 continue;
@@ -456,7 +456,7 @@
     /// After the final fault the newest acknowledged configuration has to be read, and a new order be taken.
     fn read_back(&mut self) {
         // What overlaps beyond the tolerance may keep the service resting until all are back.
-        let until = self.faults.calm_at().max(self.cluster.now() + ACKNOWLEDGE_WITHIN);
+        let until = self.faults.recovered_at().max(self.cluster.now() + ACKNOWLEDGE_WITHIN);
         self.advance(until);
         self.last_read = None;
         self.calm = true;
--- a/crates/testing/cluster-simulation/src/limits.rs
+++ b/crates/testing/cluster-simulation/src/limits.rs
@@ -228,7 +228,7 @@
                 self.faults.inject(&mut self.cluster);
             }
             if self.cluster.rng.random_bool(0.002) {
-                self.faults.inject_long(&mut self.cluster);
+                self.faults.inject_group_outage(&mut self.cluster);
             }
         }
         self.beat();
@@ -279,7 +279,7 @@
 
     fn in_touch_since(&self, machine: usize) -> Duration {
         let started = self.cluster.started_at(machine);
-        self.faults.troubled_until(machine).max(started) + IN_TOUCH_AFTER
+        self.faults.faulty_until(machine).max(started) + IN_TOUCH_AFTER
     }
 
     fn random_machine(&mut self) -> Option<usize> {
