--- a/crates/testing/cluster-simulation/src/checker.rs
+++ b/crates/testing/cluster-simulation/src/checker.rs
@@ -1,175 +1,191 @@
-//! What operators and sidecars may never see. Knows nothing of how the system works.
+//! Checks a history of configuration changes for consistency, from what operators and sidecars saw alone.
+//!
+//! Changes are compare-and-set operations: each names the generation that it is based on. The checker demands
+//! linearizability of acknowledged changes and reads, monotonic configurations at each process, and that a rejection has a
+//! cause. It knows nothing of the protocol, and nothing of which machines had faults.
 
 use passrelay_dissemination::CommittedConfiguration;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Names an order of a history, whatever number it carries.
+/// Identifies a change in a history, whatever generation it carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct OrderId(pub u64);
+pub struct ChangeId(pub u64);
 
-/// A configuration as somebody sees it: its number, and the order that brought it.
+/// A configuration as it was observed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct SeenVersion {
-    /// The operators' version number; 0 before the first.
+pub struct ObservedVersion {
+    /// The operators' version number; 0 before the first change.
     pub generation: u64,
-    /// The order; `None` before the first.
-    pub order: Option<OrderId>,
+    /// The change that wrote it; `None` before the first.
+    pub change: Option<ChangeId>,
 }
 
-/// A broken promise.
+/// A violated property.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Violation {
-    /// Two changes on the same version were both acknowledged.
-    BothAcknowledged(OrderId, OrderId),
-    /// A change that was acknowledged was refused when it was sent again.
-    RefusedAgain(OrderId),
-    /// A read that began after an acknowledgement showed an older version.
-    OldRead {
-        /// The generation acknowledged.
+    /// Lost update: two changes based on the same generation were both acknowledged.
+    LostUpdate(ChangeId, ChangeId),
+    /// A retry was not idempotent: a change that was acknowledged was rejected when it was sent again.
+    AcknowledgedThenRejected(ChangeId),
+    /// Stale read: a read that began after a change was acknowledged returned an older generation.
+    StaleRead {
+        /// The generation acknowledged before the read began.
         acknowledged: u64,
         /// The generation read.
         read: u64,
     },
-    /// A read showed another change under the number of the one that was acknowledged.
-    OtherUnderNumber(u64),
-    /// A process went back to an older configuration.
-    WentBack(usize),
-    /// One index held two documents.
-    Forked(u64),
-    /// What was refused is in force.
-    RefusedInForce(OrderId),
-    /// A change was refused for its version although no other change on that version had been sent by then.
-    WronglyRefused(OrderId),
-    /// A process took its configuration for current although a newer one had been acknowledged by then.
-    FalselyFresh(usize),
-    /// Nothing could be read in the end.
-    Unreadable,
-    /// An order wasn't acknowledged in a calm time.
-    Unacknowledged(OrderId),
-    /// A member that returned did not hold the newest state in time.
-    NotCaughtUp(usize),
+    /// A read returned an acknowledged generation with another change's content.
+    DivergentRead(u64),
+    /// Non-monotonic read: a process put an older configuration in force after a newer one.
+    NonMonotonicRead(usize),
+    /// Split brain: two different configurations were committed at this index.
+    SplitBrain(u64),
+    /// Aborted read: a change that was rejected is in force, or was acknowledged afterwards.
+    AbortedRead(ChangeId),
+    /// A change was rejected for its base although no other change on this base had been sent by then.
+    SpuriousRejection(ChangeId),
+    /// A process claimed that its configuration was current at a time when a newer one had been acknowledged.
+    FalseFreshness(usize),
+    /// No read was answered after recovery.
+    ReadUnavailable,
+    /// A change was not acknowledged in time although nothing was faulty.
+    WriteUnavailable(ChangeId),
+    /// A voter that returned did not catch up with the newest state in time.
+    CatchUpTimeout(usize),
 }
 
-/// What is known of one order.
+/// What is known of one change.
 #[derive(Clone, Debug, Default)]
-struct Fate {
+struct ChangeHistory {
     generation: u64,
     base: u64,
     sent_at: Duration,
     acknowledged_at: Option<Duration>,
-    refused_at: Option<Duration>,
+    rejected_at: Option<Duration>,
 }
 
-/// Gathers what is seen and finds what may not be.
+/// The change that was first acknowledged under a generation.
+#[derive(Clone, Copy, Debug)]
+struct Acknowledgement {
+    change: ChangeId,
+    at: Duration,
+}
+
+/// Collects observations and the violations among them.
 #[derive(Debug, Default)]
 pub struct Checker {
-    orders: BTreeMap<OrderId, Fate>,
-    /// The order acknowledged under each generation, and when.
-    acknowledged: BTreeMap<u64, (OrderId, Duration)>,
+    changes: BTreeMap<ChangeId, ChangeHistory>,
+    /// By generation.
+    acknowledged: BTreeMap<u64, Acknowledgement>,
+    /// The generation in force, by machine and incarnation.
     in_force: BTreeMap<(usize, u64), u64>,
-    documents: BTreeMap<u64, CommittedConfiguration>,
-    /// Everything found.
+    /// The first configuration that was observed at each index.
+    configurations: BTreeMap<u64, CommittedConfiguration>,
+    /// All violations so far.
     pub violations: Vec<Violation>,
 }
 
 impl Checker {
-    /// An order goes out for the first time.
-    pub fn ordered(&mut self, now: Duration, id: OrderId, generation: u64, base: u64) {
-        self.orders.insert(id, Fate { generation, base, sent_at: now, ..Fate::default() });
+    /// A change is sent for the first time.
+    pub fn change_sent(&mut self, now: Duration, id: ChangeId, generation: u64, base: u64) {
+        self.changes.insert(id, ChangeHistory { generation, base, sent_at: now, ..ChangeHistory::default() });
     }
 
-    /// The newest generation that was acknowledged.
+    /// The newest generation that was acknowledged; 0 for none.
     pub fn newest_acknowledged(&self) -> u64 {
         self.acknowledged.last_key_value().map_or(0, |(generation, _)| *generation)
     }
 
-    /// Whether an order was ever acknowledged.
-    pub fn is_acknowledged(&self, id: OrderId) -> bool {
-        self.orders.get(&id).is_some_and(|fate| fate.acknowledged_at.is_some())
+    /// Whether a change was ever acknowledged.
+    pub fn is_acknowledged(&self, id: ChangeId) -> bool {
+        self.changes.get(&id).is_some_and(|change| change.acknowledged_at.is_some())
     }
 
-    /// An order got a clear answer.
-    pub fn answered(&mut self, now: Duration, id: OrderId, acknowledged: bool) {
-        let Some(fate) = self.orders.get_mut(&id) else { return };
+    /// A change was acknowledged or rejected. Checks idempotence and lost updates.
+    pub fn change_answered(&mut self, now: Duration, id: ChangeId, acknowledged: bool) {
+        let Some(change) = self.changes.get_mut(&id) else { return };
         if !acknowledged {
-            fate.refused_at.get_or_insert(now);
-            if fate.acknowledged_at.is_some() {
-                self.violations.push(Violation::RefusedAgain(id));
+            change.rejected_at.get_or_insert(now);
+            if change.acknowledged_at.is_some() {
+                self.violations.push(Violation::AcknowledgedThenRejected(id));
             }
             return;
         }
-        if fate.refused_at.is_some() {
-            self.violations.push(Violation::RefusedInForce(id));
+        if change.rejected_at.is_some() {
+            self.violations.push(Violation::AbortedRead(id));
         }
-        if fate.acknowledged_at.is_some() {
+        if change.acknowledged_at.is_some() {
             return;
         }
-        fate.acknowledged_at = Some(now);
-        let (generation, base) = (fate.generation, fate.base);
-        let is_rival = |other: &OrderId, fate: &Fate| {
-            *other != id && fate.base == base && fate.acknowledged_at.is_some()
+        change.acknowledged_at = Some(now);
+        let generation = change.generation;
+        let base = change.base;
+        let conflicts = |other: &ChangeId, change: &ChangeHistory| {
+            *other != id && change.base == base && change.acknowledged_at.is_some()
         };
-        if let Some((other, _)) = self.orders.iter().find(|(other, fate)| is_rival(other, fate)) {
-            self.violations.push(Violation::BothAcknowledged(*other, id));
+        if let Some((other, _)) = self.changes.iter().find(|(other, change)| conflicts(other, change)) {
+            self.violations.push(Violation::LostUpdate(*other, id));
         }
-        self.acknowledged.entry(generation).or_insert((id, now));
+        self.acknowledged.entry(generation).or_insert(Acknowledgement { change: id, at: now });
     }
 
-    /// A read that began when `acknowledged` was the newest acknowledged generation.
-    pub fn read(&mut self, acknowledged: u64, read: SeenVersion) {
+    /// A read was answered that began when `acknowledged` was the newest acknowledged generation. Checks that it is neither
+    /// stale nor divergent.
+    pub fn read_answered(&mut self, acknowledged: u64, read: ObservedVersion) {
         if read.generation < acknowledged {
-            self.violations.push(Violation::OldRead { acknowledged, read: read.generation });
+            self.violations.push(Violation::StaleRead { acknowledged, read: read.generation });
         }
-        let holder = self.acknowledged.get(&read.generation).map(|(id, _)| *id);
-        if holder.is_some() && holder != read.order {
-            self.violations.push(Violation::OtherUnderNumber(read.generation));
+        let expected = self.acknowledged.get(&read.generation).map(|acknowledgement| acknowledgement.change);
+        if expected.is_some() && expected != read.change {
+            self.violations.push(Violation::DivergentRead(read.generation));
         }
     }
 
-    /// A process has put a configuration in force, which an order brought.
+    /// A process has put the configuration of this change in force. Checks monotonicity, split brain and aborted reads.
     pub fn configured(
         &mut self,
         machine: usize,
         incarnation: u64,
         configuration: &CommittedConfiguration,
-        order: Option<OrderId>,
+        change: Option<ChangeId>,
     ) {
         let before = self.in_force.insert((machine, incarnation), configuration.generation);
         if before.is_some_and(|before| before > configuration.generation) {
-            self.violations.push(Violation::WentBack(machine));
+            self.violations.push(Violation::NonMonotonicRead(machine));
         }
-        let first = self.documents.entry(configuration.index).or_insert_with(|| configuration.clone());
+        let first = self.configurations.entry(configuration.index).or_insert_with(|| configuration.clone());
         if first != configuration {
-            self.violations.push(Violation::Forked(configuration.index));
+            self.violations.push(Violation::SplitBrain(configuration.index));
         }
-        let refused = order.filter(|id| self.orders.get(id).is_some_and(|fate| fate.refused_at.is_some()));
-        if let Some(id) = refused {
-            self.violations.push(Violation::RefusedInForce(id));
+        let is_rejected =
+            |id: &ChangeId| self.changes.get(id).is_some_and(|change| change.rejected_at.is_some());
+        if let Some(id) = change.filter(is_rejected) {
+            self.violations.push(Violation::AbortedRead(id));
         }
     }
 
-    /// The history is over: each refusal must have had a cause, another change on the same version that was sent by then
-    /// and was not refused itself.
-    pub fn end(&mut self) {
-        let mut wrongly = Vec::new();
-        for (id, fate) in &self.orders {
-            let Some(refused_at) = fate.refused_at else { continue };
-            let is_cause = |other: &Fate| {
-                other.base == fate.base && other.sent_at <= refused_at && other.refused_at.is_none()
-            };
-            if !self.orders.values().any(is_cause) {
-                wrongly.push(Violation::WronglyRefused(*id));
-            }
+    /// A process claims that its configuration was current at `fresh_at`. Checks it against the acknowledgements so far.
+    pub fn freshness_claimed(&mut self, machine: usize, generation: u64, fresh_at: Duration) {
+        let mut newer = self.acknowledged.range(generation + 1..);
+        if newer.any(|(_, acknowledgement)| acknowledgement.at < fresh_at) {
+            self.violations.push(Violation::FalseFreshness(machine));
         }
-        self.violations.append(&mut wrongly);
     }
 
-    /// A process holds that its configuration is current as of a time.
-    pub fn fresh(&mut self, machine: usize, generation: u64, fresh_at: Duration) {
-        let mut newer = self.acknowledged.range(generation + 1..);
-        if newer.any(|(_, (_, at))| *at < fresh_at) {
-            self.violations.push(Violation::FalselyFresh(machine));
+    /// The history is over. Checks that each rejection had a cause: another change on the same base that was sent by then
+    /// and was not rejected itself. Only now is it known which changes were never rejected.
+    pub fn finish(&mut self) {
+        let mut spurious = Vec::new();
+        for (id, change) in &self.changes {
+            let Some(rejected_at) = change.rejected_at else { continue };
+            let is_cause = |other: &ChangeHistory| {
+                other.base == change.base && other.sent_at <= rejected_at && other.rejected_at.is_none()
+            };
+            if !self.changes.values().any(is_cause) {
+                spurious.push(Violation::SpuriousRejection(*id));
+            }
         }
+        self.violations.append(&mut spurious);
     }
 }
--- /dev/null
+++ b/crates/testing/cluster-simulation/src/history/schedule.rs
@@ -0,0 +1,130 @@
+//! What happens when: changes, reads and faults of each scenario, up to the final fault.
+
+use super::operator::MAX_PENDING_CHANGES;
+use super::{ChangeId, History, Scenario, Violation, BOOTSTRAP_TIMEOUT, LOST_ANSWER_SHARE, POLL_INTERVAL};
+use rand::seq::IndexedRandom;
+use rand::Rng;
+use std::time::Duration;
+
+/// Probability that an answer is lost while hundreds of changes follow each other; each loss costs a retry timeout.
+const LOST_ANSWER_SHARE_OF_MANY_CHANGES: f64 = 0.005;
+/// Time in which all of them have to be acknowledged.
+const MANY_CHANGES_TIMEOUT: Duration = Duration::from_secs(1_200);
+/// Interval at which they are sent.
+const MANY_CHANGES_INTERVAL: Duration = Duration::from_millis(5);
+
+impl History {
+    /// One poll interval: at times changes, a read, a resent change and faults.
+    pub(super) fn run_interval(&mut self) {
+        let races = self.settings.scenario == Scenario::Races;
+        let proposes = self.cluster.rng.random_bool(if races { 0.3 } else { 0.15 });
+        if proposes && self.pending.len() < MAX_PENDING_CHANGES {
+            self.propose_change();
+            if self.cluster.rng.random_bool(if races { 0.6 } else { 0.25 }) {
+                self.propose_change();
+            }
+        }
+        if self.cluster.rng.random_bool(0.05) {
+            self.read();
+        }
+        if self.cluster.rng.random_bool(if races { 0.1 } else { 0.02 }) {
+            self.resend_acknowledged();
+        }
+        self.inject_faults();
+        let until = self.cluster.now() + POLL_INTERVAL;
+        self.advance(until);
+    }
+
+    /// At times a fault within the tolerance, and those of the scenario. The order of the arms is that of the draws.
+    fn inject_faults(&mut self) {
+        if self.cluster.rng.random_bool(0.06) {
+            self.faults.inject(&mut self.cluster);
+        }
+        match self.settings.scenario {
+            Scenario::LongPartitions if self.cluster.rng.random_bool(0.01) => {
+                self.faults.inject_long_partition(&mut self.cluster);
+            }
+            Scenario::Repairs if self.cluster.rng.random_bool(0.02) => {
+                self.faults.inject_returning_voter(&mut self.cluster);
+            }
+            Scenario::Repairs if self.cluster.rng.random_bool(0.006) => {
+                self.faults.inject_only_replica_loss(&mut self.cluster);
+            }
+            Scenario::Races if self.cluster.rng.random_bool(0.04) => {
+                self.faults.inject_quick_restart(&mut self.cluster, self.preferred_machine);
+            }
+            Scenario::Races if self.cluster.rng.random_bool(0.02) => {
+                self.preferred_machine = self.cluster.rng.random_range(0..self.cluster.len());
+            }
+            Scenario::Repairs | Scenario::Races if self.cluster.rng.random_bool(0.004) => {
+                let all_machines = self.cluster.rng.random_bool(0.5);
+                self.faults.inject_outage(&mut self.cluster, all_machines);
+            }
+            _ => {}
+        }
+    }
+
+    /// Outages, network splits and faults of single machines from the start until some time after the bootstrap. One disk
+    /// may be lost: if two of the three seeds are lost for good before the first record exists, nobody may bootstrap any
+    /// more, and there is nothing to lose.
+    pub(super) fn run_faulty_bootstrap(&mut self) {
+        self.faults.bound_disk_losses(Some(1));
+        let until = Duration::from_millis(self.cluster.rng.random_range(500..9_000));
+        while self.cluster.now() < until {
+            if self.cluster.rng.random_bool(0.1) {
+                let all_machines = self.cluster.rng.random_bool(0.3);
+                self.faults.inject_outage(&mut self.cluster, all_machines);
+            }
+            if self.cluster.rng.random_bool(0.05) {
+                self.faults.inject_network_split(&mut self.cluster);
+            }
+            if self.cluster.rng.random_bool(0.15) {
+                self.faults.inject(&mut self.cluster);
+            }
+            if self.cluster.rng.random_bool(0.2) && self.pending.len() < MAX_PENDING_CHANGES {
+                self.propose_change();
+            }
+            let next = self.cluster.now() + POLL_INTERVAL;
+            self.advance(next);
+        }
+        // These faults may overlap beyond the tolerance: everything has to come back before others begin.
+        let recovered_at = self.faults.recovered_at().max(self.cluster.now()) + BOOTSTRAP_TIMEOUT;
+        self.advance(recovered_at);
+        self.faults.bound_disk_losses(None);
+    }
+
+    /// Hundreds of changes in a row while a voter is down; it has to catch up in time when it is back.
+    pub(super) fn run_many_changes(&mut self) {
+        let changes = if self.settings.cluster.seed % 8 == 0 { 1_500 } else { 300 };
+        let voters: Vec<usize> =
+            (0..self.cluster.len()).filter(|machine| self.cluster.is_voter(*machine)).collect();
+        let down = voters.choose(&mut self.cluster.rng).copied().unwrap_or(0);
+        self.cluster.crash(down);
+        self.lost_answer_share = LOST_ANSWER_SHARE_OF_MANY_CHANGES;
+        let deadline = self.cluster.now() + MANY_CHANGES_TIMEOUT;
+        while self.acknowledged.len() < changes && self.cluster.now() < deadline {
+            if self.pending.is_empty() {
+                self.propose_change();
+            }
+            let next = self.cluster.now() + MANY_CHANGES_INTERVAL;
+            self.advance_to(next);
+        }
+        if self.acknowledged.len() < changes {
+            self.checker.violations.push(Violation::WriteUnavailable(ChangeId(self.next_change)));
+        }
+        self.lost_answer_share = LOST_ANSWER_SHARE;
+        self.cluster.start_after(down, Duration::ZERO);
+        let back_at = self.cluster.now() + self.settings.catch_up;
+        self.advance(back_at);
+        let newest = (0..self.cluster.len()).map(|machine| self.index_at(machine)).max().unwrap_or(0);
+        if self.index_at(down) < newest {
+            self.checker.violations.push(Violation::CatchUpTimeout(down));
+        }
+    }
+
+    /// The index of the state that a machine's replica holds; 0 without one.
+    fn index_at(&self, machine: usize) -> u64 {
+        let replica = self.cluster.process(machine).and_then(|process| process.replica());
+        replica.map_or(0, |replica| replica.state().version.index)
+    }
+}
--- a/crates/testing/cluster-simulation/tests/histories.rs
+++ b/crates/testing/cluster-simulation/tests/histories.rs
@@ -1,4 +1,4 @@
-//! Random histories keep every promise, and broken protocols and disks are found out.
+//! Random histories violate no property, and the checker detects broken protocols and disks.
 
 use passrelay_cluster_simulation::cluster::ClusterSettings;
 use passrelay_cluster_simulation::disk::DiskMutation;
@@ -8,9 +8,9 @@
 use rstest::rstest;
 use std::time::Duration;
 
-fn settings(scenario: Scenario, counted: usize, machines: usize, seed: u64) -> HistorySettings {
+fn settings(scenario: Scenario, voters: usize, machines: usize, seed: u64) -> HistorySettings {
     HistorySettings {
-        cluster: ClusterSettings::new(counted, machines, seed),
+        cluster: ClusterSettings::new(voters, machines, seed),
         scenario,
         catch_up: Duration::from_secs(4),
         length: Duration::from_secs(20),
@@ -18,107 +18,107 @@
     }
 }
 
-/// Bytes of a big configuration.
-const BIG_DOCUMENT: usize = 60_000;
-/// Links of 10 and 100 Mbit/s, in bytes a second.
-const LINKS: [u64; 2] = [1_250_000, 12_500_000];
+/// Padding of a document where links are slow, in bytes.
+const LARGE_PADDING: usize = 60_000;
+/// Bandwidths of slow links: 10 and 100 Mbit/s, in bytes per second.
+const SLOW_LINKS: [u64; 2] = [1_250_000, 12_500_000];
 
-/// Histories in which a broken part has to be found.
-const MOST_HISTORIES_TO_FIND: u64 = 500;
+/// Number of histories within which a mutation has to be detected.
+const MAX_HISTORIES_TO_DETECT: u64 = 500;
 
-/// `FLEET_HISTORIES=FROM..TO` plays these seeds instead.
-fn seeds(least: u64) -> std::ops::Range<u64> {
-    seeds_from("FLEET_HISTORIES", least)
+/// The first seeds, so many as histories; `FLEET_HISTORIES=FROM..TO` plays these instead.
+fn seeds(histories: u64) -> std::ops::Range<u64> {
+    seeds_from("FLEET_HISTORIES", histories)
 }
 
-/// Plays the seeds of a scenario; a seed that breaks a promise is named with the command that repeats it.
-fn keeps_every_promise(scenario: Scenario, counted: usize, machines: usize, least: u64) {
+/// Plays the seeds of a scenario; a seed with a violation is named with the variable that repeats it.
+fn violates_nothing(scenario: Scenario, voters: usize, machines: usize, histories: u64) {
     let mut acknowledged = 0;
-    for seed in seeds(least) {
-        let mut settings = settings(scenario, counted, machines, seed);
+    for seed in seeds(histories) {
+        let mut settings = settings(scenario, voters, machines, seed);
         if scenario == Scenario::ManyChanges {
-            settings.padding = BIG_DOCUMENT;
-            settings.cluster.link_bytes_per_s = LINKS[seed as usize % LINKS.len()];
+            settings.padding = LARGE_PADDING;
+            settings.cluster.link_bytes_per_s = SLOW_LINKS[seed as usize % SLOW_LINKS.len()];
         }
         let outcome = play(&settings);
         assert!(
             outcome.violations.is_empty(),
-            "FLEET_HISTORIES={seed}..{} ({scenario:?}, {counted} counted of {machines}): {:?}\n{}",
+            "FLEET_HISTORIES={seed}..{} ({scenario:?}, {voters} voters of {machines}): {:?}\n{}",
             seed + 1,
             outcome.violations,
             outcome.machines.join("\n")
         );
         acknowledged += outcome.acknowledged;
     }
-    assert!(acknowledged > 0, "no order was ever acknowledged");
+    assert!(acknowledged > 0, "no change was ever acknowledged");
 }
 
 #[rstest]
-#[case::three_counted_of_twelve(3, 12, 300)]
-#[case::five_counted_of_twelve(5, 12, 200)]
-#[case::eight_counted_of_twenty(8, 20, 100)]
-fn no_promise_is_broken(#[case] counted: usize, #[case] machines: usize, #[case] least: u64) {
-    keeps_every_promise(Scenario::Mixed, counted, machines, least);
+#[case::three_voters_of_twelve(3, 12, 300)]
+#[case::five_voters_of_twelve(5, 12, 200)]
+#[case::eight_voters_of_twenty(8, 20, 100)]
+fn no_promise_is_broken(#[case] voters: usize, #[case] machines: usize, #[case] histories: u64) {
+    violates_nothing(Scenario::Mixed, voters, machines, histories);
 }
 
 #[rstest]
-#[case::three_counted_of_six(3, 6, 200)]
-#[case::five_counted_of_eight(5, 8, 150)]
-#[case::eight_counted_of_twelve(8, 12, 100)]
+#[case::three_voters_of_six(3, 6, 200)]
+#[case::five_voters_of_eight(5, 8, 150)]
+#[case::eight_voters_of_twelve(8, 12, 100)]
 fn a_control_machine_cut_off_for_long_answers_nothing_old(
-    #[case] counted: usize,
+    #[case] voters: usize,
     #[case] machines: usize,
-    #[case] least: u64,
+    #[case] histories: u64,
 ) {
-    keeps_every_promise(Scenario::LongCuts, counted, machines, least);
+    violates_nothing(Scenario::LongPartitions, voters, machines, histories);
 }
 
 #[rstest]
-#[case::three_counted_of_six(3, 6, 200)]
-#[case::five_counted_of_eight(5, 8, 150)]
-#[case::eight_counted_of_twelve(8, 12, 100)]
+#[case::three_voters_of_six(3, 6, 200)]
+#[case::five_voters_of_eight(5, 8, 150)]
+#[case::eight_voters_of_twelve(8, 12, 100)]
 fn two_orders_under_one_number_are_never_both_confirmed(
-    #[case] counted: usize,
+    #[case] voters: usize,
     #[case] machines: usize,
-    #[case] least: u64,
+    #[case] histories: u64,
 ) {
-    keeps_every_promise(Scenario::Races, counted, machines, least);
+    violates_nothing(Scenario::Races, voters, machines, histories);
 }
 
 #[rstest]
-#[case::three_counted_of_six(3, 6, 200)]
-#[case::five_counted_of_eight(5, 8, 150)]
-#[case::eight_counted_of_twelve(8, 12, 100)]
+#[case::three_voters_of_six(3, 6, 200)]
+#[case::five_voters_of_eight(5, 8, 150)]
+#[case::eight_voters_of_twelve(8, 12, 100)]
 fn a_second_loss_after_a_repair_loses_nothing(
-    #[case] counted: usize,
+    #[case] voters: usize,
     #[case] machines: usize,
-    #[case] least: u64,
+    #[case] histories: u64,
 ) {
-    keeps_every_promise(Scenario::Repairs, counted, machines, least);
+    violates_nothing(Scenario::Repairs, voters, machines, histories);
 }
 
 #[rstest]
-#[case::three_counted_of_four(3, 4, 24)]
-#[case::five_counted_of_six(5, 6, 12)]
-#[case::eight_counted_of_nine(8, 9, 8)]
+#[case::three_voters_of_four(3, 4, 24)]
+#[case::five_voters_of_six(5, 6, 12)]
+#[case::eight_voters_of_nine(8, 9, 8)]
 fn a_member_catches_up_after_hundreds_of_changes(
-    #[case] counted: usize,
+    #[case] voters: usize,
     #[case] machines: usize,
-    #[case] least: u64,
+    #[case] histories: u64,
 ) {
-    keeps_every_promise(Scenario::ManyChanges, counted, machines, least);
+    violates_nothing(Scenario::ManyChanges, voters, machines, histories);
 }
 
 #[rstest]
-#[case::three_counted_of_six(3, 6, 200)]
-#[case::five_counted_of_eight(5, 8, 150)]
-#[case::eight_counted_of_twelve(8, 12, 100)]
+#[case::three_voters_of_six(3, 6, 200)]
+#[case::five_voters_of_eight(5, 8, 150)]
+#[case::eight_voters_of_twelve(8, 12, 100)]
 fn the_system_is_founded_once_whatever_happens_in_the_first_seconds(
-    #[case] counted: usize,
+    #[case] voters: usize,
     #[case] machines: usize,
-    #[case] least: u64,
+    #[case] histories: u64,
 ) {
-    keeps_every_promise(Scenario::Bootstrap, counted, machines, least);
+    violates_nothing(Scenario::Bootstrap, voters, machines, histories);
 }
 
 #[test]
@@ -141,31 +141,31 @@
 #[case(ProtocolMutation::BootstrapsAgain, Scenario::Mixed)]
 #[case(ProtocolMutation::BootstrapsWithoutSeeds, Scenario::Bootstrap)]
 #[case(ProtocolMutation::ReusesRequestIds, Scenario::Races)]
-#[case(ProtocolMutation::ConfirmsAtArrival, Scenario::LongCuts)]
+#[case(ProtocolMutation::ConfirmsAtArrival, Scenario::LongPartitions)]
 #[case(ProtocolMutation::AcknowledgesByGeneration, Scenario::Races)]
 #[case(ProtocolMutation::AdmitsUnsyncedMember, Scenario::Repairs)]
-#[case(ProtocolMutation::CampaignsWithOldRecord, Scenario::LongCuts)]
+#[case(ProtocolMutation::CampaignsWithOldRecord, Scenario::LongPartitions)]
 #[case(ProtocolMutation::DropsAppliedChangesAtFailover, Scenario::Races)]
 #[case(ProtocolMutation::PromisesOnFullDisk, Scenario::Races)]
 fn a_broken_protocol_is_found_out(#[case] fault: ProtocolMutation, #[case] scenario: Scenario) {
-    is_found_out(&format!("{fault:?}"), scenario, |cluster| cluster.fault = Some(fault));
+    is_detected(&format!("{fault:?}"), scenario, |cluster| cluster.fault = Some(fault));
 }
 
-/// A broken part has to break a promise in some history that the sound one passes.
-fn is_found_out(name: &str, scenario: Scenario, break_it: impl Fn(&mut ClusterSettings)) {
-    let found = (0..MOST_HISTORIES_TO_FIND).any(|seed| {
+/// The mutated cluster has to violate a property in some history in which the sound one violates none.
+fn is_detected(name: &str, scenario: Scenario, mutate: impl Fn(&mut ClusterSettings)) {
+    let found = (0..MAX_HISTORIES_TO_DETECT).any(|seed| {
         let catch_up = Duration::from_millis(800);
         let sound = HistorySettings { catch_up, ..settings(scenario, 5, 8, seed) };
-        let mut broken = sound.clone();
-        break_it(&mut broken.cluster);
-        let violations = play(&broken).violations;
+        let mut mutated = sound.clone();
+        mutate(&mut mutated.cluster);
+        let violations = play(&mutated).violations;
         let found = !violations.is_empty() && play(&sound).violations.is_empty();
         if found {
             println!("{name}: seed {seed}, {:?}", violations[0]);
         }
         found
     });
-    assert!(found, "{name} was not found in {MOST_HISTORIES_TO_FIND} histories");
+    assert!(found, "{name} was not detected in {MAX_HISTORIES_TO_DETECT} histories");
 }
 
 #[rstest]
@@ -173,6 +173,6 @@
 #[case(DiskMutation::KeepsIdentityWhenWiped, Scenario::Repairs)]
 #[case(DiskMutation::DropsAppliedChanges, Scenario::Mixed)]
 #[case(DiskMutation::ForgetsBootstrap, Scenario::Bootstrap)]
-fn a_broken_disk_is_found_out(#[case] mutant: DiskMutation, #[case] scenario: Scenario) {
-    is_found_out(&format!("{mutant:?}"), scenario, |cluster| cluster.disk_mutation = Some(mutant));
+fn a_broken_disk_is_found_out(#[case] mutation: DiskMutation, #[case] scenario: Scenario) {
+    is_detected(&format!("{mutation:?}"), scenario, |cluster| cluster.disk_mutation = Some(mutation));
 }
