--- a/crates/testing/cluster-simulation/src/cluster/machine.rs
+++ b/crates/testing/cluster-simulation/src/cluster/machine.rs
@@ -20,7 +20,7 @@
 /// Timeout after which a follower that lacks a primary starts an election.
 const ELECTION_TIMEOUT: Duration = Duration::from_millis(320);
 /// Probability that a crash is a loss of power, which also loses what the machine's network still delays.
-const POWER_LOSS_SHARE: f64 = 0.5;
+const POWER_LOSS_PROBABILITY: f64 = 0.5;
 /// Bounds of quota grants, as in the small deployments.
 const QUOTA_BOUNDS: QuotaBounds = QuotaBounds { window_s: 8.0, overshoot: 0.1, slack: 140_000.0 };
 
@@ -134,7 +134,7 @@
         if let Some(disk) = &mut crashed.disk {
             disk.crash(now, &mut self.rng);
         }
-        if self.rng.random_bool(POWER_LOSS_SHARE) {
+        if self.rng.random_bool(POWER_LOSS_PROBABILITY) {
             self.network.drop_delayed_from(machine);
         }
     }
--- a/crates/testing/cluster-simulation/src/cluster/network.rs
+++ b/crates/testing/cluster-simulation/src/cluster/network.rs
@@ -12,7 +12,7 @@
 
 /// Probability that a message sent into a partition is delayed and delivered when the partition heals; the others are
 /// lost.
-const DELAYED_SHARE: f64 = 0.4;
+const DELAYED_PROBABILITY: f64 = 0.4;
 /// Bound on the messages delayed at a time, so that a long partition doesn't exhaust memory; further ones are lost.
 const MAX_DELAYED_MESSAGES: usize = 2_000;
 /// Factor by which documents are compressed on the wire, roughly that of the program.
@@ -119,7 +119,9 @@
         let link = Link { from, to };
         if !self.network.partitioned.contains(&link) {
             self.deliver(link, envelope);
-        } else if self.network.delayed.len() < MAX_DELAYED_MESSAGES && self.rng.random_bool(DELAYED_SHARE) {
+        } else if self.network.delayed.len() < MAX_DELAYED_MESSAGES
+            && self.rng.random_bool(DELAYED_PROBABILITY)
+        {
             self.network.delayed.push(DelayedMessage { link, envelope });
         }
     }
--- a/crates/testing/cluster-simulation/src/disk.rs
+++ b/crates/testing/cluster-simulation/src/disk.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// How much later than acknowledged a write is synced under `DiskMutation::AcknowledgesBeforeSync`.
-const LATE_SYNC: Duration = Duration::from_millis(400);
+const SYNC_DELAY_AFTER_ACK: Duration = Duration::from_millis(400);
 
 /// A write in flight.
 #[derive(Debug)]
@@ -83,7 +83,7 @@
         let after = self.pending.back().map_or(now, |pending| pending.done_at.max(now));
         let reported_at = after.max(self.stalled_until) + self.latency;
         let early = self.mutation == Some(DiskMutation::AcknowledgesBeforeSync);
-        let done_at = if early { reported_at + LATE_SYNC } else { reported_at };
+        let done_at = if early { reported_at + SYNC_DELAY_AFTER_ACK } else { reported_at };
         self.pending.push_back(PendingWrite { write_id, write, done_at });
         if early {
             now
--- a/crates/testing/cluster-simulation/src/history.rs
+++ b/crates/testing/cluster-simulation/src/history.rs
@@ -21,7 +21,7 @@
 /// Interval at which the processes' claims of freshness are polled and operators retry.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Probability that an answer to an operator is lost.
-const LOST_ANSWER_SHARE: f64 = 0.2;
+const LOST_ANSWER_PROBABILITY: f64 = 0.2;
 
 /// What a history brings about, beside faults of single machines within the tolerance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -90,7 +90,7 @@
     /// Whether the cluster recovers from the final fault: no answer is lost any more.
     is_recovering: bool,
     /// Probability that an answer to an operator is lost.
-    lost_answer_share: f64,
+    lost_answer_probability: f64,
 }
 
 /// Plays a history.
@@ -128,7 +128,7 @@
             last_read: None,
             preferred_machine: settings.cluster.machines - 1,
             is_recovering: false,
-            lost_answer_share: LOST_ANSWER_SHARE,
+            lost_answer_probability: LOST_ANSWER_PROBABILITY,
             settings,
         }
     }
--- a/crates/testing/cluster-simulation/src/history/operator.rs
+++ b/crates/testing/cluster-simulation/src/history/operator.rs
@@ -140,7 +140,7 @@
     pub(super) fn handle_answer(&mut self, call: CallKey, answer: &OperatorAnswer) {
         let Some(purpose) = self.calls.remove(&call) else { return };
         // Drawn also during recovery, when no answer is lost.
-        if self.cluster.rng.random_bool(self.lost_answer_share) && !self.is_recovering {
+        if self.cluster.rng.random_bool(self.lost_answer_probability) && !self.is_recovering {
             return;
         }
         match purpose {
--- a/crates/testing/cluster-simulation/src/history/schedule.rs
+++ b/crates/testing/cluster-simulation/src/history/schedule.rs
@@ -1,13 +1,15 @@
 //! What happens when: changes, reads and faults of each scenario, up to the final fault.
 
 use super::operator::MAX_PENDING_CHANGES;
-use super::{ChangeId, History, Scenario, Violation, BOOTSTRAP_TIMEOUT, LOST_ANSWER_SHARE, POLL_INTERVAL};
+use super::{
+    ChangeId, History, Scenario, Violation, BOOTSTRAP_TIMEOUT, LOST_ANSWER_PROBABILITY, POLL_INTERVAL,
+};
 use rand::seq::IndexedRandom;
 use rand::Rng;
 use std::time::Duration;
 
 /// Probability that an answer is lost while hundreds of changes follow each other; each loss costs a retry timeout.
-const LOST_ANSWER_SHARE_OF_MANY_CHANGES: f64 = 0.005;
+const MANY_CHANGES_LOST_ANSWER_PROBABILITY: f64 = 0.005;
 /// Time in which all of them have to be acknowledged.
 const MANY_CHANGES_TIMEOUT: Duration = Duration::from_secs(1_200);
 /// Interval at which they are sent.
@@ -100,7 +102,7 @@
             (0..self.cluster.len()).filter(|machine| self.cluster.is_voter(*machine)).collect();
         let down = voters.choose(&mut self.cluster.rng).copied().unwrap_or(0);
         self.cluster.crash(down);
-        self.lost_answer_share = LOST_ANSWER_SHARE_OF_MANY_CHANGES;
+        self.lost_answer_probability = MANY_CHANGES_LOST_ANSWER_PROBABILITY;
         let deadline = self.cluster.now() + MANY_CHANGES_TIMEOUT;
         while self.acknowledged.len() < changes && self.cluster.now() < deadline {
             if self.pending.is_empty() {
@@ -112,7 +114,7 @@
         if self.acknowledged.len() < changes {
             self.checker.violations.push(Violation::WriteUnavailable(ChangeId(self.next_change)));
         }
-        self.lost_answer_share = LOST_ANSWER_SHARE;
+        self.lost_answer_probability = LOST_ANSWER_PROBABILITY;
         self.cluster.start_after(down, Duration::ZERO);
         let back_at = self.cluster.now() + self.settings.catch_up;
         self.advance(back_at);
--- a/crates/testing/cluster-simulation/src/limits/clients.rs
+++ b/crates/testing/cluster-simulation/src/limits/clients.rs
@@ -6,7 +6,7 @@
 use rand::Rng;
 
 /// Probability that a client of the unlimited tenant uses any of its keys, mostly revoked ones.
-const OLD_KEY_SHARE: f64 = 0.3;
+const OLD_KEY_PROBABILITY: f64 = 0.3;
 
 impl LimitHistory {
     pub(super) fn drive_clients(&mut self) {
@@ -27,7 +27,7 @@
     }
 
     fn unlimited_key(&mut self) -> String {
-        let old = self.cluster.rng.random_bool(OLD_KEY_SHARE);
+        let old = self.cluster.rng.random_bool(OLD_KEY_PROBABILITY);
         let key = if old { self.keys.choose(&mut self.cluster.rng) } else { self.keys.last() };
         key.cloned().unwrap_or_default()
     }
--- a/crates/testing/cluster-simulation/src/limits/endpoints.rs
+++ b/crates/testing/cluster-simulation/src/limits/endpoints.rs
@@ -10,7 +10,7 @@
 /// The first heartbeat is sent within this time, in milliseconds: one heartbeat interval.
 const MAX_FIRST_HEARTBEAT_DELAY_MS: u64 = 1_200;
 /// Probability, per step, that an endpoint starts to drain.
-const DRAIN_SHARE: f64 = 0.002;
+const DRAIN_PROBABILITY: f64 = 0.002;
 /// An endpoint ends this long after the acknowledgement of its draining, and another takes its place.
 const REMOVE_DRAINED_AFTER: Duration = Duration::from_secs(5);
 
@@ -52,7 +52,7 @@
     /// Sends the heartbeats that are due. At times an endpoint starts to drain, and is replaced some time later.
     pub(super) fn drive_endpoints(&mut self) {
         let now = self.cluster.now();
-        if now > CLIENTS_START_AT && self.cluster.rng.random_bool(DRAIN_SHARE) {
+        if now > CLIENTS_START_AT && self.cluster.rng.random_bool(DRAIN_PROBABILITY) {
             let index = self.cluster.rng.random_range(0..self.endpoints.len());
             self.endpoints[index].state = EndpointState::Draining;
             self.endpoints[index].next_heartbeat = now;
--- a/crates/testing/cluster-simulation/src/limits/sidecar.rs
+++ b/crates/testing/cluster-simulation/src/limits/sidecar.rs
@@ -21,11 +21,11 @@
 /// A request waits for quota tokens at most this long.
 const QUOTA_TIMEOUT: Duration = Duration::from_millis(100);
 /// Probability that a connection to an endpoint takes time.
-const SLOW_CONNECT_SHARE: f64 = 0.2;
+const SLOW_CONNECT_PROBABILITY: f64 = 0.2;
 /// Upper bound of that time, in milliseconds.
 const MAX_CONNECT_MS: u64 = 200;
 /// Probability that an endpoint rejects a request, so that it may be retried.
-const REJECTED_SHARE: f64 = 0.6;
+const REJECTED_PROBABILITY: f64 = 0.6;
 
 /// A request of a client.
 #[derive(Clone)]
@@ -146,7 +146,7 @@
 
     /// Selects an endpoint and connects to it, which takes time at times.
     fn connect(&mut self, machine: usize, request: ClientRequest) {
-        let is_slow = self.cluster.rng.random_bool(SLOW_CONNECT_SHARE);
+        let is_slow = self.cluster.rng.random_bool(SLOW_CONNECT_PROBABILITY);
         let delay = if is_slow { self.cluster.rng.random_range(0..MAX_CONNECT_MS) } else { 0 };
         let connected_at = self.cluster.local_now(machine) + Duration::from_millis(delay);
         let Some(endpoint) = self.select_endpoint(machine) else { return self.reject(&request) };
@@ -231,7 +231,7 @@
             return self.connect(machine, connected.request);
         }
         self.record_sent(machine, &connected);
-        if self.cluster.rng.random_bool(REJECTED_SHARE) && self.sidecar(machine).may_retry() {
+        if self.cluster.rng.random_bool(REJECTED_PROBABILITY) && self.sidecar(machine).may_retry() {
             self.checker.retry_sent(self.cluster.now());
         }
     }
