--- a/crates/passrelay/tests/fleet/main.rs
+++ b/crates/passrelay/tests/fleet/main.rs
@@ -46,12 +46,7 @@
 
 /// The one sidecar of a fleet with this configuration, and endpoints at these addresses in service.
 fn in_service(fleet: Fleet, addresses: &[SocketAddr], configuration: &Value) -> (Fleet, Sidecar) {
-    let sidecar = fleet.start_all().remove(0);
-    for (index, address) in addresses.iter().enumerate() {
-        assert_eq!(sidecar.heartbeat(&format!("i-{index}"), "bays", *address, "ready", 1), 200);
-    }
-    assert_eq!(sidecar.put(0, configuration), 200);
-    sidecar.until_ready();
+    let sidecar = fleet.start_in_service(addresses, configuration);
     (fleet, sidecar)
 }
 
--- a/crates/testing/test-support/src/fleet.rs
+++ b/crates/testing/test-support/src/fleet.rs
@@ -95,6 +95,22 @@
         until("a primary leads", || sidecars.iter().any(|s| s.status()["leads"] == json!(true)));
         sidecars
     }
+
+    /// Starts all machines of a fleet, registers a ready endpoint of service `bays` at each of these addresses, with ids
+    /// from `i-0` up, puts the first configuration and waits until the first machine accepts clients. Returns that one.
+    ///
+    /// # Panics
+    ///
+    /// Panics where a heartbeat or the configuration is rejected, or the machine isn't ready in time.
+    pub fn start_in_service(&self, endpoints: &[SocketAddr], configuration: &Value) -> Sidecar {
+        let sidecar = self.start_all().remove(0);
+        for (index, address) in endpoints.iter().enumerate() {
+            assert_eq!(sidecar.heartbeat(&format!("i-{index}"), "bays", *address, "ready", 1), 200);
+        }
+        assert_eq!(sidecar.put(0, configuration), 200);
+        sidecar.until_ready();
+        sidecar
+    }
 }
 
 impl Drop for Fleet {
