--- a/crates/testing/cluster-simulation/examples/dissemination.rs
+++ b/crates/testing/cluster-simulation/examples/dissemination.rs
@@ -13,6 +13,8 @@
 const ENDPOINTS_PER_SIDECAR: f64 = 2.8;
 /// Changes and drained endpoints per cluster.
 const CHANGES: u64 = 10;
+/// A machine that doesn't know a change by then counts with this time.
+const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(30);
 /// Time without changes in which messages and bytes are counted.
 const IDLE_DURATION: Duration = Duration::from_secs(10);
 
@@ -55,7 +57,8 @@
     }
 }
 
-fn generation(cluster: &Cluster, machine: usize) -> u64 {
+/// The generation in force at a machine; 0 for none.
+fn generation_at(cluster: &Cluster, machine: usize) -> u64 {
     cluster.process(machine).and_then(|p| p.gossip().configuration()).map_or(0, |c| c.generation)
 }
 
@@ -65,7 +68,7 @@
     })
 }
 
-/// Runs until a condition holds on all machines, for 30 s at most; the time that each took.
+/// Runs until a condition holds on all machines, for `PROPAGATION_TIMEOUT` at most; the time that each took.
 fn until_all(
     cluster: &mut Cluster,
     heartbeats: &mut HeartbeatSender,
@@ -73,7 +76,7 @@
 ) -> Vec<Duration> {
     let began = cluster.now();
     let mut times = vec![None; cluster.len()];
-    while times.iter().any(Option::is_none) && cluster.now() < began + Duration::from_secs(30) {
+    while times.iter().any(Option::is_none) && cluster.now() < began + PROPAGATION_TIMEOUT {
         let next = cluster.now() + Duration::from_millis(5);
         cluster.run_until(next);
         heartbeats.send_due(cluster);
@@ -83,7 +86,7 @@
             }
         }
     }
-    times.into_iter().map(|t| t.unwrap_or(Duration::from_secs(30))).collect()
+    times.into_iter().map(|time| time.unwrap_or(PROPAGATION_TIMEOUT)).collect()
 }
 
 /// In milliseconds; `part` from 0 to 1.
@@ -92,50 +95,99 @@
     times[((times.len() - 1) as f64 * part) as usize].as_millis()
 }
 
-fn measure(machines: usize, loss: f64) {
-    let voters = if machines < 30 { 3 } else { 8 };
-    let mut cluster = Cluster::new(ClusterSettings { loss, ..ClusterSettings::new(voters, machines, 1) });
-    let endpoints = (machines as f64 * ENDPOINTS_PER_SIDECAR) as usize;
-    cluster.run_until(Duration::from_secs(5));
-    let mut heartbeats = HeartbeatSender { endpoints, draining: 0, sequence: 0, next: Duration::ZERO };
-    heartbeats.send_due(&mut cluster);
-    let mut configured = Vec::new();
-    let mut drained = Vec::new();
-    for change in 1..=CHANGES {
-        let document = json!({ "generation": change, "routes": [], "services": [{ "name": "model" }] });
-        let proposed = ConfigurationChange {
+/// A cluster with heartbeats of all its endpoints.
+struct Measured {
+    cluster: Cluster,
+    heartbeats: HeartbeatSender,
+}
+
+/// Messages or bytes per second of each machine; voters come first.
+struct SendRates {
+    messages: Vec<f64>,
+    bytes: Vec<f64>,
+}
+
+impl Measured {
+    fn start(voters: usize, machines: usize, loss: f64) -> Self {
+        let mut cluster = Cluster::new(ClusterSettings { loss, ..ClusterSettings::new(voters, machines, 1) });
+        let endpoints = (machines as f64 * ENDPOINTS_PER_SIDECAR) as usize;
+        cluster.run_until(Duration::from_secs(5));
+        let mut heartbeats = HeartbeatSender { endpoints, draining: 0, sequence: 0, next: Duration::ZERO };
+        heartbeats.send_due(&mut cluster);
+        Measured { cluster, heartbeats }
+    }
+
+    /// Proposes a change at the primary until any machine has it; the times until each machine has it.
+    fn change(&mut self, generation: u64) -> Vec<Duration> {
+        let document = json!({ "generation": generation, "routes": [], "services": [{ "name": "model" }] });
+        let change = ConfigurationChange {
             kind: ChangeKind::Replace,
-            base: change - 1,
+            base: generation - 1,
             body: document.to_string().into(),
         };
-        while !(0..machines).any(|m| generation(&cluster, m) == change) {
-            let primary = cluster.primary().unwrap_or(0);
-            cluster.call(primary, OperatorRequest::Change(proposed.clone()));
-            let next = cluster.now() + Duration::from_millis(5);
-            cluster.run_until(next);
+        while !(0..self.cluster.len()).any(|machine| generation_at(&self.cluster, machine) == generation) {
+            let primary = self.cluster.primary().unwrap_or(0);
+            self.cluster.call(primary, OperatorRequest::Change(change.clone()));
+            let next = self.cluster.now() + Duration::from_millis(5);
+            self.cluster.run_until(next);
         }
-        configured.extend(until_all(&mut cluster, &mut heartbeats, |c, m| generation(c, m) >= change));
-        heartbeats.sequence += 1;
-        heartbeats.draining += 1;
-        let number = heartbeats.draining;
-        let at = number % machines;
-        cluster.heartbeat(at, &heartbeat_of(number, EndpointState::Draining, heartbeats.sequence));
+        until_all(&mut self.cluster, &mut self.heartbeats, |cluster, machine| {
+            generation_at(cluster, machine) >= generation
+        })
+    }
+
+    /// Drains one more endpoint; the times until each machine knows.
+    fn drain(&mut self) -> Vec<Duration> {
+        self.heartbeats.sequence += 1;
+        self.heartbeats.draining += 1;
+        let number = self.heartbeats.draining;
+        let machine = number % self.cluster.len();
+        let heartbeat = heartbeat_of(number, EndpointState::Draining, self.heartbeats.sequence);
+        self.cluster.heartbeat(machine, &heartbeat);
         let id = format!("i-{number:08x}");
-        drained.extend(until_all(&mut cluster, &mut heartbeats, |c, m| knows_draining(c, m, &id)));
+        until_all(&mut self.cluster, &mut self.heartbeats, |cluster, machine| {
+            knows_draining(cluster, machine, &id)
+        })
     }
-    let messages = cluster.messages.clone();
-    let began = cluster.now();
-    cluster.counts_bytes = true;
-    while cluster.now() < began + IDLE_DURATION {
-        let next = cluster.now() + Duration::from_millis(50);
-        cluster.run_until(next);
-        heartbeats.send_due(&mut cluster);
+
+    /// What the machines send while nothing changes.
+    fn idle_rates(&mut self) -> SendRates {
+        let before = self.cluster.messages.clone();
+        let began = self.cluster.now();
+        self.cluster.counts_bytes = true;
+        while self.cluster.now() < began + IDLE_DURATION {
+            let next = self.cluster.now() + Duration::from_millis(50);
+            self.cluster.run_until(next);
+            self.heartbeats.send_due(&mut self.cluster);
+        }
+        let seconds = (self.cluster.now() - began).as_secs_f64();
+        let messages = self.cluster.messages.iter().zip(&before);
+        SendRates {
+            messages: messages.map(|(after, before)| (after - before) as f64 / seconds).collect(),
+            bytes: self.cluster.bytes.iter().map(|bytes| *bytes as f64 / seconds).collect(),
+        }
+    }
+}
+
+fn mean(values: &[f64]) -> f64 {
+    values.iter().sum::<f64>() / values.len().max(1) as f64
+}
+
+fn max(values: &[f64]) -> f64 {
+    values.iter().copied().fold(0.0, f64::max)
+}
+
+/// Prints a row of the table.
+fn measure(machines: usize, loss: f64) {
+    let voters = if machines < 30 { 3 } else { 8 };
+    let mut measured = Measured::start(voters, machines, loss);
+    let mut configured = Vec::new();
+    let mut drained = Vec::new();
+    for generation in 1..=CHANGES {
+        configured.extend(measured.change(generation));
+        drained.extend(measured.drain());
     }
-    let span = (cluster.now() - began).as_secs_f64();
-    let sent: Vec<f64> = (0..machines).map(|m| (cluster.messages[m] - messages[m]) as f64 / span).collect();
-    let bytes: Vec<f64> = (0..machines).map(|m| cluster.bytes[m] as f64 / span).collect();
-    let mean = |values: &[f64]| values.iter().sum::<f64>() / values.len().max(1) as f64;
-    let max = |values: &[f64]| values.iter().copied().fold(0.0, f64::max);
+    let SendRates { messages, bytes } = measured.idle_rates();
     println!(
         "| {machines} | {:.0}% | {} / {} / {} | {} / {} / {} | {:.1} | {:.1} | {:.2} | {:.2} |",
         loss * 100.0,
@@ -145,8 +197,8 @@
         quantile(&mut drained, 0.5),
         quantile(&mut drained, 0.99),
         quantile(&mut drained, 1.0),
-        mean(&sent[voters..]),
-        max(&sent[..voters]),
+        mean(&messages[voters..]),
+        max(&messages[..voters]),
         mean(&bytes[voters..]) / 1_000.0,
         max(&bytes[..voters]) / 1_000.0,
     );
