--- a/crates/testing/cluster-simulation/tests/traces.rs
+++ b/crates/testing/cluster-simulation/tests/traces.rs
@@ -75,9 +75,9 @@
 #[case::mixed_3_of_12(Scenario::Mixed, 3, 12, [0x3e68_658c_b1e0_c2f0, 0x7a15_65b1_ede4_d07f])]
 #[case::mixed_5_of_12(Scenario::Mixed, 5, 12, [0x59d0_8358_3f97_a853, 0x3469_c811_1121_c6ea])]
 #[case::mixed_8_of_20(Scenario::Mixed, 8, 20, [0xa897_7b20_899d_b69f, 0x9b30_ff35_e063_9faa])]
-#[case::long_cuts_3_of_6(Scenario::LongCuts, 3, 6, [0x4e1b_1e37_a555_2e1c, 0x1b9b_59eb_e7aa_f64e])]
-#[case::long_cuts_5_of_8(Scenario::LongCuts, 5, 8, [0xa8e3_8ffa_9f0b_0d9f, 0x9731_8890_a3af_9715])]
-#[case::long_cuts_8_of_12(Scenario::LongCuts, 8, 12, [0xca13_075e_fece_5b04, 0x4ad8_086b_3693_d5a2])]
+#[case::long_cuts_3_of_6(Scenario::LongPartitions, 3, 6, [0x4e1b_1e37_a555_2e1c, 0x1b9b_59eb_e7aa_f64e])]
+#[case::long_cuts_5_of_8(Scenario::LongPartitions, 5, 8, [0xa8e3_8ffa_9f0b_0d9f, 0x9731_8890_a3af_9715])]
+#[case::long_cuts_8_of_12(Scenario::LongPartitions, 8, 12, [0xca13_075e_fece_5b04, 0x4ad8_086b_3693_d5a2])]
 #[case::races_3_of_6(Scenario::Races, 3, 6, [0x1777_f14a_a682_a682, 0xa2a0_c2c2_f645_8203])]
 #[case::races_5_of_8(Scenario::Races, 5, 8, [0x02ee_e393_036e_83dd, 0xb122_61b4_f16f_065b])]
 #[case::races_8_of_12(Scenario::Races, 8, 12, [0x6cad_4bae_ea79_1745, 0xf259_54e7_81d6_3962])]
@@ -144,9 +144,9 @@
 fn limits_are_kept_as_before(#[case] counted: usize, #[case] machines: usize, #[case] expected: [u64; 2]) {
     same_as_before(expected, |seed, digest| {
         let cluster = ClusterSettings::new(counted, machines, seed);
-        let outcome = limits::play(&LimitSettings { cluster, calm: false, mutant: None });
+        let outcome = limits::play(&LimitSettings { cluster, fault_free: false, mutation: None });
         digest.number(outcome.violations.len() as u64);
-        for by_tenant in [&outcome.sent, &outcome.refused] {
+        for by_tenant in [&outcome.sent, &outcome.rejected] {
             for (tenant, requests) in by_tenant {
                 digest.bytes(tenant.as_bytes());
                 digest.number(*requests as u64);
@@ -161,8 +161,8 @@
 #[rstest]
 #[case::crash(PrimaryLoss::Crash, [0x7905_e993_e163_5851, 0xfafd_208b_3482_3513])]
 #[case::wipe(PrimaryLoss::Wipe, [0x8f82_6e72_8da9_8a44, 0xfa5c_a282_0f8c_4bb8])]
-#[case::cut(PrimaryLoss::Cut, [0x9d56_c354_f8cc_4c29, 0x14bb_a852_5eb1_5b60])]
-#[case::freeze(PrimaryLoss::Freeze, [0x715e_0eb7_e426_6127, 0xc2da_12ae_993a_1819])]
+#[case::cut(PrimaryLoss::Partition, [0x9d56_c354_f8cc_4c29, 0x14bb_a852_5eb1_5b60])]
+#[case::freeze(PrimaryLoss::Pause, [0x715e_0eb7_e426_6127, 0xc2da_12ae_993a_1819])]
 #[case::disk_stall(PrimaryLoss::DiskStall, [0x0c10_b324_8b95_ec40, 0x105d_c010_52a6_a779])]
 #[case::crash_of_all(PrimaryLoss::CrashOfAll, [0xfa87_b40a_2fa7_fad3, 0x180c_6742_1e6e_000f])]
 fn a_lost_primary_is_replaced_as_before(#[case] loss: PrimaryLoss, #[case] expected: [u64; 2]) {
