--- a/crates/router/control-plane/src/replication.rs
+++ b/crates/router/control-plane/src/replication.rs
@@ -1,9 +1,17 @@
-//! Primary-backup replication of one document.
+//! Primary-backup replication of one document, with epoch records agreed on by vote.
 //!
-//! Every member is a witness and a backup. Witnesses store the epoch record and the highest term they have
-//! promised; a candidate becomes primary of a term with promises of a majority, and its record is in force once a
-//! majority has stored it. A change is committed once all of the in-sync set that the record names have synced it.
-//! Safety never rests on a clock; clocks only decide when to try.
+//! The core of the fleet has to keep the configuration that it acknowledged while machines fail, disks are lost and the
+//! network partitions. Every member is a witness (acceptor) and a backup. Witnesses store the epoch record and the
+//! highest term they have promised: a candidate becomes primary of a term with the promises of a quorum, and its record
+//! is in force once a quorum has accepted it. A state is committed once the whole in-sync set that the record names has
+//! synced it. Safety never rests on a clock; clocks only decide when to try.
+//!
+//! - [`Replica`] is one member: elections, acceptance of records and states, durable writes, requests for membership.
+//! - `leadership` is the primary's part: heartbeats, replication and commit, changes of the record.
+//! - `bootstrap_election`, `voter_discovery` and [`NonVotingSeed`] bring about the first record.
+//! - `mutation` is where the cluster simulation breaks the protocol on purpose.
+//!
+//! Nothing here does I/O, reads a clock, or knows what the document says.
 
 mod action;
 mod bootstrap_election;
--- a/crates/router/control-plane/src/replication/identity.rs
+++ b/crates/router/control-plane/src/replication/identity.rs
@@ -1,13 +1,13 @@
-//! Identities of the members of the core.
-//!
-//! Votes and acknowledgements count by identity, not by address: a machine that lost its disk comes back at the same
-//! address as another member, so nothing that the lost disk had promised is counted for it.
+//! Identities of the members of the core, and of the processes that speak for them.
 
 use passrelay_dissemination::Incarnation;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddrV4;
 
 /// Identity of a member. Drawn at random when its disk is first used and stored there.
+///
+/// Votes and acknowledgements count by identity, not by address: a machine that lost its disk comes back at the same
+/// address as another member, so nothing that the lost disk had promised is counted for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MemberId(pub u64);
 
--- a/crates/router/control-plane/src/replication/message.rs
+++ b/crates/router/control-plane/src/replication/message.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
-/// A message and its sender. The sender's identity counts, not its address: see [`super::identity`].
+/// A message and its sender. The sender's identity counts, not its address: see [`MemberId`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicationEnvelope {
     /// The sender.
--- a/crates/router/control-plane/src/replication/replica.rs
+++ b/crates/router/control-plane/src/replication/replica.rs
@@ -8,6 +8,7 @@
 mod election;
 mod follower;
 mod join;
+mod primary;
 mod role;
 
 use super::bootstrap_election::BootstrapElection;
@@ -191,11 +192,8 @@
         self.next_tick = now + TICK_INTERVAL;
         let context = &mut Context::new(now, actions);
         self.step_down_if_disk_stalled(now);
-        match &mut self.role {
-            Role::Primary(leadership) => {
-                leadership.tick(context);
-                self.store_proposed_record(context);
-            }
+        match &self.role {
+            Role::Primary(_) => self.tick_primary(context),
             Role::PreCandidate(_) | Role::Candidate(_) => self.tick_election(now),
             Role::Follower => self.tick_follower(context),
         }
@@ -216,9 +214,7 @@
             ReplicationMessage::Present { member } => self.handle_present(now, member),
             ReplicationMessage::NonVotingSeed { address } => self.handle_non_voting_seed(address),
             ReplicationMessage::Join { member, bootstrapping } => {
-                if let Role::Primary(leadership) = &mut self.role {
-                    leadership.handle_join(now, member, bootstrapping);
-                }
+                self.handle_join(now, member, bootstrapping);
             }
             ReplicationMessage::PreVote { term } => self.handle_pre_vote(context, from, term),
             ReplicationMessage::PreVoteGranted { term } => {
@@ -232,34 +228,20 @@
             }
             ReplicationMessage::Accept { record } => self.handle_accept(context, from, record),
             ReplicationMessage::Accepted { position } => {
-                if let Role::Primary(leadership) = &mut self.role {
-                    leadership.handle_accepted(context, from.member.id, position);
-                    self.record_own_progress(context);
-                }
+                self.handle_accepted(context, from.member.id, position);
             }
             ReplicationMessage::Rejected { promised } => self.handle_rejection(now, promised),
             ReplicationMessage::Ping { term, round, .. } => self.handle_ping(context, from, term, round),
             ReplicationMessage::Pong { term, round, position, synced } => {
-                if let Role::Primary(leadership) = &mut self.role {
-                    let pong = PongReport { from: from.member.id, term, round, position, synced };
-                    leadership.handle_pong(context, &pong);
-                }
+                let pong = PongReport { from: from.member.id, term, round, position, synced };
+                self.handle_pong(context, &pong);
             }
             ReplicationMessage::Replicate { term, state } => {
                 self.handle_replicate(context, from, term, state);
             }
             ReplicationMessage::Synced { term, version } => {
-                if let Role::Primary(leadership) = &mut self.role {
-                    leadership.handle_synced(context, from.member.id, term, version);
-                }
+                self.handle_synced(context, from.member.id, term, version);
             }
         }
     }
-
-    fn leadership(&self) -> Option<&Leadership> {
-        match &self.role {
-            Role::Primary(leadership) => Some(leadership),
-            _ => None,
-        }
-    }
 }
--- a/crates/router/control-plane/src/replication/replica/durable_writes.rs
+++ b/crates/router/control-plane/src/replication/replica/durable_writes.rs
@@ -4,11 +4,9 @@
 use crate::replication::action::ReplicaAction;
 use crate::replication::context::Context;
 use crate::replication::durable::{DurableWrite, WriteId};
-use crate::replication::epoch::EpochRecord;
 use crate::replication::identity::Sender;
 use crate::replication::message::ReplicationMessage;
-use crate::replication::state::{ReplicatedState, StateVersion};
-use std::sync::Arc;
+use crate::replication::state::StateVersion;
 use std::time::Duration;
 
 /// A write in flight for longer than this means that the disk is stalled: its member neither leads nor stands.
@@ -101,51 +99,6 @@
             self.state = self.durable_state.clone();
         }
     }
-
-    /// Stores the record that this primary proposes, once for each proposal.
-    pub(super) fn store_proposed_record(&mut self, context: &mut Context) {
-        let Role::Primary(leadership) = &self.role else { return };
-        let Some(proposed) = leadership.proposed_record() else { return };
-        let stored = self.witness.record.as_ref().map(EpochRecord::position);
-        if stored >= Some(proposed.position()) {
-            return;
-        }
-        self.witness.record = Some(proposed.clone());
-        self.write_witness(context, Vec::new());
-    }
-
-    /// Makes a state the newest one: stores it here and sends it to the backups.
-    pub(super) fn replicate_state(&mut self, context: &mut Context, state: Arc<ReplicatedState>) {
-        self.state = state.clone();
-        let write = DurableWrite { witness: None, state: Some(state.clone()) };
-        self.write(context, write, Vec::new());
-        if let Role::Primary(leadership) = &mut self.role {
-            leadership.replicate(context, &state);
-        }
-    }
-
-    /// Counts what is durable here like what other members report.
-    pub(super) fn record_own_progress(&mut self, context: &mut Context) {
-        let own = self.settings.own.id;
-        match &mut self.role {
-            Role::Candidate(candidacy)
-                if self.durable_witness.promised >= candidacy.term
-                    && !candidacy.promises.contains_key(&own) =>
-            {
-                candidacy.promises.insert(own, self.durable_witness.record.clone());
-                self.count_promises(context);
-            }
-            Role::Primary(leadership) => {
-                let term = leadership.term();
-                leadership.handle_synced(context, own, term, self.durable_state.version);
-                if let Some(position) = self.durable_witness.record.as_ref().map(EpochRecord::position) {
-                    leadership.handle_accepted(context, own, position);
-                }
-                self.store_proposed_record(context);
-            }
-            _ => {}
-        }
-    }
 }
 
 fn send_replies(context: &mut Context, replies: Vec<PendingReply>) {
