--- a/crates/router/data-plane/src/balancer.rs
+++ b/crates/router/data-plane/src/balancer.rs
@@ -1,9 +1,9 @@
 //! Selects the endpoint of each request of a service.
 //!
-//! Endpoints that may not get it are filtered out first: draining, expired, ejected, stalled ([`in_flight`]) or failing
-//! too often ([`outlier`]). Where the request has a prompt, those stay at which it would be prefilled soonest, by queued
-//! tokens ([`load`], [`prefill`]) and cached prefixes ([`prefix_affinity`]). Among the rest a smooth weighted round robin
-//! decides ([`round_robin`]) by free capacity ([`weight`]) and zone.
+//! Endpoints that may not get it are filtered out first: draining, expired, ejected, stalled (`in_flight`) or failing
+//! too often (`outlier`). Where the request has a prompt, those stay at which it would be prefilled soonest, by queued
+//! tokens (`load`, `prefill`) and cached prefixes (`prefix_affinity`). Among the rest a smooth weighted round robin
+//! decides (`round_robin`) by free capacity (`weight`) and zone.
 //!
 //! [`Balancer`] composes these and is notified of each event in a request's life; it opens no connections, sends no
 //! request and retries none.
--- /dev/null
+++ b/crates/router/data-plane/tests/decision_trace/quota.rs
@@ -0,0 +1,119 @@
+//! Token requests, grants, spending and expiry against `QuotaShares`.
+
+use crate::support::{Digest, Draws};
+use passrelay_data_plane::quota::{Grant, QuotaShares, TenantTokens};
+use rstest::rstest;
+use std::time::Duration;
+
+struct QuotaHistory {
+    draws: Draws,
+    digest: Digest,
+    now: Duration,
+    shares: QuotaShares,
+    /// Requests that wait: tenant and tokens.
+    waiting: Vec<(u64, u64)>,
+    /// Chance in a hundred that the grantor's answer to a request arrives when its turn comes.
+    answer_chance: u64,
+    /// Open token requests: number and what is wanted, by tenant.
+    open: Vec<(u64, Vec<TenantTokens>)>,
+}
+
+impl QuotaHistory {
+    fn request_tokens(&mut self) {
+        let Some(request) = self.shares.next_request(self.now) else { return };
+        self.digest.number(request.request_id);
+        let mut wanted = request.wanted;
+        let mut overdrawn = request.overdrawn;
+        // The order of tenants in a request is that of a hash map, which differs from run to run.
+        wanted.sort_by_key(|wanted| wanted.tenant);
+        overdrawn.sort_by_key(|overdrawn| overdrawn.tenant);
+        for TenantTokens { tenant, tokens } in wanted.iter().chain(&overdrawn) {
+            self.digest.number(*tenant);
+            self.digest.number(*tokens);
+        }
+        self.digest.number(wanted.len() as u64);
+        self.open.push((request.request_id, wanted));
+    }
+
+    fn answer_request(&mut self) {
+        if self.open.is_empty() || !self.draws.percent(self.answer_chance) {
+            return;
+        }
+        let index = self.draws.below(self.open.len() as u64) as usize;
+        let (request_id, wanted) = self.open.swap_remove(index);
+        let mut grants = Vec::new();
+        for TenantTokens { tenant, tokens } in wanted {
+            if self.draws.percent(90) {
+                let granted = if self.draws.percent(60) { tokens * 2 } else { self.draws.below(tokens + 1) };
+                grants.push(Grant { tenant, tokens: granted, reserve: self.draws.below(900) });
+            }
+        }
+        self.shares.apply_grants(self.now, request_id, &grants);
+    }
+
+    fn advance_waiting(&mut self) {
+        if self.waiting.is_empty() {
+            return;
+        }
+        let index = self.draws.below(self.waiting.len() as u64) as usize;
+        let (tenant, tokens) = self.waiting[index];
+        let spent = self.shares.spend(self.now, tenant, tokens);
+        self.digest.number(u64::from(spent));
+        if spent && self.draws.percent(10) {
+            self.shares.refund(self.now, tenant, tokens);
+        }
+        if spent || self.draws.percent(15) {
+            self.waiting.swap_remove(index);
+            self.shares.remove_demand(tenant, tokens);
+        }
+    }
+
+    fn step(&mut self) {
+        // Now and then the grantor is silent for long.
+        self.now += Duration::from_micros(self.draws.below(15_000));
+        if self.draws.percent(1) {
+            self.now += Duration::from_millis(self.draws.below(3_000));
+        }
+        match self.draws.below(100) {
+            0..=29 => {
+                let tenant = self.draws.below(6);
+                let tokens = self.draws.below(300);
+                self.shares.add_demand(tenant, tokens);
+                self.waiting.push((tenant, tokens));
+            }
+            30..=54 => self.request_tokens(),
+            55..=69 => self.answer_request(),
+            70..=98 => self.advance_waiting(),
+            _ => {
+                let dropped = self.draws.below(40);
+                self.shares.retain(|tenant| tenant != dropped);
+            }
+        }
+        let tenant = self.draws.below(7);
+        let since = self.now.saturating_sub(Duration::from_millis(self.draws.below(400)));
+        self.digest.number(u64::from(self.shares.is_exhausted_since(tenant, since)));
+        self.digest.number(u64::from(self.shares.is_grantor_unreachable(tenant, self.now)));
+    }
+}
+
+#[rstest]
+#[case::grantor_answers(11, 100, 0xf5c0_3348_f443_8e9c)]
+#[case::some_answers_are_lost(12, 60, 0xf679_9049_3b26_00f4)]
+#[case::grantor_is_mostly_silent(13, 5, 0x59ed_aea8_5154_8791)]
+fn quota_shares_of_a_history_are_those_on_record(
+    #[case] seed: u64,
+    #[case] answer_chance: u64,
+    #[case] expected: u64,
+) {
+    let mut history = QuotaHistory {
+        draws: Draws(seed),
+        digest: Digest::new(),
+        now: Duration::ZERO,
+        shares: QuotaShares::new(Duration::from_millis(1_500)),
+        waiting: Vec::new(),
+        answer_chance,
+        open: Vec::new(),
+    };
+    (0..40_000).for_each(|_| history.step());
+    assert_eq!(history.digest.0, expected, "0x{:016x}", history.digest.0);
+}
