--- a/crates/sidecar/proxy/src/body_relay.rs
+++ b/crates/sidecar/proxy/src/body_relay.rs
@@ -92,7 +92,7 @@
                 match client.write_vectored(&slices) {
                     Ok(0) => return Flow::ClientGone,
                     Ok(n) => {
-                        self.written = self.written + n;
+                        self.written += n;
                         self.moved_at = now;
                     }
                     Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
--- a/crates/sidecar/proxy/src/http.rs
+++ b/crates/sidecar/proxy/src/http.rs
@@ -216,17 +216,17 @@
     pub fn consume(&mut self, buffer: &mut Buffer, n: usize) {
         let n = n.min(self.end - self.start);
         buffer.cut(self.start, self.start + n);
-        self.end = self.end - n;
-        self.raw = self.raw - n;
-        self.taken = self.taken + n;
+        self.end -= n;
+        self.raw -= n;
+        self.taken += n;
         self.spent = 0;
     }
 
     /// Cuts what stands before the body out of the buffer.
     pub fn drop_head(&mut self, buffer: &mut Buffer) {
         buffer.cut(0, self.start);
-        self.end = self.end - self.start;
-        self.raw = self.raw - self.start;
+        self.end -= self.start;
+        self.raw -= self.start;
         self.start = 0;
     }
 
