--- a/crates/passrelay/src/config.rs
+++ b/crates/passrelay/src/config.rs
@@ -4,7 +4,7 @@
 use clap::Subcommand;
 use hyper::Method;
 use passrelay_configuration::{parse_document, Configuration, Difference, ValidationErrors};
-use passrelay_node::operator::{call, ControlCall};
+use passrelay_node::control_client::{call, ControlCall};
 use serde_json::Value;
 use std::error::Error;
 use std::net::SocketAddr;
--- a/crates/router/node/src/front.rs
+++ b/crates/router/node/src/client_listener.rs
@@ -1,10 +1,10 @@
 //! Clients' connections: accepting them, serving requests on them, ending them.
 
-use crate::answers::{Body, BodyError};
 use crate::client_connections::{ClientConnection, ConnectionCommand};
 use crate::listener::accept_all;
-use crate::node::Node;
-use crate::proxy;
+use crate::process::Node;
+use crate::request;
+use crate::responses::{Body, BodyError};
 use bytes::Bytes;
 use hyper::body::{Frame, Incoming, SizeHint};
 use hyper::header::{HeaderValue, CONNECTION};
@@ -91,7 +91,7 @@
     request: Request<Incoming>,
 ) -> Result<Response<Body>, Infallible> {
     connection.request_begins();
-    let mut response = proxy::relay(&node, request).await;
+    let mut response = request::relay(&node, request).await;
     if node.is_draining() {
         response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
--- a/crates/router/node/src/control_api.rs
+++ b/crates/router/node/src/control_api.rs
@@ -1,8 +1,8 @@
 //! What endpoints and operators call: heartbeats, the configuration, the status; and readiness.
 
-use crate::answers::{json, Body};
 use crate::listener::accept_all;
-use crate::node::Node;
+use crate::process::Node;
+use crate::responses::{json, Body};
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
 use hyper::service::service_fn;
--- a/crates/router/node/src/planned_end.rs
+++ b/crates/router/node/src/graceful_shutdown.rs
@@ -47,5 +47,5 @@
 }
 
 #[cfg(test)]
-#[path = "planned_end/tests.rs"]
+#[path = "graceful_shutdown/tests.rs"]
 mod tests;
--- a/crates/router/node/src/listener.rs
+++ b/crates/router/node/src/listener.rs
@@ -1,6 +1,6 @@
 //! Accepting connections, the same way on every port.
 
-use crate::node::Node;
+use crate::process::Node;
 use smol::net::{TcpListener, TcpStream};
 use smol::Timer;
 use std::future::Future;
--- a/crates/router/node/src/node.rs
+++ b/crates/router/node/src/process.rs
@@ -1,12 +1,12 @@
 //! One process: what its tasks share, and the loops that drive the deciders.
 
 use crate::client_connections::ClientConnections;
-use crate::planned_end::PlannedEnd;
+use crate::graceful_shutdown::PlannedEnd;
 use crate::settings::{NodeSettings, SettingsError};
 use crate::storage::{DiskEvent, Opened, Storage};
 use crate::transport::{read_frame, Transport};
 use crate::upstream::Pool;
-use crate::{control_api, front, signals};
+use crate::{client_listener, control_api, signals};
 use event_listener::Event;
 use passrelay_configuration::{parse_document, Configuration};
 use passrelay_control_plane::load::LoadMessage;
@@ -460,7 +460,7 @@
     open_disk(&node)?;
     start_loops(&node);
     control_api::start(&node).await.map_err(system("control port"))?;
-    front::start(&node).await.map_err(system("clients' port"))?;
+    client_listener::start(&node).await.map_err(system("clients' port"))?;
     {
         let settings = node.settings.borrow();
         log::info!(
--- a/crates/router/node/src/proxy.rs
+++ b/crates/router/node/src/request/mod.rs
@@ -1,8 +1,8 @@
 //! A client's request on its way to an endpoint: admission, attempts, the answer.
 
-use crate::answers::{Body, Failure};
-use crate::node::{Node, Snapshot};
-use crate::relay_body;
+use crate::process::{Node, Snapshot};
+use crate::responses::{Body, Failure};
+mod relay_body;
 use crate::upstream::{Connection, SendError, UpstreamRequest};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
--- a/crates/router/node/src/relay_body.rs
+++ b/crates/router/node/src/request/relay_body.rs
@@ -3,8 +3,8 @@
 //! A stream that may be resumed is passed on in whole events; when its endpoint breaks off, another one goes on after
 //! the last event that was passed on, inside the same answer.
 
-use crate::answers::{Body, BodyError};
-use crate::proxy::{end_to_end, Answered, Attempts, Call};
+use crate::request::{end_to_end, Answered, Attempts, Call};
+use crate::responses::{Body, BodyError};
 use crate::upstream::Connection;
 use bytes::{Bytes, BytesMut};
 use http_body_util::{BodyExt, StreamBody};
@@ -44,7 +44,7 @@
     *response.status_mut() = parts.status;
     *response.headers_mut() = end_to_end(&parts.headers);
     if ended {
-        return response.map(|()| crate::answers::full(Bytes::new()));
+        return response.map(|()| crate::responses::full(Bytes::new()));
     }
     response.map(|()| -> Body { Box::pin(StreamBody::new(pieces)) })
 }
--- a/crates/router/node/src/signals.rs
+++ b/crates/router/node/src/signals.rs
@@ -1,7 +1,7 @@
 //! SIGTERM, SIGINT and SIGHUP; the planned end.
 
-use crate::node::Node;
-use crate::planned_end::PlannedEnd;
+use crate::graceful_shutdown::PlannedEnd;
+use crate::process::Node;
 use async_signal::{Signal, Signals};
 use smol::stream::StreamExt;
 use smol::Timer;
--- a/crates/router/node/src/storage.rs
+++ b/crates/router/node/src/storage/mod.rs
@@ -280,5 +280,5 @@
 }
 
 #[cfg(test)]
-#[path = "storage/tests.rs"]
+#[path = "tests.rs"]
 mod tests;
