--- a/crates/passrelay/src/config.rs
+++ b/crates/passrelay/src/config.rs
@@ -4,7 +4,7 @@
 use clap::Subcommand;
 use hyper::Method;
 use passrelay_configuration::{parse_document, Configuration, Difference, ValidationErrors};
-use passrelay_node::control_client::{call, ControlCall};
+use passrelay_node::control_client::{call, ControlCall, ControlResponse};
 use serde_json::Value;
 use std::error::Error;
 use std::net::SocketAddr;
@@ -120,7 +120,7 @@
         Err(faults) => return Ok(print_faults(file, &faults)),
     };
     let get = ControlCall { method: Method::GET, path: "/config", if_match: None, body: String::new() };
-    let (status, text) = call(at, get)?;
+    let ControlResponse { status, body: text } = call(at, get)?;
     let current = match status {
         200..=299 => parse_document(text.as_bytes())?,
         404 => Value::Null,
@@ -145,7 +145,7 @@
     if_match: Option<u64>,
     body: String,
 ) -> Result<ExitCode, Box<dyn Error>> {
-    let (status, text) = call(at, ControlCall { method, path, if_match, body })?;
+    let ControlResponse { status, body: text } = call(at, ControlCall { method, path, if_match, body })?;
     println!("{text}");
     Ok(match status {
         200..=299 => ExitCode::SUCCESS,
--- /dev/null
+++ b/crates/router/node/src/background_tasks.rs
@@ -0,0 +1,137 @@
+//! The loops that drive the coordinator: messages, timers, storage events and periodic reports.
+
+use crate::coordinator_driver::CoordinatorDriver;
+use crate::endpoint_persistence::ENDPOINT_PERSISTENCE_INTERVAL;
+use crate::logging::log_event;
+use crate::settings::CurrentSettings;
+use crate::storage::{StorageEvent, StoreContents};
+use crate::tasks::{BackgroundTasks, Spawner};
+use crate::transport::{receive_frame, Transport};
+use passrelay_control_plane::replication::{Member, ReplicaSettings};
+use smol::channel::Receiver;
+use smol::Timer;
+use std::rc::Rc;
+use std::time::Duration;
+
+/// Minimum time without contact to the primary after which another is elected.
+const ELECTION_TIMEOUT: Duration = Duration::from_millis(320);
+/// Lower bound of the pause between the coordinator's timers, so that a timer that stays due can't take the processor.
+const MIN_TICK_INTERVAL: Duration = Duration::from_millis(5);
+/// Interval of quota requests ahead of demand.
+const QUOTA_REQUEST_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval of the log lines with the status.
+const STATUS_LOG_INTERVAL: Duration = Duration::from_secs(10);
+
+/// Starts the loop that takes the storage thread's events.
+pub fn start_storage_events(
+    tasks: &BackgroundTasks,
+    driver: &Rc<CoordinatorDriver>,
+    settings: &Rc<CurrentSettings>,
+    events: Receiver<StorageEvent>,
+) {
+    let driver = driver.clone();
+    let settings = settings.clone();
+    tasks.spawn("storage_events", async move {
+        while let Ok(event) = events.recv().await {
+            match event {
+                StorageEvent::Opened(opened) => attach_replica(&driver, &settings, *opened),
+                StorageEvent::Written { write_id, succeeded } => {
+                    driver.step(|coordinator, now, actions| {
+                        coordinator.written(now, write_id, succeeded, actions);
+                    });
+                }
+            }
+        }
+    });
+}
+
+/// Starts all loops that drive the coordinator but for the storage events.
+pub fn start(tasks: &BackgroundTasks, driver: &Rc<CoordinatorDriver>, transport: &Rc<Transport>) {
+    start_receivers(tasks, driver, transport);
+    let ticking = driver.clone();
+    tasks.spawn("coordinator_timers", async move {
+        loop {
+            Timer::after(ticking.tick().max(MIN_TICK_INTERVAL)).await;
+        }
+    });
+    let quota = driver.clone();
+    tasks.spawn_periodic("quota_requests", || QUOTA_REQUEST_INTERVAL, move || quota.request_quota());
+    let interval = driver.clone();
+    let reporting = driver.clone();
+    tasks.spawn_periodic(
+        "load_reports",
+        move || interval.load_report_interval(),
+        move || reporting.report_load(),
+    );
+    let persisting = driver.clone();
+    tasks.spawn_periodic(
+        "endpoint_persistence",
+        || ENDPOINT_PERSISTENCE_INTERVAL,
+        move || persisting.persist_endpoints(),
+    );
+    let status = driver.clone();
+    tasks.spawn_periodic(
+        "status_log",
+        || STATUS_LOG_INTERVAL,
+        // JSON after the event's name, not fields.
+        move || log::info!("event=status {}", status.status()),
+    );
+}
+
+fn start_receivers(tasks: &BackgroundTasks, driver: &Rc<CoordinatorDriver>, transport: &Rc<Transport>) {
+    let receiver = driver.clone();
+    let datagrams = transport.clone();
+    tasks.spawn("datagram_receiver", async move {
+        loop {
+            receiver.receive(datagrams.receive().await);
+        }
+    });
+    let receiver = driver.clone();
+    let connections = transport.clone();
+    let spawner = tasks.spawner();
+    tasks.spawn("frame_listener", async move {
+        accept_frames(receiver, connections, spawner).await;
+    });
+}
+
+/// Accepts the connections that bring one large frame each.
+async fn accept_frames(driver: Rc<CoordinatorDriver>, transport: Rc<Transport>, spawner: Spawner) {
+    loop {
+        let stream = transport.accept().await;
+        let receiver = driver.clone();
+        let counter = transport.clone();
+        spawner.spawn_bounded(async move {
+            match receive_frame(stream).await {
+                Some(message) => receiver.receive(message),
+                None => counter.count_dropped(),
+            }
+        });
+    }
+}
+
+/// The store is open: from now on this machine takes part in replication.
+fn attach_replica(driver: &CoordinatorDriver, settings: &CurrentSettings, opened: StoreContents) {
+    let StoreContents { identity: id, bootstrapping, durable, endpoints } = opened;
+    let replica = {
+        let settings = settings.borrow();
+        ReplicaSettings {
+            own: Member { id, address: settings.internal_address() },
+            tolerated_losses: settings.tolerated_losses,
+            founding: bootstrapping,
+            seeds: settings.internal_seeds(),
+            election_timeout: ELECTION_TIMEOUT,
+            random_seed: rand::random(),
+            fault: None,
+        }
+    };
+    log_event!(
+        info,
+        "disk_open",
+        member = format_args!("{:016x}", id.0),
+        index = durable.state.version.index
+    );
+    driver.step(|coordinator, now, _| {
+        coordinator.restore_endpoints(now, endpoints);
+        coordinator.attach_replica(now, replica, durable);
+    });
+}
--- a/crates/router/node/src/client_connections.rs
+++ b/crates/router/node/src/client_connections.rs
@@ -1,4 +1,6 @@
-//! Connections of clients: which are open, what each is doing, and when it has been doing so for too long.
+//! Connections of clients: which are open, what each is doing, and since when.
+//!
+//! Idle connections and slow heads are closed after a timeout; a request in flight is bounded by its own deadline.
 
 use smol::channel::{Receiver, Sender};
 use std::cell::{Cell, RefCell};
@@ -6,46 +8,58 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What a connection's task is told.
+/// Commands that a connection's queue holds: one to finish and one to close. Further ones repeat these and are dropped.
+const MAX_PENDING_COMMANDS: usize = 2;
+
+/// A command to the task of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionCommand {
-    /// Close as soon as nothing is owed.
+    /// Close once the request in flight has its response.
     Finish,
     /// Close now.
     Close,
 }
 
+/// How long a connection may stay in the phases that depend on the client.
+#[derive(Clone, Copy, Debug)]
+pub struct ConnectionTimeouts {
+    /// From the first byte of a head to its last.
+    pub header: Duration,
+    /// Without any byte of a request.
+    pub idle: Duration,
+}
+
 #[derive(Clone, Copy, Debug)]
 enum Phase {
-    /// Rests since this time.
+    /// No request since this time.
     Idle(Duration),
-    /// A head is coming since this time.
-    Head(Duration),
+    /// A head is being received since this time.
+    Header(Duration),
     /// A request is being served.
     Busy,
 }
 
-/// One connection, shared by its socket, its requests and the sweeper.
+/// One connection, shared by its socket, its requests and the sweep.
 pub struct ClientConnection {
     phase: Cell<Phase>,
     commands: Sender<ConnectionCommand>,
 }
 
 impl ClientConnection {
-    /// Bytes have come.
-    pub fn bytes_came(&self, now: Duration) {
+    /// Bytes have arrived.
+    pub fn bytes_received(&self, now: Duration) {
         if let Phase::Idle(_) = self.phase.get() {
-            self.phase.set(Phase::Head(now));
+            self.phase.set(Phase::Header(now));
         }
     }
 
-    /// A whole head was read.
-    pub fn request_begins(&self) {
+    /// A complete head has been read.
+    pub fn request_started(&self) {
         self.phase.set(Phase::Busy);
     }
 
-    /// The answer is written, or given up.
-    pub fn request_ends(&self, now: Duration) {
+    /// The response has been written, or given up.
+    pub fn request_finished(&self, now: Duration) {
         self.phase.set(Phase::Idle(now));
     }
 
@@ -54,39 +68,49 @@
         matches!(self.phase.get(), Phase::Busy)
     }
 
-    fn is_over(&self, now: Duration, head_within: Duration, idle_within: Duration) -> bool {
+    fn is_expired(&self, now: Duration, timeouts: ConnectionTimeouts) -> bool {
         match self.phase.get() {
-            Phase::Idle(since) => now.saturating_sub(since) > idle_within,
-            Phase::Head(since) => now.saturating_sub(since) > head_within,
+            Phase::Idle(since) => now.saturating_sub(since) > timeouts.idle,
+            Phase::Header(since) => now.saturating_sub(since) > timeouts.header,
             Phase::Busy => false,
         }
     }
 }
 
+/// A connection that has just been opened.
+pub struct OpenedConnection {
+    /// Identifies it among the open ones.
+    pub id: u64,
+    /// The connection.
+    pub connection: Rc<ClientConnection>,
+    /// Commands to the task that serves it.
+    pub commands: Receiver<ConnectionCommand>,
+}
+
 /// All open connections.
 #[derive(Default)]
 pub struct ClientConnections {
     open: RefCell<HashMap<u64, Rc<ClientConnection>>>,
-    next: Cell<u64>,
+    next_id: Cell<u64>,
 }
 
 impl ClientConnections {
-    /// A connection has opened. Returns its number, itself, and where its orders come.
-    pub fn open(&self, now: Duration) -> (u64, Rc<ClientConnection>, Receiver<ConnectionCommand>) {
-        let (commands, received) = smol::channel::bounded(2);
+    /// Registers a connection.
+    pub fn open(&self, now: Duration) -> OpenedConnection {
+        let (commands, received) = smol::channel::bounded(MAX_PENDING_COMMANDS);
         let connection = Rc::new(ClientConnection { phase: Cell::new(Phase::Idle(now)), commands });
-        let number = self.next.get();
-        self.next.set(number + 1);
-        self.open.borrow_mut().insert(number, connection.clone());
-        (number, connection, received)
+        let id = self.next_id.get();
+        self.next_id.set(id + 1);
+        self.open.borrow_mut().insert(id, connection.clone());
+        OpenedConnection { id, connection, commands: received }
     }
 
-    /// A connection has closed.
-    pub fn closed(&self, number: u64) {
-        self.open.borrow_mut().remove(&number);
+    /// A connection has been closed.
+    pub fn closed(&self, id: u64) {
+        self.open.borrow_mut().remove(&id);
     }
 
-    /// Open connections.
+    /// Number of open connections.
     pub fn len(&self) -> usize {
         self.open.borrow().len()
     }
@@ -96,17 +120,17 @@
         self.open.borrow().is_empty()
     }
 
-    /// Has all connections close as soon as nothing is owed on them.
+    /// Has all connections close once their request in flight has its response.
     pub fn finish_all(&self) {
         for connection in self.open.borrow().values() {
             let _ = connection.commands.try_send(ConnectionCommand::Finish);
         }
     }
 
-    /// Closes connections that rest, or whose head comes, for too long.
-    pub fn sweep(&self, now: Duration, head_within: Duration, idle_within: Duration) {
+    /// Closes the connections whose timeout has passed.
+    pub fn sweep(&self, now: Duration, timeouts: ConnectionTimeouts) {
         for connection in self.open.borrow().values() {
-            if connection.is_over(now, head_within, idle_within) {
+            if connection.is_expired(now, timeouts) {
                 let _ = connection.commands.try_send(ConnectionCommand::Close);
             }
         }
--- a/crates/router/node/src/client_listener.rs
+++ b/crates/router/node/src/client_listener.rs
@@ -1,10 +1,11 @@
-//! Clients' connections: accepting them, serving requests on them, ending them.
+//! Clients' connections: accepts them, serves requests on them and ends them.
 
-use crate::client_connections::{ClientConnection, ConnectionCommand};
+use crate::client_connections::{ClientConnection, ConnectionCommand, ConnectionTimeouts};
 use crate::listener::accept_all;
-use crate::process::Node;
 use crate::request;
+use crate::request_context::RequestContext;
 use crate::responses::{Body, BodyError};
+use crate::tasks::BackgroundTasks;
 use bytes::Bytes;
 use hyper::body::{Frame, Incoming, SizeHint};
 use hyper::header::{HeaderValue, CONNECTION};
@@ -12,59 +13,76 @@
 use hyper::{Request, Response};
 use smol::io::{AsyncRead, AsyncWrite};
 use smol::net::{TcpListener, TcpStream};
-use smol::Timer;
 use smol_hyper::rt::FuturesIo;
 use std::convert::Infallible;
 use std::io;
-use std::net::SocketAddr;
+use std::net::{SocketAddr, SocketAddrV4};
 use std::pin::Pin;
 use std::rc::Rc;
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-/// Pause between looks for connections that rest too long.
-const SWEEP_EVERY: Duration = Duration::from_secs(1);
-/// Least size of a connection's buffer that the HTTP library takes.
-const LEAST_BUFFER: usize = 8_192;
-/// Bounds where there is no configuration yet.
-const DEFAULT_HEAD_BYTES: usize = 16 * 1024;
-const DEFAULT_HEAD_WITHIN: Duration = Duration::from_secs(3);
-const DEFAULT_IDLE_WITHIN: Duration = Duration::from_secs(15);
-
-/// Opens the clients' port, if this role serves it.
-pub async fn start(node: &Rc<Node>) -> io::Result<()> {
-    let address = node.settings.borrow().listen_front;
+/// Interval of the check for connections that have been idle for too long.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+/// Minimum size of a connection's buffer that the HTTP library accepts, in bytes.
+const MIN_BUFFER_BYTES: usize = 8_192;
+/// Maximum size of a head while there is no configuration.
+const DEFAULT_MAX_HEADER_BYTES: usize = 16 * 1024;
+/// Timeouts while there is no configuration.
+const DEFAULT_TIMEOUTS: ConnectionTimeouts =
+    ConnectionTimeouts { header: Duration::from_secs(3), idle: Duration::from_secs(15) };
+
+/// Opens the clients' port, if this process has one.
+///
+/// # Errors
+///
+/// Returns the operating system's error where the port can't be opened.
+pub async fn start(
+    tasks: &BackgroundTasks,
+    context: &Rc<RequestContext>,
+    address: Option<SocketAddrV4>,
+) -> io::Result<()> {
     let Some(address) = address else { return Ok(()) };
     let listener = TcpListener::bind(SocketAddr::V4(address)).await?;
-    node.executor.spawn(accept_all(node.clone(), listener, "front", serve)).detach();
-    node.executor.spawn(sweep(node.clone())).detach();
+    let serving = context.clone();
+    let serve = move |stream| serve_connection(serving.clone(), stream);
+    tasks.spawn("client_listener", accept_all(tasks.spawner(), listener, "front", serve));
+    let sweeping = context.clone();
+    tasks.spawn_periodic("connection_sweep", || SWEEP_INTERVAL, move || sweep(&sweeping));
     Ok(())
 }
 
-async fn sweep(node: Rc<Node>) {
-    loop {
-        Timer::after(SWEEP_EVERY).await;
-        let limits = node.snapshot().map(|s| s.table.limits().clone());
-        let head =
-            limits.as_ref().map_or(DEFAULT_HEAD_WITHIN, |l| Duration::from_millis(l.header_timeout_ms));
-        let idle = limits.as_ref().map_or(DEFAULT_IDLE_WITHIN, |l| Duration::from_millis(l.idle_timeout_ms));
-        let now = node.now();
-        node.clients.sweep(now, head, idle);
-        node.pool.sweep(now);
-    }
+/// Closes connections, of clients and to endpoints, that have been idle for too long.
+fn sweep(context: &RequestContext) {
+    let snapshot = context.data_plane.configuration.snapshot();
+    let timeouts = snapshot.map_or(DEFAULT_TIMEOUTS, |snapshot| {
+        let limits = snapshot.table.limits();
+        ConnectionTimeouts {
+            header: Duration::from_millis(limits.header_timeout_ms),
+            idle: Duration::from_millis(limits.idle_timeout_ms),
+        }
+    });
+    let now = context.now();
+    context.clients.sweep(now, timeouts);
+    context.upstream.sweep(now);
 }
 
-async fn serve(node: Rc<Node>, stream: TcpStream) {
+async fn serve_connection(context: Rc<RequestContext>, stream: TcpStream) {
     let _ = stream.set_nodelay(true);
-    let (number, connection, commands) = node.clients.open(node.now());
-    let io = FuturesIo::new(TrackedStream { stream, connection: connection.clone(), node: node.clone() });
-    let head_bytes = node.snapshot().map_or(DEFAULT_HEAD_BYTES, |s| s.table.limits().max_header_bytes);
+    let opened = context.clients.open(context.now());
+    let connection = opened.connection;
+    let io =
+        FuturesIo::new(TrackedStream { stream, connection: connection.clone(), context: context.clone() });
+    let snapshot = context.data_plane.configuration.snapshot();
+    let max_header_bytes =
+        snapshot.map_or(DEFAULT_MAX_HEADER_BYTES, |snapshot| snapshot.table.limits().max_header_bytes);
     let service = {
-        let (node, connection) = (node.clone(), connection.clone());
-        service_fn(move |request| answer(node.clone(), connection.clone(), request))
+        let context = context.clone();
+        let connection = connection.clone();
+        service_fn(move |request| respond(context.clone(), connection.clone(), request))
     };
     let serving = hyper::server::conn::http1::Builder::new()
-        .max_buf_size(head_bytes.max(LEAST_BUFFER))
+        .max_buf_size(max_header_bytes.max(MIN_BUFFER_BYTES))
         .serve_connection(io, service);
     let mut serving = std::pin::pin!(serving);
     loop {
@@ -73,36 +91,36 @@
                 let _ = serving.as_mut().await;
                 None
             };
-            smol::future::or(served, async { commands.recv().await.ok() }).await
+            smol::future::or(served, async { opened.commands.recv().await.ok() }).await
         };
         match command {
             Some(ConnectionCommand::Finish) => serving.as_mut().graceful_shutdown(),
-            // A request may have come between the order and now: it is served, and the connection looked at again later.
+            // A request may have come between the command and now: it is served, and a later sweep closes the connection.
             Some(ConnectionCommand::Close) if connection.is_busy() => {}
             Some(ConnectionCommand::Close) | None => break,
         }
     }
-    node.clients.closed(number);
+    context.clients.closed(opened.id);
 }
 
-async fn answer(
-    node: Rc<Node>,
+async fn respond(
+    context: Rc<RequestContext>,
     connection: Rc<ClientConnection>,
     request: Request<Incoming>,
 ) -> Result<Response<Body>, Infallible> {
-    connection.request_begins();
-    let mut response = request::relay(&node, request).await;
-    if node.is_draining() {
+    connection.request_started();
+    let mut response = request::handle(&context, request).await;
+    if context.shutdown.is_draining() {
         response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
-    Ok(response.map(|body| -> Body { Box::pin(TrackedBody { body, connection, node }) }))
+    Ok(response.map(|body| -> Body { Box::pin(TrackedBody { body, connection, context }) }))
 }
 
-/// A client's socket; tells the connection when bytes come.
+/// A client's socket; notifies the connection when bytes arrive.
 struct TrackedStream {
     stream: TcpStream,
     connection: Rc<ClientConnection>,
-    node: Rc<Node>,
+    context: Rc<RequestContext>,
 }
 
 impl AsyncRead for TrackedStream {
@@ -113,7 +131,7 @@
     ) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.stream).poll_read(context, buffer);
         if matches!(polled, Poll::Ready(Ok(length)) if length > 0) {
-            self.connection.bytes_came(self.node.now());
+            self.connection.bytes_received(self.context.now());
         }
         polled
     }
@@ -141,11 +159,11 @@
     }
 }
 
-/// The body of an answer; tells the connection when it is over.
+/// The body of a response; notifies the connection when it has been written or given up.
 struct TrackedBody {
     body: Body,
     connection: Rc<ClientConnection>,
-    node: Rc<Node>,
+    context: Rc<RequestContext>,
 }
 
 impl hyper::body::Body for TrackedBody {
@@ -170,6 +188,6 @@
 
 impl Drop for TrackedBody {
     fn drop(&mut self) {
-        self.connection.request_ends(self.node.now());
+        self.connection.request_finished(self.context.now());
     }
 }
--- a/crates/router/node/src/control_api.rs
+++ b/crates/router/node/src/control_api.rs
@@ -1,8 +1,12 @@
-//! What endpoints and operators call: heartbeats, the configuration, the status; and readiness.
+//! The HTTP interface for endpoints and operators: registration, configuration, status; and the readiness probe.
 
+use crate::coordinator_driver::CoordinatorDriver;
+use crate::endpoint_registration::EndpointRegistration;
 use crate::listener::accept_all;
-use crate::process::Node;
+use crate::readiness::Readiness;
 use crate::responses::{json, Body};
+use crate::settings::CurrentSettings;
+use crate::tasks::BackgroundTasks;
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
 use hyper::service::service_fn;
@@ -19,123 +23,149 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Longest body of a heartbeat.
-const HEARTBEAT_BYTES: usize = 16 * 1024;
-/// Longest body of an order.
-const ORDER_BYTES: usize = 16 << 20;
-/// A connection on which nothing is asked for this long is closed.
-const IDLE: Duration = Duration::from_secs(60);
+/// Maximum length of a heartbeat's body.
+const MAX_HEARTBEAT_BYTES: usize = 16 * 1024;
+/// Maximum length of a configuration change's body.
+const MAX_CONFIGURATION_CHANGE_BYTES: usize = 16 << 20;
+/// A connection is closed this long after it was opened.
+const CONNECTION_LIFETIME: Duration = Duration::from_secs(60);
 
-/// Opens the ports for readiness and control.
-pub async fn start(node: &Rc<Node>) -> std::io::Result<()> {
+/// What the interface serves.
+pub struct ControlApi {
+    /// Takes endpoints' calls.
+    pub registration: EndpointRegistration,
+    /// Answers the readiness probe.
+    pub readiness: Rc<Readiness>,
+    /// Takes operators' calls.
+    pub driver: Rc<CoordinatorDriver>,
+}
+
+/// Opens the ports for readiness and control; both serve the same.
+///
+/// # Errors
+///
+/// Returns the operating system's error where a port can't be opened.
+pub async fn start(
+    tasks: &BackgroundTasks,
+    api: &Rc<ControlApi>,
+    settings: &CurrentSettings,
+) -> std::io::Result<()> {
     let (readiness, control) = {
-        let settings = node.settings.borrow();
+        let settings = settings.borrow();
         (settings.listen_readiness, settings.listen_control)
     };
     for address in readiness.into_iter().chain(control) {
         let listener = TcpListener::bind(SocketAddr::V4(address)).await?;
-        node.executor.spawn(accept_all(node.clone(), listener, "control", serve)).detach();
+        let api = api.clone();
+        let serve = move |stream| serve_connection(api.clone(), stream);
+        tasks.spawn("control_listener", accept_all(tasks.spawner(), listener, "control", serve));
     }
     Ok(())
 }
 
-async fn serve(node: Rc<Node>, stream: TcpStream) {
+async fn serve_connection(api: Rc<ControlApi>, stream: TcpStream) {
     let _ = stream.set_nodelay(true);
     let handler = service_fn(move |request| {
-        let node = node.clone();
-        async move { Ok::<_, Infallible>(answer(&node, request).await) }
+        let api = api.clone();
+        async move { Ok::<_, Infallible>(respond(&api, request).await) }
     });
     let connection =
         hyper::server::conn::http1::Builder::new().serve_connection(FuturesIo::new(stream), handler);
     let served = async {
         let _ = connection.await;
     };
-    let idle = async {
-        Timer::after(IDLE).await;
+    let lifetime = async {
+        Timer::after(CONNECTION_LIFETIME).await;
     };
-    smol::future::or(served, idle).await;
+    smol::future::or(served, lifetime).await;
 }
 
-async fn answer(node: &Rc<Node>, request: Request<Incoming>) -> Response<Body> {
+async fn respond(api: &ControlApi, request: Request<Incoming>) -> Response<Body> {
     let path = request.uri().path().to_owned();
     let method = request.method().clone();
     match (method, path.as_str()) {
-        (Method::GET, "/ready") => readiness(node),
-        (Method::GET, "/status") => json(StatusCode::OK, node.status()),
-        (Method::GET, "/config") => operator(node, OperatorRequest::Read).await,
-        (Method::PUT, "/config") => change(node, ChangeKind::Replace, request).await,
-        (Method::PATCH, "/config") => change(node, ChangeKind::Patch, request).await,
+        (Method::GET, "/ready") => readiness(api),
+        (Method::GET, "/status") => json(StatusCode::OK, api.driver.status()),
+        (Method::GET, "/config") => run_operator_call(api, OperatorRequest::Read).await,
+        (Method::PUT, "/config") => change_configuration(api, ChangeKind::Replace, request).await,
+        (Method::PATCH, "/config") => change_configuration(api, ChangeKind::Patch, request).await,
         (method, path) => match path.strip_prefix("/instances/") {
-            Some(id) if method == Method::PUT => heartbeat(node, id, request).await,
-            Some(id) if method == Method::DELETE => acknowledgement(node.leave(id).await),
-            Some(_) => fault(StatusCode::METHOD_NOT_ALLOWED, "PUT or DELETE"),
-            None => fault(StatusCode::NOT_FOUND, "unknown path"),
+            Some(id) if method == Method::PUT => heartbeat(api, id, request).await,
+            Some(id) if method == Method::DELETE => acknowledgement(api.registration.deregister(id).await),
+            Some(_) => error(StatusCode::METHOD_NOT_ALLOWED, "PUT or DELETE"),
+            None => error(StatusCode::NOT_FOUND, "unknown path"),
         },
     }
 }
 
-fn fault(status: StatusCode, problem: &str) -> Response<Body> {
+fn error(status: StatusCode, problem: &str) -> Response<Body> {
     json(status, serde_json::json!({ "error": problem }).to_string())
 }
 
-/// The answer to an endpoint.
+/// The response to an endpoint.
 fn acknowledgement(acknowledged: bool) -> Response<Body> {
     if acknowledged {
         json(StatusCode::OK, "{}".to_owned())
     } else {
-        fault(StatusCode::SERVICE_UNAVAILABLE, "the core does not know of it yet, tell another sidecar")
+        error(StatusCode::SERVICE_UNAVAILABLE, "the core does not know of it yet, tell another sidecar")
     }
 }
 
-fn readiness(node: &Rc<Node>) -> Response<Body> {
-    if node.is_ready() {
+fn readiness(api: &ControlApi) -> Response<Body> {
+    if api.readiness.is_ready() {
         json(StatusCode::OK, "{}".to_owned())
     } else {
-        fault(StatusCode::SERVICE_UNAVAILABLE, "not ready")
+        error(StatusCode::SERVICE_UNAVAILABLE, "not ready")
     }
 }
 
-async fn operator(node: &Rc<Node>, request: OperatorRequest) -> Response<Body> {
-    match node.operator_call(request).recv().await {
+async fn run_operator_call(api: &ControlApi, request: OperatorRequest) -> Response<Body> {
+    match api.driver.operator_call(request).recv().await {
         Ok(answer) => {
             let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
             json(status, answer.body.to_string())
         }
-        Err(_) => fault(StatusCode::SERVICE_UNAVAILABLE, "no answer, ask again"),
+        Err(_) => error(StatusCode::SERVICE_UNAVAILABLE, "no answer, ask again"),
     }
 }
 
-async fn change(node: &Rc<Node>, kind: ChangeKind, request: Request<Incoming>) -> Response<Body> {
-    let base = request.headers().get("if-match").and_then(|v| v.to_str().ok());
+async fn change_configuration(
+    api: &ControlApi,
+    kind: ChangeKind,
+    request: Request<Incoming>,
+) -> Response<Body> {
+    let base = request.headers().get("if-match").and_then(|value| value.to_str().ok());
     let base = base.and_then(|text| text.trim().trim_matches('"').parse::<u64>().ok());
     let Some(base) = base else {
-        return fault(StatusCode::BAD_REQUEST, "If-Match: should be the generation that the order builds on");
+        return error(StatusCode::BAD_REQUEST, "If-Match: should be the generation that the order builds on");
     };
-    let Ok(body) = Limited::new(request.into_body(), ORDER_BYTES).collect().await else {
-        return fault(StatusCode::PAYLOAD_TOO_LARGE, "the order is too long, or was cut off");
+    let Ok(body) = Limited::new(request.into_body(), MAX_CONFIGURATION_CHANGE_BYTES).collect().await else {
+        return error(StatusCode::PAYLOAD_TOO_LARGE, "the order is too long, or was cut off");
     };
     match String::from_utf8(body.to_bytes().into()) {
         Ok(text) => {
-            operator(node, OperatorRequest::Change(ConfigurationChange { kind, base, body: text.into() }))
-                .await
+            let change = ConfigurationChange { kind, base, body: text.into() };
+            run_operator_call(api, OperatorRequest::Change(change)).await
         }
-        Err(_) => fault(StatusCode::BAD_REQUEST, "document: cannot be read as JSON: not UTF-8"),
+        Err(_) => error(StatusCode::BAD_REQUEST, "document: cannot be read as JSON: not UTF-8"),
     }
 }
 
-async fn heartbeat(node: &Rc<Node>, id: &str, request: Request<Incoming>) -> Response<Body> {
-    let Ok(body) = Limited::new(request.into_body(), HEARTBEAT_BYTES).collect().await else {
-        return fault(StatusCode::BAD_REQUEST, "the heartbeat is too long, or was cut off");
+async fn heartbeat(api: &ControlApi, id: &str, request: Request<Incoming>) -> Response<Body> {
+    let Ok(body) = Limited::new(request.into_body(), MAX_HEARTBEAT_BYTES).collect().await else {
+        return error(StatusCode::BAD_REQUEST, "the heartbeat is too long, or was cut off");
     };
-    match serde_json::from_slice(&body.to_bytes()).ok().and_then(|body: Value| read_heartbeat(id, &body)) {
-        Some(beat) => acknowledgement(node.heartbeat(&beat).await),
-        None => fault(StatusCode::BAD_REQUEST, "the heartbeat lacks backend, address, state or sequence"),
+    let body: Option<Value> = serde_json::from_slice(&body.to_bytes()).ok();
+    match body.and_then(|body| parse_heartbeat(id, &body)) {
+        Some(heartbeat) => acknowledgement(api.registration.heartbeat(&heartbeat).await),
+        None => error(StatusCode::BAD_REQUEST, "the heartbeat lacks backend, address, state or sequence"),
     }
 }
 
-fn read_heartbeat(id: &str, body: &Value) -> Option<Heartbeat> {
+/// The heartbeat of a JSON body; none where a required key is missing or has no valid value.
+fn parse_heartbeat(id: &str, body: &Value) -> Option<Heartbeat> {
     let text = |name: &str| body.get(name).and_then(Value::as_str);
-    let whole = |name: &str| body.get(name).and_then(Value::as_u64);
+    let integer = |name: &str| body.get(name).and_then(Value::as_u64);
     let state = match text("state")? {
         "ready" => EndpointState::Ready,
         "draining" => EndpointState::Draining,
@@ -148,9 +178,9 @@
             service: text("backend")?.to_owned(),
             address,
             zone: text("zone").unwrap_or_default().to_owned(),
-            capacity: whole("capacity").and_then(|c| u32::try_from(c).ok()).unwrap_or(1),
+            capacity: integer("capacity").and_then(|capacity| u32::try_from(capacity).ok()).unwrap_or(1),
             state,
-            sequence: whole("sequence")?,
+            sequence: integer("sequence")?,
         },
     })
 }
--- a/crates/router/node/src/control_client.rs
+++ b/crates/router/node/src/control_client.rs
@@ -1,4 +1,4 @@
-//! Calls of an operator's command line to the control port of a sidecar.
+//! HTTP client of the operators' command line for the control port of a sidecar.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -11,27 +11,27 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// A call without an answer after this has failed.
-const PATIENCE: Duration = Duration::from_secs(5);
+/// Timeout of a call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Why a call has no answer.
+/// Why a call has no response.
 #[derive(Debug, Error)]
 pub enum CallError {
-    /// No connection, or it broke.
+    /// The connection can't be opened, or the call timed out.
     #[error("{address}: {source}")]
     Connection {
         /// The sidecar.
         address: SocketAddr,
-        /// What the system says.
+        /// The operating system's error.
         source: std::io::Error,
     },
-    /// What came is no answer.
-    #[error("{address}: {problem}")]
+    /// The request or the response is not valid HTTP, or the connection broke in between.
+    #[error("{address}: {source}")]
     Protocol {
         /// The sidecar.
         address: SocketAddr,
-        /// What is wrong.
-        problem: String,
+        /// The HTTP library's error.
+        source: Box<dyn std::error::Error + Send + Sync>,
     },
 }
 
@@ -42,33 +42,42 @@
     pub method: Method,
     /// Its path.
     pub path: &'static str,
-    /// The generation that a change builds on.
+    /// The generation that a change is based on.
     pub if_match: Option<u64>,
     /// The body, JSON.
     pub body: String,
 }
 
-/// Makes a call and waits for the answer: its status and body.
+/// The response to a call.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ControlResponse {
+    /// Its HTTP status.
+    pub status: u16,
+    /// Its body, usually JSON.
+    pub body: String,
+}
+
+/// Makes a call and waits for the response.
 ///
 /// # Errors
 ///
 /// Returns why there is none.
-pub fn call(address: SocketAddr, call: ControlCall) -> Result<(u16, String), CallError> {
+pub fn call(address: SocketAddr, call: ControlCall) -> Result<ControlResponse, CallError> {
     let executor = LocalExecutor::new();
-    let late = async {
-        Timer::after(PATIENCE).await;
+    let timeout = async {
+        Timer::after(CALL_TIMEOUT).await;
         Err(CallError::Connection { address, source: std::io::ErrorKind::TimedOut.into() })
     };
-    smol::block_on(executor.run(smol::future::or(exchange(&executor, address, call), late)))
+    smol::block_on(executor.run(smol::future::or(exchange(&executor, address, call), timeout)))
 }
 
 async fn exchange(
     executor: &LocalExecutor<'_>,
     address: SocketAddr,
     call: ControlCall,
-) -> Result<(u16, String), CallError> {
+) -> Result<ControlResponse, CallError> {
     let broken = |source| CallError::Connection { address, source };
-    let protocol = |e: hyper::Error| CallError::Protocol { address, problem: e.to_string() };
+    let protocol = |error: hyper::Error| CallError::Protocol { address, source: error.into() };
     let stream = TcpStream::connect(address).await.map_err(broken)?;
     let (mut sender, connection) = handshake(FuturesIo::new(stream)).await.map_err(protocol)?;
     executor
@@ -83,9 +92,9 @@
     }
     let request = request
         .body(Full::new(Bytes::from(call.body)))
-        .map_err(|e| CallError::Protocol { address, problem: e.to_string() })?;
+        .map_err(|error| CallError::Protocol { address, source: error.into() })?;
     let response = sender.send_request(request).await.map_err(protocol)?;
     let status = response.status().as_u16();
     let body = response.into_body().collect().await.map_err(protocol)?.to_bytes();
-    Ok((status, String::from_utf8_lossy(&body).into_owned()))
+    Ok(ControlResponse { status, body: String::from_utf8_lossy(&body).into_owned() })
 }
--- /dev/null
+++ b/crates/router/node/src/data_plane.rs
@@ -0,0 +1,66 @@
+//! State that requests are routed by: configuration, endpoints, quota shares, retry budget, traffic splits.
+//!
+//! The coordinator driver updates it, the request path reads and books in it. It knows neither sockets nor messages.
+
+use crate::configuration_snapshot::{ConfigurationSnapshot, CurrentConfiguration};
+use crate::logging::{log_event, Quoted};
+use crate::quota_client::QuotaClient;
+use passrelay_configuration::{parse_document, Configuration};
+use passrelay_control_plane::quota::TenantKey;
+use passrelay_data_plane::balancer::Balancer;
+use passrelay_data_plane::retry_budget::RetryBudget;
+use passrelay_data_plane::routing::RoutingTable;
+use passrelay_data_plane::traffic_split::TrafficSplits;
+use passrelay_dissemination::CommittedConfiguration;
+use std::cell::RefCell;
+
+/// State shared by the coordinator driver and the request path.
+pub struct DataPlane {
+    /// The configuration in force.
+    pub configuration: CurrentConfiguration,
+    /// Endpoints and their load as seen by this process.
+    pub balancer: RefCell<Balancer>,
+    /// Retries that may still be sent, by service.
+    pub retry_budget: RefCell<RetryBudget>,
+    /// Weighted round-robin state of each route with a traffic split.
+    pub traffic_splits: RefCell<TrafficSplits>,
+    /// Quota shares granted to this process.
+    pub quota: QuotaClient,
+}
+
+impl DataPlane {
+    /// Without configuration and endpoints.
+    pub fn new(zone: &str, retry_budget_ratio: f64, split_seed: u64) -> Self {
+        DataPlane {
+            configuration: CurrentConfiguration::default(),
+            balancer: RefCell::new(Balancer::new(zone)),
+            retry_budget: RefCell::new(RetryBudget::new(retry_budget_ratio)),
+            traffic_splits: RefCell::new(TrafficSplits::new(split_seed)),
+            quota: QuotaClient::new(),
+        }
+    }
+
+    /// Puts a committed configuration in force and drops the state of tenants, services and routes that it no longer
+    /// has. One that this version can't read is logged and ignored: the one before stays in force.
+    pub fn apply_configuration(&self, committed: &CommittedConfiguration) {
+        let document = parse_document(committed.document.as_bytes());
+        match document.and_then(|document| Configuration::read(&document)) {
+            Ok(configuration) => {
+                self.retain_configured(&configuration);
+                let table = RoutingTable::new(configuration);
+                self.configuration.replace(ConfigurationSnapshot { table, index: committed.index });
+                log_event!(info, "configured", generation = committed.generation, index = committed.index);
+            }
+            Err(errors) => log_event!(error, "configuration_unreadable", problem = Quoted(&errors)),
+        }
+    }
+
+    fn retain_configured(&self, configuration: &Configuration) {
+        let tenants: Vec<u64> =
+            configuration.tenants.iter().map(|tenant| TenantKey::of(&tenant.name).0).collect();
+        self.quota.shares.borrow_mut().retain(|key| tenants.contains(&key));
+        let services = &configuration.services;
+        self.retry_budget.borrow_mut().retain(|name| services.iter().any(|service| service.name == name));
+        self.traffic_splits.borrow_mut().retain(configuration);
+    }
+}
--- a/crates/router/node/src/graceful_shutdown/tests.rs
+++ b/crates/router/node/src/graceful_shutdown/tests.rs
@@ -1,6 +1,6 @@
-//! What is taken at each moment between SIGTERM and the end.
+//! What is accepted at each moment between SIGTERM and the end.
 
-use super::PlannedEnd;
+use super::ShutdownSchedule;
 use rstest::rstest;
 use std::time::Duration;
 
@@ -22,20 +22,20 @@
 #[case(6_800, 600, true)]
 #[case(6_900, 600, false)]
 #[case(7_500, 600, false)]
-fn a_request_is_taken_if_it_comes_early_or_is_over_in_time(
+fn a_request_is_accepted_if_it_arrives_early_or_is_over_in_time(
     #[case] after_ms: u64,
-    #[case] patience_ms: u64,
-    #[case] taken: bool,
+    #[case] timeout_ms: u64,
+    #[case] accepted: bool,
 ) {
-    let end = PlannedEnd::new(SIGNALLED_AT, GRACE);
+    let schedule = ShutdownSchedule::new(SIGNALLED_AT, GRACE);
     let now = SIGNALLED_AT + Duration::from_millis(after_ms);
-    assert_eq!(end.takes(now, now + Duration::from_millis(patience_ms)), taken);
+    assert_eq!(schedule.accepts(now, now + Duration::from_millis(timeout_ms)), accepted);
 }
 
 #[test]
-fn streams_get_all_of_the_grace_but_less_than_its_last_sixth() {
-    let end = PlannedEnd::new(SIGNALLED_AT, GRACE);
-    assert!(end.ends_at() > SIGNALLED_AT + GRACE.mul_f64(5.0 / 6.0));
-    assert!(end.ends_at() < SIGNALLED_AT + GRACE);
-    assert!(end.last_answers_at() < end.ends_at());
+fn streams_get_all_of_the_grace_period_but_less_than_its_last_sixth() {
+    let schedule = ShutdownSchedule::new(SIGNALLED_AT, GRACE);
+    assert!(schedule.ends_at() > SIGNALLED_AT + GRACE.mul_f64(5.0 / 6.0));
+    assert!(schedule.ends_at() < SIGNALLED_AT + GRACE);
+    assert!(schedule.last_responses_at() < schedule.ends_at());
 }
--- a/crates/router/node/src/listener.rs
+++ b/crates/router/node/src/listener.rs
@@ -1,30 +1,31 @@
-//! Accepting connections, the same way on every port.
+//! Accepting connections, the same way on every port that serves HTTP.
 
-use crate::process::Node;
+use crate::logging::{log_event, Quoted};
+use crate::tasks::Spawner;
 use smol::net::{TcpListener, TcpStream};
 use smol::Timer;
 use std::future::Future;
-use std::rc::Rc;
 use std::time::Duration;
 
-/// Pause after the system refused a connection, for want of descriptors for instance.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Pause after the operating system refused a connection, for want of descriptors for instance.
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Accepts connections for ever and has each served by a task of its own. `name` is for the log.
+/// Accepts connections for ever and serves each in a task of its own, which ends with the connection. `name` is for the
+/// log.
 pub async fn accept_all<F>(
-    node: Rc<Node>,
+    spawner: Spawner,
     listener: TcpListener,
     name: &'static str,
-    serve: impl Fn(Rc<Node>, TcpStream) -> F,
+    serve: impl Fn(TcpStream) -> F,
 ) where
     F: Future<Output = ()> + 'static,
 {
     loop {
         match listener.accept().await {
-            Ok((stream, _)) => node.executor.spawn(serve(node.clone(), stream)).detach(),
-            Err(e) => {
-                log::warn!("event=accept_failed listener={name} problem=\"{e}\"");
-                Timer::after(PAUSE).await;
+            Ok((stream, _)) => spawner.spawn_bounded(serve(stream)),
+            Err(error) => {
+                log_event!(warn, "accept_failed", listener = name, problem = Quoted(&error));
+                Timer::after(ACCEPT_RETRY_INTERVAL).await;
             }
         }
     }
--- /dev/null
+++ b/crates/router/node/src/logging.rs
@@ -0,0 +1,26 @@
+//! Log lines of the form `event=name key=value`, formatted in one place.
+//!
+//! The line is formatted only if its level is enabled, so that an event on the request path costs a comparison. Levels
+//! and sinks are chosen by the program, not here.
+
+use std::fmt;
+
+/// A value in double quotes, for text that may contain spaces. Quotes inside are written as they are: the lines are for
+/// people and for `grep`, not for a parser.
+pub struct Quoted<T>(pub T);
+
+impl<T: fmt::Display> fmt::Display for Quoted<T> {
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        write!(formatter, "\"{}\"", self.0)
+    }
+}
+
+/// Logs one event: `log_event!(warn, "accept_failed", listener = name, problem = Quoted(&error))` writes
+/// `event=accept_failed listener=control problem="too many open files"`.
+macro_rules! log_event {
+    ($level:ident, $name:literal $(, $key:ident = $value:expr)* $(,)?) => {
+        log::$level!(concat!("event=", $name $(, " ", stringify!($key), "={}")*) $(, $value)*)
+    };
+}
+
+pub(crate) use log_event;
--- /dev/null
+++ b/crates/router/node/src/quota_client.rs
@@ -0,0 +1,51 @@
+//! Client side of tenants' quotas: the tokens granted to this process, and the wake-up of requests that wait for them.
+//!
+//! Requests to the grantor are composed here and sent by the coordinator driver, which also delivers the grants.
+
+use event_listener::{Event, EventListener};
+use passrelay_control_plane::quota::{QuotaMessage, TenantGrant, TenantKey, GRANT_LIFETIME};
+use passrelay_data_plane::quota::{Grant, Question, QuotaShares};
+use std::cell::RefCell;
+use std::time::Duration;
+
+/// The quota shares granted to this process.
+pub struct QuotaClient {
+    /// Granted tokens and pending demand by tenant.
+    pub shares: RefCell<QuotaShares>,
+    /// Notified after each grant.
+    granted: Event,
+}
+
+impl QuotaClient {
+    /// No grants and no demand.
+    pub fn new() -> Self {
+        QuotaClient { shares: RefCell::new(QuotaShares::new(GRANT_LIFETIME)), granted: Event::new() }
+    }
+
+    /// Completes at the next grant after this call, for whichever tenant.
+    pub fn next_grant(&self) -> EventListener {
+        self.granted.listen()
+    }
+
+    /// The request for the tokens that are wanted now; none where none are wanted or a request is pending.
+    pub fn next_request(&self, now: Duration) -> Option<QuotaMessage> {
+        let Question { request_id, wanted, overdrawn } = self.shares.borrow_mut().question(now)?;
+        let keyed = |amounts: Vec<(u64, u64)>| {
+            amounts.into_iter().map(|(tenant, tokens)| (TenantKey(tenant), tokens)).collect()
+        };
+        Some(QuotaMessage::Request { request_id, wanted: keyed(wanted), overdrawn: keyed(overdrawn) })
+    }
+
+    /// Books a grant and wakes the requests that wait for tokens. Other messages are ignored.
+    pub fn apply_grant(&self, now: Duration, grant: QuotaMessage) {
+        let QuotaMessage::Grant { request_id, granted, .. } = grant else { return };
+        let share = |grant: TenantGrant| Grant {
+            tenant: grant.tenant.0,
+            tokens: grant.tokens,
+            reserve: grant.reserve,
+        };
+        let grants: Vec<Grant> = granted.into_iter().map(share).collect();
+        self.shares.borrow_mut().answered(now, request_id, &grants);
+        self.granted.notify(usize::MAX);
+    }
+}
--- /dev/null
+++ b/crates/router/node/src/request/attempts.rs
@@ -0,0 +1,257 @@
+//! The attempts of one request: select an endpoint, connect, check that all still holds, send, and judge the response.
+//!
+//! Whether there is a next attempt, and which failure the client gets otherwise, is decided in `retry_policy`.
+
+use super::admission::{self, Admission};
+use super::endpoint_call::EndpointCall;
+use super::headers::{INSTANCE_LOAD, NOT_EXECUTED, REQUEST_ID};
+use super::inbound::InboundRequest;
+use super::outbound::{self, AttemptFields};
+use super::retry_policy::{AttemptConditions, AttemptHistory};
+use crate::request_context::RequestContext;
+use crate::responses::Failure;
+use crate::upstream::{Connection, SendError};
+use http_body_util::BodyExt;
+use hyper::body::Incoming;
+use hyper::{Response, StatusCode};
+use passrelay_data_plane::balancer::{CallEnd, LoadReport, Pick, PickRequest};
+use smol::Timer;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::Duration;
+
+/// Timeout for reading the rest of a rejected attempt's response, so that its connection can be reused.
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(200);
+
+/// The head of an endpoint's response, and what belongs to the call.
+pub struct Answered {
+    /// Head and body.
+    pub response: Response<Incoming>,
+    /// The connection that it comes on.
+    pub connection: Connection,
+    /// The call in the balancer's accounts.
+    pub call: EndpointCall,
+}
+
+/// How one attempt ended.
+enum Outcome {
+    /// The endpoint has executed the request.
+    Answered(Box<Answered>),
+    /// The endpoint has not executed it and never will; another one may.
+    NotExecuted,
+    /// The endpoint may have executed it.
+    Unknown,
+    /// The deadline, or the last moment of this process, has come; the endpoint may have executed it.
+    TimedOut,
+}
+
+/// The attempts of one request.
+pub struct Attempts {
+    context: Rc<RequestContext>,
+    inbound: Rc<InboundRequest>,
+    deadline: Duration,
+    /// Endpoints that are not selected again.
+    tried: Vec<Arc<str>>,
+    /// The service of the first attempt.
+    service: Option<String>,
+    history: AttemptHistory,
+}
+
+impl Attempts {
+    /// No attempt yet.
+    pub fn new(context: Rc<RequestContext>, inbound: Rc<InboundRequest>, deadline: Duration) -> Self {
+        let history = AttemptHistory::default();
+        Attempts { context, inbound, deadline, tried: Vec::new(), service: None, history }
+    }
+
+    /// When the request has to be over, on the process's clock.
+    pub fn deadline(&self) -> Duration {
+        self.deadline
+    }
+
+    /// The context that the request is served in.
+    pub fn context(&self) -> &Rc<RequestContext> {
+        &self.context
+    }
+
+    /// Whether any endpoint may have executed the request.
+    pub fn may_have_executed(&self) -> bool {
+        self.history.may_have_executed()
+    }
+
+    /// The endpoint that answered has broken off; its execution counts.
+    pub fn record_broken_response(&mut self) {
+        self.history.possibly_executed += 1;
+    }
+
+    /// Attempts endpoints until one answers. `last_event_id` is that of the last event that the client has, where a stream is
+    /// resumed.
+    ///
+    /// # Errors
+    ///
+    /// Returns the failure that the client gets.
+    pub async fn next(&mut self, last_event_id: Option<&str>) -> Result<Answered, Failure> {
+        loop {
+            let now = self.context.now();
+            if now >= self.deadline {
+                return Err(self.history.deadline_failure());
+            }
+            let admission = admission::admit(&self.context, &self.inbound)
+                .map_err(|denied| self.history.admission_failure(denied))?;
+            self.history.check_next(&self.conditions(&admission))?;
+            let service = self.assign_service(&admission);
+            match self.attempt(&admission, &service, last_event_id).await? {
+                Outcome::Answered(answered) => return Ok(*answered),
+                Outcome::NotExecuted => {}
+                Outcome::Unknown => self.history.possibly_executed += 1,
+                Outcome::TimedOut => {
+                    self.history.possibly_executed += 1;
+                    return Err(Failure::TimedOut);
+                }
+            }
+        }
+    }
+
+    fn conditions(&self, admission: &Admission) -> AttemptConditions {
+        AttemptConditions {
+            idempotent: admission.route.is_idempotent(),
+            max_executions: admission.route.max_attempts,
+            accepted_by_shutdown: self.context.shutdown.accepts(self.deadline),
+        }
+    }
+
+    /// The service of the next attempt. A request stays with its service as long as its route leads there, so that a retry
+    /// does not change the traffic split.
+    fn assign_service(&mut self, admission: &Admission) -> String {
+        let assigned = self.service.take().filter(|service| admission.has_service(service));
+        let service = assigned.unwrap_or_else(|| admission.choose_service(&self.context));
+        self.service = Some(service.clone());
+        if self.history.attempts == 0 {
+            self.context.data_plane.retry_budget.borrow_mut().request(&service);
+        }
+        service
+    }
+
+    /// Attempts one more endpoint.
+    async fn attempt(
+        &mut self,
+        admission: &Admission,
+        service: &str,
+        last_event_id: Option<&str>,
+    ) -> Result<Outcome, Failure> {
+        let context = self.context.clone();
+        let pick = self.select_endpoint(admission, service).ok_or(self.history.exhausted_failure())?;
+        self.history.attempts += 1;
+        let Some(mut connection) = connect(&context, &pick).await else {
+            context.data_plane.balancer.borrow_mut().unreachable(context.now(), &pick.id);
+            self.tried.push(pick.id);
+            return Ok(Outcome::NotExecuted);
+        };
+        // All that the forwarding rests on has to hold now, after the wait for the connection.
+        let may_send =
+            admission.is_valid(&context) && context.data_plane.balancer.borrow().may_send(&pick.id);
+        if !may_send {
+            context.upstream.put(context.now(), connection);
+            return Ok(Outcome::NotExecuted);
+        }
+        // Every arrival at an endpoint beyond the first draws on the budget that all sidecars share.
+        let is_retry = self.history.next_is_retry();
+        if is_retry && !context.data_plane.retry_budget.borrow_mut().spend(service) {
+            context.upstream.put(context.now(), connection);
+            return Err(self.history.exhausted_failure());
+        }
+        let fields = AttemptFields {
+            endpoint: &pick.id,
+            time_left: self.deadline.saturating_sub(context.now()),
+            last_event_id,
+        };
+        let request = outbound::compose(&self.inbound, admission, &fields);
+        let prompt = Some(self.inbound.prompt).filter(|_| admission.route.session_affinity);
+        let call = EndpointCall::begin(&context, pick.clone(), prompt.as_ref());
+        let timeout = async {
+            context.shutdown.response_due(self.deadline).await;
+            None
+        };
+        let result = smol::future::or(async { Some(connection.send(request).await) }, timeout).await;
+        self.tried.push(pick.id);
+        Ok(self.judge_result(result, connection, call))
+    }
+
+    fn select_endpoint(&self, admission: &Admission, service: &str) -> Option<Pick> {
+        let prompt = Some(self.inbound.prompt).filter(|_| admission.route.session_affinity);
+        let target = Duration::from_millis(admission.route.target_latency_ms);
+        let request = PickRequest { service, prompt, target, tried: &self.tried };
+        self.context.data_plane.balancer.borrow_mut().pick(self.context.now(), &request)
+    }
+
+    /// `result` is `None` after the timeout.
+    fn judge_result(
+        &mut self,
+        result: Option<Result<Response<Incoming>, SendError>>,
+        connection: Connection,
+        call: EndpointCall,
+    ) -> Outcome {
+        match result {
+            None => Outcome::TimedOut,
+            Some(Err(SendError::NotSent)) => {
+                // A reused connection may just have been closed by the endpoint, which says nothing about its health.
+                call.end(if connection.is_reused { CallEnd::Rejected } else { CallEnd::Failed });
+                if connection.is_reused {
+                    self.tried.pop();
+                }
+                Outcome::NotExecuted
+            }
+            Some(Err(SendError::Broken)) => {
+                call.end(CallEnd::Failed);
+                Outcome::Unknown
+            }
+            Some(Ok(response)) => self.judge_response(response, connection, call),
+        }
+    }
+
+    fn judge_response(
+        &mut self,
+        response: Response<Incoming>,
+        connection: Connection,
+        call: EndpointCall,
+    ) -> Outcome {
+        if response.headers().get(&REQUEST_ID) != self.inbound.headers.get(&REQUEST_ID) {
+            // The response to another request.
+            call.end(CallEnd::Failed);
+            return Outcome::Unknown;
+        }
+        let load = response.headers().get(&INSTANCE_LOAD).and_then(|value| value.to_str().ok());
+        let report = load.and_then(LoadReport::read);
+        let misdirected = response.status() == StatusCode::MISDIRECTED_REQUEST;
+        let executed = !misdirected && !response.headers().contains_key(&NOT_EXECUTED);
+        call.record_response(report, executed && response.status().is_server_error());
+        if executed {
+            return Outcome::Answered(Box::new(Answered { response, connection, call }));
+        }
+        call.end(if misdirected { CallEnd::Failed } else { CallEnd::Rejected });
+        self.history.rejected += 1;
+        let context = self.context.clone();
+        self.context.spawner.spawn_bounded(drain(context, response, connection));
+        Outcome::NotExecuted
+    }
+}
+
+/// An idle connection, or a new one.
+async fn connect(context: &RequestContext, pick: &Pick) -> Option<Connection> {
+    match context.upstream.take(context.now(), pick.address) {
+        Some(connection) => Some(connection),
+        None => context.upstream.connect(context.spawner, pick.address).await.ok(),
+    }
+}
+
+/// Reads the rest of a response that is not relayed, so that its connection can be reused.
+async fn drain(context: Rc<RequestContext>, response: Response<Incoming>, connection: Connection) {
+    let read = async { response.into_body().collect().await.is_ok() };
+    let timeout = async {
+        Timer::after(DRAIN_TIMEOUT).await;
+        false
+    };
+    if smol::future::or(read, timeout).await {
+        context.upstream.put(context.now(), connection);
+    }
+}
--- /dev/null
+++ b/crates/router/node/src/request/outbound.rs
@@ -0,0 +1,49 @@
+//! The request as it goes to an endpoint.
+
+use super::admission::Admission;
+use super::headers::{end_to_end, DEADLINE, LAST_EVENT_ID, PRIORITY, TARGET_INSTANCE, TENANT};
+use super::inbound::InboundRequest;
+use crate::upstream::UpstreamRequest;
+use http_body_util::Full;
+use hyper::header::{HeaderValue, AUTHORIZATION, CONTENT_LENGTH};
+use hyper::Request;
+use std::time::Duration;
+
+/// What differs from attempt to attempt.
+pub struct AttemptFields<'a> {
+    /// Identifier of the endpoint.
+    pub endpoint: &'a str,
+    /// Time that is left until the deadline.
+    pub time_left: Duration,
+    /// Identifier of the last event that the client has, where a stream is resumed.
+    pub last_event_id: Option<&'a str>,
+}
+
+/// Composes the request: the client's own, less hop-by-hop fields and what only a sidecar may set, and with the
+/// sidecar's fields.
+pub fn compose(inbound: &InboundRequest, admission: &Admission, attempt: &AttemptFields) -> UpstreamRequest {
+    let mut request = Request::new(Full::new(inbound.body.clone()));
+    *request.method_mut() = inbound.method.clone();
+    *request.uri_mut() = inbound.uri.clone();
+    let headers = request.headers_mut();
+    *headers = end_to_end(&inbound.headers);
+    for name in [CONTENT_LENGTH, TENANT, TARGET_INSTANCE, PRIORITY] {
+        headers.remove(name);
+    }
+    // Keys stay within the fleet wherever it checks them.
+    if admission.tenant.is_some() || !admission.snapshot.table.tenants().is_empty() {
+        headers.remove(AUTHORIZATION);
+    }
+    let time_left = u64::try_from(attempt.time_left.as_millis()).unwrap_or(u64::MAX);
+    headers.insert(DEADLINE, HeaderValue::from(time_left));
+    headers.insert(PRIORITY, HeaderValue::from(admission.priority));
+    let tenant = admission.tenant.as_ref().map(|tenant| tenant.name.as_str());
+    let optional =
+        [(TARGET_INSTANCE, Some(attempt.endpoint)), (TENANT, tenant), (LAST_EVENT_ID, attempt.last_event_id)];
+    for (name, value) in optional {
+        if let Some(value) = value.and_then(|value| HeaderValue::from_str(value).ok()) {
+            headers.insert(name, value);
+        }
+    }
+    request
+}
--- /dev/null
+++ b/crates/router/node/src/request/quota.rs
@@ -0,0 +1,94 @@
+//! Reserves the tokens of a request from its tenant's quota; waits a little where this process has none granted.
+
+use super::admission::Admission;
+use super::inbound::InboundRequest;
+use crate::request_context::RequestContext;
+use crate::responses::Failure;
+use passrelay_configuration::TokenUnit;
+use passrelay_control_plane::quota::TenantKey;
+use smol::Timer;
+use std::time::Duration;
+
+/// Fraction of the route's latency target that a request waits for quota.
+const QUOTA_WAIT_FRACTION: f64 = 0.2;
+/// A request that waits for quota repeats its request for a grant at this interval.
+const QUOTA_RETRY_INTERVAL: Duration = Duration::from_millis(20);
+
+/// Tokens that were spent for a request.
+pub struct QuotaReservation {
+    tenant: TenantKey,
+    tokens: u64,
+}
+
+impl QuotaReservation {
+    /// Returns the tokens of a request that was not executed anywhere.
+    pub fn refund(self, context: &RequestContext) {
+        context.data_plane.quota.shares.borrow_mut().give_back(context.now(), self.tenant.0, self.tokens);
+    }
+}
+
+/// Demand of a request that waits for tokens; withdrawn when dropped.
+struct PendingDemand<'a> {
+    context: &'a RequestContext,
+    tenant: TenantKey,
+    tokens: u64,
+}
+
+impl<'a> PendingDemand<'a> {
+    fn register(context: &'a RequestContext, tenant: TenantKey, tokens: u64) -> Self {
+        context.data_plane.quota.shares.borrow_mut().want(tenant.0, tokens);
+        PendingDemand { context, tenant, tokens }
+    }
+}
+
+impl Drop for PendingDemand<'_> {
+    fn drop(&mut self) {
+        self.context.data_plane.quota.shares.borrow_mut().stop_waiting(self.tenant.0, self.tokens);
+    }
+}
+
+/// Reserves the tokens that a request counts; none are needed without a tenant or without a limit.
+///
+/// # Errors
+///
+/// Returns [`Failure::OverQuota`] where the grantor has granted less than wanted since the request came, and
+/// [`Failure::NoGrantor`] where it does not answer.
+pub async fn reserve(
+    context: &RequestContext,
+    inbound: &InboundRequest,
+    admission: &Admission,
+) -> Result<Option<QuotaReservation>, Failure> {
+    let limited = admission.tenant.as_ref().filter(|tenant| tenant.is_limited());
+    let Some(tenant) = limited else { return Ok(None) };
+    let key = TenantKey::of(&tenant.name);
+    let tokens = match tenant.unit {
+        TokenUnit::Requests => 1,
+        TokenUnit::TokenUsage => inbound.prompt.total_tokens().unwrap_or(tenant.uncached_tokens),
+    };
+    let began = context.now();
+    let quota = &context.data_plane.quota;
+    let demand = PendingDemand::register(context, key, tokens);
+    context.request_quota();
+    let target = Duration::from_millis(admission.route.target_latency_ms);
+    let timeout = target.mul_f64(QUOTA_WAIT_FRACTION);
+    loop {
+        // Listens before it looks: a grant that comes in between is not missed.
+        let granted = quota.next_grant();
+        if quota.shares.borrow_mut().spend(context.now(), key.0, tokens) {
+            drop(demand);
+            return Ok(Some(QuotaReservation { tenant: key, tokens }));
+        }
+        if quota.shares.borrow().is_short(key.0, began) {
+            return Err(Failure::OverQuota);
+        }
+        let now = context.now();
+        if now >= began + timeout || quota.shares.borrow().is_deserted(key.0, now) {
+            return Err(Failure::NoGrantor);
+        }
+        context.request_quota();
+        let retry = async {
+            Timer::after(QUOTA_RETRY_INTERVAL).await;
+        };
+        smol::future::or(granted, retry).await;
+    }
+}
--- a/crates/router/node/src/request/relay_body.rs
+++ b/crates/router/node/src/request/relay_body.rs
@@ -1,12 +1,16 @@
-//! The body of an endpoint's answer on its way to the client, piece by piece as it comes.
+//! Relays the body of an endpoint's response to the client, chunk by chunk as it comes.
 //!
-//! A stream that may be resumed is passed on in whole events; when its endpoint breaks off, another one goes on after
-//! the last event that was passed on, inside the same answer.
+//! A resumable stream is relayed in complete events; when its endpoint breaks off, another one continues after the last
+//! event that was relayed, inside the same response.
 
-use crate::request::{end_to_end, Answered, Attempts, Call};
-use crate::responses::{Body, BodyError};
+use super::attempts::{Answered, Attempts};
+use super::endpoint_call::EndpointCall;
+use super::event_buffer::EventBuffer;
+use super::headers::end_to_end;
+use crate::logging::log_event;
+use crate::responses::{full, Body, BodyError};
 use crate::upstream::Connection;
-use bytes::{Bytes, BytesMut};
+use bytes::Bytes;
 use http_body_util::{BodyExt, StreamBody};
 use hyper::body::{Body as _, Frame, Incoming};
 use hyper::header::CONTENT_LENGTH;
@@ -14,170 +18,142 @@
 use passrelay_data_plane::balancer::CallEnd;
 use smol::stream;
 use smol::Timer;
-use std::rc::Rc;
 
-/// Makes the client's answer of an endpoint's.
+/// The client's response from an endpoint's.
 pub fn respond(answered: Answered, attempts: Attempts, resumable: bool) -> Response<Body> {
     let Answered { response, connection, call } = answered;
     let (parts, incoming) = response.into_parts();
-    let whole_events =
+    let complete_events =
         resumable && parts.status == StatusCode::OK && !parts.headers.contains_key(CONTENT_LENGTH);
-    let wait = attempts.deadline().saturating_sub(attempts.node().now());
-    let ended = incoming.is_end_stream();
-    let mut relay = Relay {
+    let time_left = attempts.deadline().saturating_sub(attempts.context().now());
+    let is_empty = incoming.is_end_stream();
+    let mut relay = BodyRelay {
         incoming,
         connection: Some(connection),
         call,
-        events: whole_events.then(EventBuffer::default),
-        timer: Timer::after(wait),
+        events: complete_events.then(EventBuffer::default),
+        deadline: Timer::after(time_left),
         attempts,
-        over: false,
+        ended: false,
     };
-    if ended {
+    if is_empty {
         relay.finish();
     }
-    let pieces = stream::unfold(relay, |mut relay| async move {
-        let piece = relay.next().await?;
-        Some((piece.map(Frame::data), relay))
+    let chunks = stream::unfold(relay, |mut relay| async move {
+        let chunk = relay.next().await?;
+        Some((chunk.map(Frame::data), relay))
     });
     let mut response = Response::new(());
     *response.status_mut() = parts.status;
     *response.headers_mut() = end_to_end(&parts.headers);
-    if ended {
-        return response.map(|()| crate::responses::full(Bytes::new()));
+    if is_empty {
+        return response.map(|()| full(Bytes::new()));
     }
-    response.map(|()| -> Body { Box::pin(StreamBody::new(pieces)) })
+    response.map(|()| -> Body { Box::pin(StreamBody::new(chunks)) })
 }
 
-struct Relay {
+struct BodyRelay {
     incoming: Incoming,
+    /// The connection of `incoming`, until its body has been read whole.
     connection: Option<Connection>,
-    call: Call,
+    call: EndpointCall,
+    /// Where the stream can be resumed.
     events: Option<EventBuffer>,
-    timer: Timer,
+    deadline: Timer,
     attempts: Attempts,
-    over: bool,
+    ended: bool,
 }
 
-impl Relay {
+/// What came first while waiting for the endpoint.
+enum Received {
+    Frame(Frame<Bytes>),
+    EndOfBody,
+    Broken,
+    DeadlinePassed,
+}
+
+impl BodyRelay {
     async fn next(&mut self) -> Option<Result<Bytes, BodyError>> {
-        while !self.over {
-            let frame = async { Some(self.incoming.frame().await) };
-            let late = async {
-                (&mut self.timer).await;
-                None
-            };
-            match smol::future::or(frame, late).await {
-                None => {
-                    self.over = true;
+        while !self.ended {
+            match self.receive().await {
+                Received::DeadlinePassed => {
+                    self.ended = true;
                     return Some(Err(BodyError::TimedOut));
                 }
-                Some(Some(Ok(frame))) => {
-                    // Whoever writes an answer of known length doesn't ask for what comes after its last byte.
+                Received::Frame(frame) => {
+                    // The client's connection doesn't poll a body of known length once its last byte is written.
                     if self.events.is_none() && self.incoming.is_end_stream() {
                         self.finish();
                     }
-                    if let Some(piece) = frame.into_data().ok().and_then(|data| self.take(data)) {
-                        return Some(Ok(piece));
+                    if let Some(chunk) = frame.into_data().ok().and_then(|data| self.relayable(data)) {
+                        return Some(Ok(chunk));
                     }
                 }
-                Some(Some(Err(_))) => {
+                Received::Broken => {
                     self.call.end(CallEnd::Failed);
                     if !self.resume().await {
-                        self.over = true;
+                        self.ended = true;
                         return Some(Err(BodyError::BrokeOff));
                     }
                 }
-                Some(None) => {
+                Received::EndOfBody => {
                     self.finish();
-                    return self.events.as_mut().and_then(EventBuffer::rest).map(Ok);
+                    return self.events.as_mut().and_then(EventBuffer::take_rest).map(Ok);
                 }
             }
         }
         None
     }
 
-    /// What can be passed on after a piece has come.
-    fn take(&mut self, data: Bytes) -> Option<Bytes> {
-        self.call.heard();
+    /// Waits for the next frame, at most until the deadline.
+    async fn receive(&mut self) -> Received {
+        let frame = async {
+            match self.incoming.frame().await {
+                Some(Ok(frame)) => Received::Frame(frame),
+                Some(Err(_)) => Received::Broken,
+                None => Received::EndOfBody,
+            }
+        };
+        let deadline = async {
+            (&mut self.deadline).await;
+            Received::DeadlinePassed
+        };
+        smol::future::or(frame, deadline).await
+    }
+
+    /// What can be relayed after a chunk has come.
+    fn relayable(&mut self, data: Bytes) -> Option<Bytes> {
+        self.call.record_progress();
         match &mut self.events {
             Some(events) => events.push(&data),
             None => Some(data),
         }
     }
 
-    /// The answer is whole.
+    /// The response is complete.
     fn finish(&mut self) {
-        self.over = true;
+        self.ended = true;
         self.call.end(CallEnd::Answered);
         if let Some(connection) = self.connection.take() {
-            let node = self.attempts.node();
-            node.pool.put(node.now(), connection);
+            let context = self.attempts.context();
+            context.upstream.put(context.now(), connection);
         }
     }
 
-    /// Has another endpoint go on with the stream.
+    /// Has another endpoint continue the stream. Returns whether one does.
     async fn resume(&mut self) -> bool {
         let Some(events) = &mut self.events else { return false };
-        events.drop_partial();
-        let after = events.last_id().map(str::to_owned);
-        self.attempts.broke_off();
-        let Ok(answered) = self.attempts.next(after.as_deref()).await else { return false };
+        events.discard_partial();
+        let last_event_id = events.last_id().map(str::to_owned);
+        self.attempts.record_broken_response();
+        let Ok(answered) = self.attempts.next(last_event_id.as_deref()).await else { return false };
         if answered.response.status() != StatusCode::OK {
             return false;
         }
-        log::debug!("event=resumed after={}", after.as_deref().unwrap_or("start"));
+        log_event!(debug, "resumed", after = last_event_id.as_deref().unwrap_or("start"));
         self.incoming = answered.response.into_body();
         self.connection = Some(answered.connection);
         self.call = answered.call;
         true
     }
 }
-
-/// Bytes of a stream of events, given out in whole events.
-#[derive(Default)]
-pub struct EventBuffer {
-    partial: BytesMut,
-    last_id: Option<Rc<str>>,
-}
-
-impl EventBuffer {
-    /// Takes bytes in; returns all whole events that have not been given out.
-    pub fn push(&mut self, data: &[u8]) -> Option<Bytes> {
-        self.partial.extend_from_slice(data);
-        let end = end_of_last_event(&self.partial)?;
-        let whole = self.partial.split_to(end).freeze();
-        if let Some(id) = last_id(&whole) {
-            self.last_id = Some(id);
-        }
-        Some(whole)
-    }
-
-    /// What is left when the stream has ended as it should.
-    pub fn rest(&mut self) -> Option<Bytes> {
-        (!self.partial.is_empty()).then(|| self.partial.split().freeze())
-    }
-
-    /// The stream broke off in the middle of an event.
-    pub fn drop_partial(&mut self) {
-        self.partial.clear();
-    }
-
-    /// Id of the last event given out.
-    pub fn last_id(&self) -> Option<&str> {
-        self.last_id.as_deref()
-    }
-}
-
-/// Position after the last empty line.
-fn end_of_last_event(bytes: &[u8]) -> Option<usize> {
-    let plain = bytes.windows(2).rposition(|w| w == b"\n\n").map(|at| at + 2);
-    let with_returns = bytes.windows(4).rposition(|w| w == b"\r\n\r\n").map(|at| at + 4);
-    plain.max(with_returns)
-}
-
-fn last_id(events: &[u8]) -> Option<Rc<str>> {
-    let text = std::str::from_utf8(events).ok()?;
-    let value = text.lines().rev().find_map(|line| line.strip_prefix("id:"))?;
-    Some(value.trim().into())
-}
--- a/crates/router/node/src/responses.rs
+++ b/crates/router/node/src/responses.rs
@@ -1,4 +1,6 @@
-//! The answers that a sidecar gives of its own: one closed list of kinds, and a table from kind to answer.
+//! The router's own responses: one closed list of failures, and the table from failure to status and headers.
+//!
+//! Responses of endpoints are relayed by `request::relay_body`.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -9,28 +11,35 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// A body of any kind; one that fails breaks the client's connection off.
+/// `Retry-After` where another sidecar can take the request.
+const RETRY_AT_ONCE: Option<Duration> = Some(Duration::ZERO);
+/// `Retry-After` where an endpoint may become available within moments.
+const RETRY_SOON: Option<Duration> = Some(Duration::from_millis(100));
+/// `Retry-After` where a configuration or a grant has to come first.
+const RETRY_LATER: Option<Duration> = Some(Duration::from_millis(500));
+
+/// The body of any response; an error in it closes the client's connection.
 pub type Body = Pin<Box<dyn hyper::body::Body<Data = Bytes, Error = BodyError>>>;
 
-/// Why an answer breaks off in its middle.
+/// Why a response is cut off after its head was sent.
 #[derive(Debug, Error)]
 pub enum BodyError {
-    /// The endpoint broke off.
+    /// The endpoint closed its connection early, and no other one continues.
     #[error("the endpoint broke off")]
     BrokeOff,
-    /// The route's time is over.
+    /// The request's deadline has passed.
     #[error("the time for the answer is over")]
     TimedOut,
 }
 
-/// Everything that can keep a request from having an endpoint's answer. 429 and 503 promise that it has not run and
-/// never will; what may have run gets 502 or 504.
+/// Why a request has no response of an endpoint. 429 and 503 promise that it has not been executed and never will be;
+/// one that may have been executed gets 502 or 504.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum Failure {
     /// There is no configuration yet.
     #[error("there is no configuration yet")]
     NotConfigured,
-    /// The configuration isn't known to be current.
+    /// The configuration isn't known to be current, so that the key may have been revoked.
     #[error("the configuration is not known to be current")]
     NotFresh,
     /// No route has this host and path.
@@ -39,61 +48,58 @@
     /// The key is missing or unknown.
     #[error("the key is missing or unknown")]
     UnknownKey,
-    /// The head tells something that can't be.
+    /// The head or body is malformed.
     #[error("the request can't be read")]
     BadRequest,
-    /// The body is longer than allowed.
+    /// The body is longer than the limit.
     #[error("the body is too long")]
     BodyTooLong,
-    /// The body comes too slowly.
+    /// The body arrives too slowly.
     #[error("the request came too slowly")]
     TooSlow,
-    /// The tenant's quota is used up.
+    /// The tenant's quota is exhausted.
     #[error("the quota is used up")]
     OverQuota,
-    /// Nobody grants quota just now.
+    /// The quota's grantor does not answer.
     #[error("nobody grants quota just now")]
     NoGrantor,
-    /// No endpoint can take the request now.
+    /// No endpoint can be attempted now.
     #[error("no endpoint can take the request now")]
     NoEndpoint,
-    /// This process ends before the request would be over.
+    /// This process shuts down before the request's deadline.
     #[error("this sidecar is about to end, ask another")]
     Ending,
-    /// An endpoint may have run the request and gave no answer.
+    /// An endpoint may have executed the request and gave no response.
     #[error("the endpoint gave no answer")]
     NoAnswer,
-    /// The time is over and an endpoint may have run the request.
+    /// The deadline has passed and an endpoint may have executed the request.
     #[error("the time is over")]
     TimedOut,
 }
 
 impl Failure {
-    /// Status and, where trying again makes sense, the time after which.
-    fn answer(self) -> (StatusCode, Option<Duration>) {
-        let at_once = Some(Duration::ZERO);
-        let soon = Some(Duration::from_millis(100));
-        let later = Some(Duration::from_millis(500));
+    /// Status and, where a retry makes sense, the time after which.
+    fn status(self) -> (StatusCode, Option<Duration>) {
         match self {
             Failure::NotConfigured | Failure::NotFresh | Failure::NoGrantor => {
-                (StatusCode::SERVICE_UNAVAILABLE, later)
+                (StatusCode::SERVICE_UNAVAILABLE, RETRY_LATER)
             }
             Failure::NoRoute => (StatusCode::NOT_FOUND, None),
             Failure::UnknownKey => (StatusCode::UNAUTHORIZED, None),
             Failure::BadRequest => (StatusCode::BAD_REQUEST, None),
             Failure::BodyTooLong => (StatusCode::PAYLOAD_TOO_LARGE, None),
             Failure::TooSlow => (StatusCode::REQUEST_TIMEOUT, None),
-            Failure::OverQuota => (StatusCode::TOO_MANY_REQUESTS, later),
-            Failure::NoEndpoint => (StatusCode::SERVICE_UNAVAILABLE, soon),
-            Failure::Ending => (StatusCode::SERVICE_UNAVAILABLE, at_once),
+            Failure::OverQuota => (StatusCode::TOO_MANY_REQUESTS, RETRY_LATER),
+            Failure::NoEndpoint => (StatusCode::SERVICE_UNAVAILABLE, RETRY_SOON),
+            Failure::Ending => (StatusCode::SERVICE_UNAVAILABLE, RETRY_AT_ONCE),
             Failure::NoAnswer => (StatusCode::BAD_GATEWAY, None),
             Failure::TimedOut => (StatusCode::GATEWAY_TIMEOUT, None),
         }
     }
 
-    /// The answer to a client.
+    /// The response to the client.
     pub fn response(self) -> Response<Body> {
-        let (status, retry_after) = self.answer();
+        let (status, retry_after) = self.status();
         let mut response = json(status, serde_json::json!({ "error": self.to_string() }).to_string());
         if let Some(after) = retry_after {
             let seconds = format!("{:.1}", after.as_secs_f64());
@@ -108,7 +114,7 @@
     }
 }
 
-/// A JSON answer.
+/// A JSON response.
 pub fn json(status: StatusCode, text: String) -> Response<Body> {
     let mut response = Response::new(full(text.into()));
     *response.status_mut() = status;
@@ -116,7 +122,7 @@
     response
 }
 
-/// A body that is known whole.
+/// A body that is already complete.
 pub fn full(bytes: Bytes) -> Body {
     Box::pin(Full::new(bytes).map_err(|never: Infallible| match never {}))
 }
--- a/crates/router/node/src/signals.rs
+++ b/crates/router/node/src/signals.rs
@@ -1,37 +1,64 @@
-//! SIGTERM, SIGINT and SIGHUP; the planned end.
+//! SIGHUP reloads the settings; SIGTERM and SIGINT begin the graceful shutdown.
 
-use crate::graceful_shutdown::PlannedEnd;
-use crate::process::Node;
+use crate::coordinator_driver::CoordinatorDriver;
+use crate::graceful_shutdown::ShutdownSchedule;
+use crate::logging::{log_event, Quoted};
+use crate::request_context::RequestContext;
+use crate::settings::{CurrentSettings, NodeSettings};
 use async_signal::{Signal, Signals};
 use smol::stream::StreamExt;
 use smol::Timer;
-use std::rc::Rc;
 use std::time::Duration;
 
-/// After SIGTERM clients still come for this long: it takes a while until they are sent elsewhere.
-const STILL_COMING: Duration = Duration::from_millis(2_600);
-/// Pause between looks whether everything is finished.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+/// Idle client connections stay open for this long after SIGTERM: it takes a while until the platform sends clients
+/// elsewhere.
+const KEEP_ALIVE_PERIOD: Duration = Duration::from_millis(2_600);
+/// Interval of the check whether all client connections have ended.
+const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Waits for signals; returns when the process has ended as planned.
-pub async fn until_ended(node: &Rc<Node>) -> std::io::Result<()> {
+/// Handles signals; returns when the graceful shutdown is complete.
+///
+/// # Errors
+///
+/// Returns the operating system's error where signals can't be handled.
+pub async fn run_until_shutdown(
+    requests: &RequestContext,
+    settings: &CurrentSettings,
+    driver: &CoordinatorDriver,
+) -> std::io::Result<()> {
     let mut signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup])?;
     while let Some(signal) = signals.next().await {
         if signal? == Signal::Hup {
-            node.reload();
+            reload(settings, driver);
         } else {
             break;
         }
     }
-    log::info!("event=draining clients={}", node.clients.len());
-    let grace = node.settings.borrow().grace;
-    let end = PlannedEnd::new(node.now(), grace);
-    node.begin_draining(end);
-    Timer::after(STILL_COMING.min(grace / 2)).await;
-    node.clients.finish_all();
-    while node.now() < end.ends_at() && !node.clients.is_empty() {
-        Timer::after(LOOK_EVERY).await;
-    }
-    log::info!("event=ended clients={}", node.clients.len());
+    let grace = settings.borrow().grace;
+    shut_down(requests, grace).await;
     Ok(())
 }
+
+/// Reads the settings again. Seeds, bounds and grace period take effect at once, all else only at a start.
+fn reload(settings: &CurrentSettings, driver: &CoordinatorDriver) {
+    match NodeSettings::from_environment() {
+        Ok(reloaded) => {
+            driver.set_seeds(reloaded.internal_seeds());
+            settings.replace(reloaded);
+            log_event!(info, "reloaded");
+        }
+        Err(error) => log_event!(error, "reload_failed", problem = Quoted(&error)),
+    }
+}
+
+async fn shut_down(requests: &RequestContext, grace: Duration) {
+    log_event!(info, "draining", clients = requests.clients.len());
+    let schedule = ShutdownSchedule::new(requests.now(), grace);
+    requests.shutdown.begin(schedule);
+    Timer::after(KEEP_ALIVE_PERIOD.min(grace / 2)).await;
+    requests.clients.finish_all();
+    while requests.now() < schedule.ends_at() && !requests.clients.is_empty() {
+        Timer::after(SHUTDOWN_POLL_INTERVAL).await;
+    }
+    log_event!(info, "ended", clients = requests.clients.len());
+}
--- a/crates/router/node/src/storage/tests.rs
+++ b/crates/router/node/src/storage/tests.rs
@@ -1,6 +1,9 @@
-//! What a disk keeps, and what becomes of a store that can't be read.
+//! What a store persists, and what becomes of one that can't be read.
 
-use super::*;
+use super::error::StoreError;
+use super::format::{encode, write, FORMAT, FORMAT_VERSION, UNVERSIONED_FORMAT};
+use super::open::{open, open_with_retry, OpenStore, FILE};
+use std::path::PathBuf;
 use std::sync::atomic::{AtomicU32, Ordering};
 
 static FOLDERS: AtomicU32 = AtomicU32::new(0);
@@ -32,27 +35,27 @@
 }
 
 #[test]
-fn a_machine_started_with_the_system_remembers_it_and_one_started_later_never_claims_it() {
+fn a_machine_that_bootstrapped_the_fleet_remembers_it_and_one_started_later_never_claims_it() {
     let first = Folder::new();
-    let (database, opened) = open(&first.0, true).expect("it opens");
-    assert!(opened.founding);
+    let OpenStore { database, contents } = open(&first.0, true).expect("it opens");
+    assert!(contents.bootstrapping);
     drop(database);
-    let (_database, again) = open(&first.0, false).expect("it opens again");
-    assert!(again.founding && again.identity == opened.identity);
+    let again = open(&first.0, false).expect("it opens again").contents;
+    assert!(again.bootstrapping && again.identity == contents.identity);
     let later = Folder::new();
-    assert!(!open(&later.0, false).expect("it opens").1.founding);
+    assert!(!open(&later.0, false).expect("it opens").contents.bootstrapping);
 }
 
 #[test]
-fn damaged_stores_are_put_aside_one_beside_the_other_and_the_machine_is_another() {
+fn damaged_stores_are_quarantined_side_by_side_and_the_machine_does_not_bootstrap() {
     let folder = Folder::new();
     for round in 1..=2 {
         std::fs::write(folder.0.join(FILE), format!("no database, round {round}")).expect("it is written");
-        let (database, opened) = open_with_patience(&folder.0, true).expect("an empty one takes its place");
-        assert!(!opened.founding, "whoever lost a store does not found");
-        drop(database);
-        let kept = folder.0.join(format!("{FILE}.damaged.{round}"));
-        let text = std::fs::read_to_string(kept).expect("it is kept");
+        let opened = open_with_retry(&folder.0, true).expect("an empty one takes its place");
+        assert!(!opened.contents.bootstrapping, "a machine that lost its store does not bootstrap");
+        drop(opened.database);
+        let quarantined = folder.0.join(format!("{FILE}.damaged.{round}"));
+        let text = std::fs::read_to_string(quarantined).expect("it is kept");
         assert_eq!(text, format!("no database, round {round}"));
     }
     assert_eq!(folder.names().len(), 3);
@@ -61,20 +64,23 @@
 #[test]
 fn a_store_of_a_later_version_is_left_as_it_is() {
     let folder = Folder::new();
-    let (database, _) = open(&folder.0, true).expect("it opens");
-    write_values(&database, &[(FORMAT, encode(&(OWN_FORMAT + 1)).expect("a number"))])
-        .expect("it is written");
+    let database = open(&folder.0, true).expect("it opens").database;
+    let later = encode(FORMAT, &(FORMAT_VERSION + 1)).expect("a number");
+    write(&database, &[later]).expect("it is written");
     drop(database);
-    assert!(matches!(open(&folder.0, false), Err(StoreError::Newer { found }) if found == OWN_FORMAT + 1));
-    assert!(open_with_patience(&folder.0, false).is_none());
+    assert!(
+        matches!(open(&folder.0, false), Err(StoreError::Newer { found, .. }) if found == FORMAT_VERSION + 1)
+    );
+    assert!(open_with_retry(&folder.0, false).is_none());
     assert_eq!(folder.names(), [FILE]);
 }
 
 #[test]
-fn a_store_from_before_versions_were_kept_opens() {
+fn a_store_from_before_versions_were_stored_opens() {
     let folder = Folder::new();
-    let (database, _) = open(&folder.0, false).expect("it opens");
-    write_values(&database, &[(FORMAT, encode(&FIRST_FORMAT).expect("a number"))]).expect("it is written");
+    let database = open(&folder.0, false).expect("it opens").database;
+    let unversioned = encode(FORMAT, &UNVERSIONED_FORMAT).expect("a number");
+    write(&database, &[unversioned]).expect("it is written");
     drop(database);
     assert!(open(&folder.0, false).is_ok());
 }
--- a/crates/router/node/src/transport/mod.rs
+++ b/crates/router/node/src/transport/mod.rs
@@ -1,107 +1,93 @@
-//! Messages between sidecars: small ones as datagrams, large ones packed (LZ4) over a connection of their own. Either
-//! may be lost; whoever needs an answer asks again.
+//! Sockets for messages between processes: small frames as datagrams, large ones compressed over a connection of their own.
+//!
+//! Either may be lost without notice. Whoever needs an answer repeats its request.
 
+mod frame;
+
+use crate::logging::{log_event, Quoted};
+use crate::tasks::Spawner;
+pub use frame::ReceivedMessage;
+use frame::{FrameError, LENGTH_BYTES, MAX_FRAME_BYTES};
 use passrelay_control_plane::Envelope;
-use serde::{Deserialize, Serialize};
 use smol::io::{AsyncReadExt, AsyncWriteExt};
 use smol::net::{TcpListener, TcpStream, UdpSocket};
-use smol::{LocalExecutor, Timer};
+use smol::Timer;
 use std::cell::Cell;
 use std::net::{SocketAddr, SocketAddrV4};
 use std::time::Duration;
-use thiserror::Error;
-
-/// Version of the internal protocol; frames of another are dropped.
-const VERSION: u16 = 2;
-/// Frames up to this size go as datagrams.
-const DATAGRAM_BYTES: usize = 1_300;
-/// Frames over this size, packed or not, are refused.
-const FRAME_BYTES: usize = 24 << 20;
-/// Bytes of a frame's length.
-const LENGTH_BYTES: usize = 4;
-/// A large frame that isn't handed over within this time is given up.
-const HAND_OVER: Duration = Duration::from_secs(3);
 
-/// Why a frame was dropped.
-#[derive(Debug, Error)]
-enum FrameError {
-    #[error("it is of protocol version {0}")]
-    VersionMismatch(u16),
-    #[error("it can't be read: {0}")]
-    Unreadable(String),
-    #[error("it has {0} bytes")]
-    TooLong(usize),
-    #[error("{0}")]
-    Connection(#[from] std::io::Error),
-}
+/// Frames up to this length are sent as datagrams: one that fits an Ethernet frame is not fragmented.
+const MAX_DATAGRAM_BYTES: usize = 1_300;
+/// Buffer for datagrams: any that UDP can carry.
+const RECEIVE_BUFFER_BYTES: usize = 64 * 1024;
+/// Timeout for sending or receiving a large frame, the connection included.
+const FRAME_TIMEOUT: Duration = Duration::from_secs(3);
+/// Pause after the operating system refused a connection, for want of descriptors for instance.
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-#[derive(Serialize, Deserialize)]
-struct Frame {
-    version: u16,
-    from: SocketAddrV4,
-    envelope: Envelope,
-}
-
-/// The sockets for messages between sidecars.
+/// The sockets for messages between processes.
 pub struct Transport {
     own: SocketAddrV4,
+    spawner: Spawner,
     datagrams: UdpSocket,
     listener: TcpListener,
+    /// Received frames that were dropped.
     dropped: Cell<u64>,
 }
 
 impl Transport {
-    /// Opens the sockets.
+    /// Opens the sockets, one for datagrams and one for connections on the same port.
     ///
     /// # Errors
     ///
-    /// Returns what the system says.
-    pub async fn open(own: SocketAddrV4) -> std::io::Result<Self> {
+    /// Returns the operating system's error.
+    pub async fn open(own: SocketAddrV4, spawner: Spawner) -> std::io::Result<Self> {
         let datagrams = UdpSocket::bind(own).await?;
         let listener = TcpListener::bind(own).await?;
-        Ok(Transport { own, datagrams, listener, dropped: Cell::new(0) })
+        Ok(Transport { own, spawner, datagrams, listener, dropped: Cell::new(0) })
     }
 
-    /// Frames that were dropped: of another version, too long, unreadable, or not handed over whole.
+    /// Number of received frames that were dropped: of another version, too long, undecodable, or incomplete.
     pub fn dropped(&self) -> u64 {
         self.dropped.get()
     }
 
-    /// A frame was dropped.
+    /// Counts a received frame that was dropped.
     pub fn count_dropped(&self) {
         self.dropped.set(self.dropped.get() + 1);
     }
 
-    /// Sends a message on its way.
-    pub fn send(&self, executor: &LocalExecutor<'static>, to: SocketAddrV4, envelope: Envelope) {
-        let frame = Frame { version: VERSION, from: self.own, envelope };
-        let mut bytes = Vec::new();
-        if let Err(e) = ciborium::into_writer(&frame, &mut bytes) {
-            log::error!("event=frame_unwritable problem=\"{e}\"");
-            return;
-        }
-        if bytes.len() <= DATAGRAM_BYTES {
-            // A datagram that the system can't take just now counts as lost.
+    /// Sends a message without waiting for it.
+    pub fn send(&self, to: SocketAddrV4, envelope: Envelope) {
+        let bytes = match frame::encode(self.own, envelope) {
+            Ok(bytes) => bytes,
+            Err(error) => {
+                log_event!(error, "frame_unwritable", problem = Quoted(&error));
+                return;
+            }
+        };
+        if bytes.len() <= MAX_DATAGRAM_BYTES {
+            // A datagram that the operating system can't take just now counts as lost.
             let send = self.datagrams.send_to(&bytes, to);
             let _ = smol::future::block_on(smol::future::poll_once(send));
         } else {
-            executor.spawn(hand_over(to, lz4_flex::compress_prepend_size(&bytes))).detach();
+            self.spawner.spawn_bounded(send_compressed(to, frame::compress(&bytes)));
         }
     }
 
-    /// Waits for the next datagram that can be read.
-    pub async fn receive(&self) -> (SocketAddrV4, Envelope) {
-        let mut buffer = vec![0; 64 * 1024];
+    /// Waits for the next datagram that can be decoded.
+    pub async fn receive(&self) -> ReceivedMessage {
+        let mut buffer = vec![0; RECEIVE_BUFFER_BYTES];
         loop {
             match self.datagrams.recv_from(&mut buffer).await {
-                Ok((length, _)) => match decode(&buffer[..length]) {
+                Ok((length, _)) => match frame::decode(&buffer[..length]) {
                     Ok(received) => return received,
-                    Err(e) => {
+                    Err(error) => {
                         self.count_dropped();
-                        log::warn!("event=frame_dropped problem=\"{e}\"");
+                        log_event!(warn, "frame_dropped", problem = Quoted(&error));
                     }
                 },
-                // A datagram to a dead port comes back as an error of this socket.
+                // A datagram to a closed port comes back as an error of this socket.
                 Err(_) => smol::future::yield_now().await,
             }
         }
@@ -112,58 +98,43 @@
         loop {
             match self.listener.accept().await {
                 Ok((stream, _)) => return stream,
-                Err(e) => {
-                    log::warn!("event=accept_failed listener=internal problem=\"{e}\"");
-                    Timer::after(Duration::from_millis(50)).await;
+                Err(error) => {
+                    log_event!(warn, "accept_failed", listener = "internal", problem = Quoted(&error));
+                    Timer::after(ACCEPT_RETRY_INTERVAL).await;
                 }
             }
         }
     }
 }
 
-/// Reads the one frame that a connection brings.
-pub async fn read_frame(mut stream: TcpStream) -> Option<(SocketAddrV4, Envelope)> {
+/// Receives the one frame that a connection brings. `None` where it is dropped; the caller counts it.
+pub async fn receive_frame(mut stream: TcpStream) -> Option<ReceivedMessage> {
     let read = async {
         let mut length = [0; LENGTH_BYTES];
         stream.read_exact(&mut length).await?;
-        let length = u32::from_be_bytes(length) as usize;
-        if length > FRAME_BYTES {
-            return Err(FrameError::TooLong(length));
+        let declared_length = u32::from_be_bytes(length) as usize;
+        if declared_length > MAX_FRAME_BYTES {
+            return Err(FrameError::TooLong(declared_length));
         }
         let mut bytes = Vec::new();
-        (&mut stream).take(length as u64).read_to_end(&mut bytes).await?;
-        decode(&unpack(&bytes)?)
+        (&mut stream).take(declared_length as u64).read_to_end(&mut bytes).await?;
+        frame::decode(&frame::decompress(&bytes)?)
     };
     let timeout = async {
-        Timer::after(HAND_OVER).await;
+        Timer::after(FRAME_TIMEOUT).await;
         Err(FrameError::Connection(std::io::ErrorKind::TimedOut.into()))
     };
     match smol::future::or(read, timeout).await {
         Ok(received) => Some(received),
-        Err(e) => {
-            log::debug!("event=frame_dropped problem=\"{e}\"");
+        Err(error) => {
+            log_event!(debug, "frame_dropped", problem = Quoted(&error));
             None
         }
     }
 }
 
-fn unpack(bytes: &[u8]) -> Result<Vec<u8>, FrameError> {
-    let told = bytes.first_chunk::<LENGTH_BYTES>().map_or(0, |l| u32::from_le_bytes(*l) as usize);
-    if told > FRAME_BYTES {
-        return Err(FrameError::TooLong(told));
-    }
-    lz4_flex::decompress_size_prepended(bytes).map_err(|e| FrameError::Unreadable(e.to_string()))
-}
-
-fn decode(bytes: &[u8]) -> Result<(SocketAddrV4, Envelope), FrameError> {
-    let frame: Frame = ciborium::from_reader(bytes).map_err(|e| FrameError::Unreadable(e.to_string()))?;
-    if frame.version != VERSION {
-        return Err(FrameError::VersionMismatch(frame.version));
-    }
-    Ok((frame.from, frame.envelope))
-}
-
-async fn hand_over(to: SocketAddrV4, bytes: Vec<u8>) {
+/// Sends a compressed frame over a connection of its own.
+async fn send_compressed(to: SocketAddrV4, bytes: Vec<u8>) {
     let write = async {
         let mut stream = TcpStream::connect(SocketAddr::V4(to)).await?;
         stream.set_nodelay(true)?;
@@ -173,11 +144,11 @@
         stream.close().await
     };
     let timeout = async {
-        Timer::after(HAND_OVER).await;
+        Timer::after(FRAME_TIMEOUT).await;
         Err(std::io::ErrorKind::TimedOut.into())
     };
-    let done: std::io::Result<()> = smol::future::or(write, timeout).await;
-    if let Err(e) = done {
-        log::debug!("event=frame_lost to={to} problem=\"{e}\"");
+    let sent: std::io::Result<()> = smol::future::or(write, timeout).await;
+    if let Err(error) = sent {
+        log_event!(debug, "frame_lost", to = to, problem = Quoted(&error));
     }
 }
--- a/crates/router/node/src/upstream.rs
+++ b/crates/router/node/src/upstream.rs
@@ -1,12 +1,14 @@
-//! Connections to endpoints: opened when needed, kept while they rest.
+//! Connections to endpoints: opened on demand and reused while the endpoint keeps them open.
 
+use crate::logging::{log_event, Quoted};
+use crate::tasks::Spawner;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Incoming;
 use hyper::client::conn::http1::{Builder, SendRequest};
 use hyper::{Request, Response};
 use smol::net::TcpStream;
-use smol::{LocalExecutor, Timer};
+use smol::Timer;
 use smol_hyper::rt::FuturesIo;
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -14,118 +16,136 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// A connection that isn't up after this is given up.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// After an answer a connection rests this long: a second answer may come some milliseconds late.
-const REST: Duration = Duration::from_millis(12);
-/// A resting connection is used for this long where the endpoint tells nothing.
-const IDLE: Duration = Duration::from_secs(8);
-/// A resting connection is no longer used this much before the end told in `Keep-Alive`.
+/// Time after a response before the connection is reused: an endpoint may send a surplus second response some
+/// milliseconds late.
+const REUSE_DELAY: Duration = Duration::from_millis(12);
+/// Idle timeout of a connection whose endpoint gives none.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(8);
+/// Upper bound of the idle timeout that an endpoint may give in `Keep-Alive`, in seconds.
+const MAX_IDLE_TIMEOUT_S: f64 = 60.0;
+/// A connection is not reused this much before the end that `Keep-Alive` gives, in seconds: the endpoint may be closing
+/// it while the request is on its way.
 const IDLE_MARGIN_S: f64 = 0.3;
-/// Resting connections kept for one endpoint.
-const KEPT: usize = 32;
+/// Maximum number of idle connections to one endpoint.
+const MAX_IDLE_PER_ENDPOINT: usize = 32;
 
 /// A request as it goes to an endpoint.
 pub type UpstreamRequest = Request<Full<Bytes>>;
 
-/// Why no answer came.
+/// Why a request has no response.
 #[derive(Debug, Error)]
 pub enum SendError {
-    /// Nothing of the request was written.
+    /// Nothing of the request was written, so it was not executed.
     #[error("the request was not sent")]
     NotSent,
-    /// The request was sent, wholly or in part.
+    /// The request was written, wholly or in part, so it may have been executed.
     #[error("the connection broke")]
     Broken,
 }
 
-/// A connection that can carry a request now.
+/// A connection that can carry one request at a time.
 pub struct Connection {
     sender: SendRequest<Full<Bytes>>,
     address: SocketAddrV4,
-    idle_for: Duration,
+    idle_timeout: Duration,
     /// Whether it has carried a request before.
     pub is_reused: bool,
 }
 
 impl Connection {
-    /// Sends a request and waits for the head of the answer.
+    /// Sends a request and waits for the head of the response.
+    ///
+    /// # Errors
+    ///
+    /// Returns whether the request may have been executed.
     pub async fn send(&mut self, request: UpstreamRequest) -> Result<Response<Incoming>, SendError> {
         match self.sender.try_send_request(request).await {
             Ok(response) => {
-                self.learn_keep_alive(&response);
+                self.apply_keep_alive(&response);
                 Ok(response)
             }
-            Err(mut e) => Err(match e.take_message() {
+            Err(mut error) => Err(match error.take_message() {
                 Some(_) => SendError::NotSent,
                 None => SendError::Broken,
             }),
         }
     }
 
-    fn learn_keep_alive(&mut self, response: &Response<Incoming>) {
-        let told = response.headers().get("keep-alive").and_then(|v| v.to_str().ok());
-        let seconds = told.and_then(|text| {
+    /// Takes over the idle timeout that the endpoint gives in `Keep-Alive`.
+    fn apply_keep_alive(&mut self, response: &Response<Incoming>) {
+        let keep_alive = response.headers().get("keep-alive").and_then(|value| value.to_str().ok());
+        let seconds = keep_alive.and_then(|text| {
             let timeout = text.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
             timeout.parse::<f64>().ok()
         });
-        if let Some(seconds) = seconds.filter(|s| s.is_finite() && *s >= 0.0) {
-            self.idle_for = Duration::from_secs_f64((seconds - IDLE_MARGIN_S).clamp(0.0, 60.0));
+        if let Some(seconds) = seconds.filter(|seconds| seconds.is_finite() && *seconds >= 0.0) {
+            let usable = (seconds - IDLE_MARGIN_S).clamp(0.0, MAX_IDLE_TIMEOUT_S);
+            self.idle_timeout = Duration::from_secs_f64(usable);
         }
     }
 }
 
-struct Resting {
+struct IdleConnection {
     connection: Connection,
     since: Duration,
 }
 
-/// Resting connections by address.
+impl IdleConnection {
+    fn is_usable(&self, now: Duration) -> bool {
+        !self.connection.sender.is_closed() && now.saturating_sub(self.since) < self.connection.idle_timeout
+    }
+
+    fn can_carry_request(&self, now: Duration) -> bool {
+        now.saturating_sub(self.since) >= REUSE_DELAY && self.connection.sender.is_ready()
+    }
+}
+
+/// Idle connections by address.
 #[derive(Default)]
-pub struct Pool {
-    resting: RefCell<HashMap<SocketAddrV4, Vec<Resting>>>,
+pub struct ConnectionPool {
+    idle: RefCell<HashMap<SocketAddrV4, Vec<IdleConnection>>>,
 }
 
-impl Pool {
-    /// A resting connection, the one used last first.
+impl ConnectionPool {
+    /// Takes an idle connection, the most recently used first.
     pub fn take(&self, now: Duration, address: SocketAddrV4) -> Option<Connection> {
-        let mut all = self.resting.borrow_mut();
-        let resting = all.get_mut(&address)?;
-        resting.retain(|r| is_usable(r, now));
-        let index = resting
-            .iter()
-            .rposition(|r| now.saturating_sub(r.since) >= REST && r.connection.sender.is_ready())?;
-        Some(resting.remove(index).connection)
+        let mut by_address = self.idle.borrow_mut();
+        let idle = by_address.get_mut(&address)?;
+        idle.retain(|idle| idle.is_usable(now));
+        let index = idle.iter().rposition(|idle| idle.can_carry_request(now))?;
+        Some(idle.remove(index).connection)
     }
 
-    /// Keeps a connection whose answer is over.
+    /// Returns a connection whose response has been read whole.
     pub fn put(&self, now: Duration, mut connection: Connection) {
-        if connection.sender.is_closed() || connection.idle_for.is_zero() {
+        if connection.sender.is_closed() || connection.idle_timeout.is_zero() {
             return;
         }
         connection.is_reused = true;
-        let mut all = self.resting.borrow_mut();
-        let resting = all.entry(connection.address).or_default();
-        if resting.len() < KEPT {
-            resting.push(Resting { connection, since: now });
+        let mut by_address = self.idle.borrow_mut();
+        let idle = by_address.entry(connection.address).or_default();
+        if idle.len() < MAX_IDLE_PER_ENDPOINT {
+            idle.push(IdleConnection { connection, since: now });
         }
     }
 
-    /// Drops connections that have rested too long.
+    /// Drops the connections whose idle timeout has passed.
     pub fn sweep(&self, now: Duration) {
-        let mut all = self.resting.borrow_mut();
-        for resting in all.values_mut() {
-            resting.retain(|r| is_usable(r, now));
+        let mut by_address = self.idle.borrow_mut();
+        for idle in by_address.values_mut() {
+            idle.retain(|idle| idle.is_usable(now));
         }
-        all.retain(|_, resting| !resting.is_empty());
+        by_address.retain(|_, idle| !idle.is_empty());
     }
 
     /// Opens a connection.
-    pub async fn connect(
-        &self,
-        executor: &LocalExecutor<'static>,
-        address: SocketAddrV4,
-    ) -> std::io::Result<Connection> {
+    ///
+    /// # Errors
+    ///
+    /// Returns the operating system's error, or a timeout.
+    pub async fn connect(&self, spawner: Spawner, address: SocketAddrV4) -> std::io::Result<Connection> {
         let connect = async {
             let stream = TcpStream::connect(SocketAddr::V4(address)).await?;
             stream.set_nodelay(true)?;
@@ -136,21 +156,13 @@
             Err(std::io::ErrorKind::TimedOut.into())
         };
         let stream: std::io::Result<TcpStream> = smol::future::or(connect, timeout).await;
-        let (sender, connection) = Builder::new()
-            .handshake(FuturesIo::new(stream?))
-            .await
-            .map_err(|e| std::io::Error::other(e.to_string()))?;
-        executor
-            .spawn(async move {
-                if let Err(e) = connection.await {
-                    log::debug!("event=upstream_broke address={address} problem=\"{e}\"");
-                }
-            })
-            .detach();
-        Ok(Connection { sender, address, idle_for: IDLE, is_reused: false })
+        let (sender, connection) =
+            Builder::new().handshake(FuturesIo::new(stream?)).await.map_err(std::io::Error::other)?;
+        spawner.spawn_bounded(async move {
+            if let Err(error) = connection.await {
+                log_event!(debug, "upstream_broke", address = address, problem = Quoted(&error));
+            }
+        });
+        Ok(Connection { sender, address, idle_timeout: DEFAULT_IDLE_TIMEOUT, is_reused: false })
     }
 }
-
-fn is_usable(resting: &Resting, now: Duration) -> bool {
-    !resting.connection.sender.is_closed() && now.saturating_sub(resting.since) < resting.connection.idle_for
-}
