--- a/crates/router/node/src/logging.rs
+++ b/crates/router/node/src/logging.rs
@@ -24,3 +24,6 @@
 }
 
 pub(crate) use log_event;
+
+#[cfg(test)]
+mod tests;
--- a/crates/router/node/src/storage/error.rs
+++ b/crates/router/node/src/storage/error.rs
@@ -56,3 +56,6 @@
     let text = text.to_ascii_lowercase();
     text.contains("corrupt") || text.contains("invalid") || text.contains("manual upgrade")
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/router/node/src/storage/tests.rs
+++ b/crates/router/node/src/storage/tests.rs
@@ -3,6 +3,7 @@
 use super::error::StoreError;
 use super::format::{encode, write, FORMAT, FORMAT_VERSION, UNVERSIONED_FORMAT};
 use super::open::{open, open_with_retry, OpenStore, FILE};
+use passrelay_control_plane::replication::MemberId;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU32, Ordering};
 
@@ -84,3 +85,43 @@
     drop(database);
     assert!(open(&folder.0, false).is_ok());
 }
+
+/// What a machine of version 0.2.0 had on its disk before the renaming, packed: `replica.redb` of format 2, and one from
+/// before formats were kept.
+const SAMPLE: &[u8] = include_bytes!("../../tests/data/replica.redb.lz4");
+const SAMPLE_WITHOUT_FORMAT: &[u8] = include_bytes!("../../tests/data/replica-without-format.redb.lz4");
+
+#[test]
+fn stores_written_before_open_with_all_that_they_held() {
+    for (sample, bootstrapping) in [(SAMPLE, true), (SAMPLE_WITHOUT_FORMAT, false)] {
+        let folder = Folder::new();
+        let unpacked = lz4_flex::decompress_size_prepended(sample).expect("the sample is whole");
+        std::fs::write(folder.0.join(FILE), unpacked).expect("it is written");
+        let opened = open(&folder.0, false).expect("it opens").contents;
+        assert_eq!(folder.names(), [FILE], "nothing was put aside");
+        assert_eq!((opened.identity, opened.bootstrapping), (MemberId(0x1122_3344_5566_7701), bootstrapping));
+
+        let witness = &opened.durable.witness;
+        assert_eq!(witness.promised, 8);
+        assert_eq!(witness.promised_to, Some(MemberId(0x1122_3344_5566_7703)));
+        let record = witness.record.as_ref().expect("a record");
+        assert_eq!((record.position(), record.primary), ((7, 3), MemberId(0x1122_3344_5566_7702)));
+        assert_eq!((record.members.len(), record.previous_members.len(), record.in_sync.len()), (3, 2, 2));
+        assert_eq!(record.members[0].address, "10.1.2.1:7400".parse().expect("an address"));
+
+        let state = &opened.durable.state;
+        assert_eq!((state.version.term, state.version.index, state.generation), (7, 5, 50));
+        let document = state.document.as_deref().expect("a document");
+        assert_eq!(document, r#"{"generation":50,"routes":[],"services":[{"name":"s"}]}"#);
+        let applied: Vec<(u64, u8)> =
+            state.applied_changes.iter().map(|change| (change.generation, change.digest[31])).collect();
+        assert_eq!(applied, [(10, 41), (20, 51), (30, 61), (40, 71), (50, 81)]);
+
+        let endpoints: Vec<(&str, &str, u32, u64)> = opened
+            .endpoints
+            .iter()
+            .map(|e| (e.id.as_str(), e.zone.as_str(), e.capacity, e.sequence))
+            .collect();
+        assert_eq!(endpoints, [("e-0", "z0", 8, 300), ("e-1", "z1", 9, 301)]);
+    }
+}
--- a/crates/router/node/src/transport/frame.rs
+++ b/crates/router/node/src/transport/frame.rs
@@ -98,3 +98,6 @@
     }
     Ok(ReceivedMessage { from: frame.from, envelope: frame.envelope })
 }
+
+#[cfg(test)]
+mod tests;
