--- /dev/null
+++ b/crates/router/node/src/client_listener.rs
@@ -0,0 +1,193 @@
+//! Clients' connections: accepts them, serves requests on them and ends them.
+
+use crate::client_connections::{ClientConnection, ConnectionCommand, ConnectionTimeouts};
+use crate::listener::accept_all;
+use crate::request;
+use crate::request_context::RequestContext;
+use crate::responses::{Body, BodyError};
+use crate::tasks::BackgroundTasks;
+use bytes::Bytes;
+use hyper::body::{Frame, Incoming, SizeHint};
+use hyper::header::{HeaderValue, CONNECTION};
+use hyper::service::service_fn;
+use hyper::{Request, Response};
+use smol::io::{AsyncRead, AsyncWrite};
+use smol::net::{TcpListener, TcpStream};
+use smol_hyper::rt::FuturesIo;
+use std::convert::Infallible;
+use std::io;
+use std::net::{SocketAddr, SocketAddrV4};
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{Context, Poll};
+use std::time::Duration;
+
+/// Interval of the check for connections that have been idle for too long.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+/// Minimum size of a connection's buffer that the HTTP library accepts, in bytes.
+const MIN_BUFFER_BYTES: usize = 8_192;
+/// Maximum size of a head while there is no configuration.
+const DEFAULT_MAX_HEADER_BYTES: usize = 16 * 1024;
+/// Timeouts while there is no configuration.
+const DEFAULT_TIMEOUTS: ConnectionTimeouts =
+    ConnectionTimeouts { header: Duration::from_secs(3), idle: Duration::from_secs(15) };
+
+/// Opens the clients' port, if this process has one.
+///
+/// # Errors
+///
+/// Returns the operating system's error where the port can't be opened.
+pub async fn start(
+    tasks: &BackgroundTasks,
+    context: &Rc<RequestContext>,
+    address: Option<SocketAddrV4>,
+) -> io::Result<()> {
+    let Some(address) = address else { return Ok(()) };
+    let listener = TcpListener::bind(SocketAddr::V4(address)).await?;
+    let serving = context.clone();
+    let serve = move |stream| serve_connection(serving.clone(), stream);
+    tasks.spawn("client_listener", accept_all(tasks.spawner(), listener, "front", serve));
+    let sweeping = context.clone();
+    tasks.spawn_periodic("connection_sweep", || SWEEP_INTERVAL, move || sweep(&sweeping));
+    Ok(())
+}
+
+/// Closes connections, of clients and to endpoints, that have been idle for too long.
+fn sweep(context: &RequestContext) {
+    let snapshot = context.data_plane.configuration.snapshot();
+    let timeouts = snapshot.map_or(DEFAULT_TIMEOUTS, |snapshot| {
+        let limits = snapshot.table.limits();
+        ConnectionTimeouts {
+            header: Duration::from_millis(limits.header_timeout_ms),
+            idle: Duration::from_millis(limits.idle_timeout_ms),
+        }
+    });
+    let now = context.now();
+    context.clients.sweep(now, timeouts);
+    context.upstream.sweep(now);
+}
+
+async fn serve_connection(context: Rc<RequestContext>, stream: TcpStream) {
+    let _ = stream.set_nodelay(true);
+    let opened = context.clients.open(context.now());
+    let connection = opened.connection;
+    let io =
+        FuturesIo::new(TrackedStream { stream, connection: connection.clone(), context: context.clone() });
+    let snapshot = context.data_plane.configuration.snapshot();
+    let max_header_bytes =
+        snapshot.map_or(DEFAULT_MAX_HEADER_BYTES, |snapshot| snapshot.table.limits().max_header_bytes);
+    let service = {
+        let context = context.clone();
+        let connection = connection.clone();
+        service_fn(move |request| respond(context.clone(), connection.clone(), request))
+    };
+    let serving = hyper::server::conn::http1::Builder::new()
+        .max_buf_size(max_header_bytes.max(MIN_BUFFER_BYTES))
+        .serve_connection(io, service);
+    let mut serving = std::pin::pin!(serving);
+    loop {
+        let command = {
+            let served = async {
+                let _ = serving.as_mut().await;
+                None
+            };
+            smol::future::or(served, async { opened.commands.recv().await.ok() }).await
+        };
+        match command {
+            Some(ConnectionCommand::Finish) => serving.as_mut().graceful_shutdown(),
+            // A request may have come between the command and now: it is served, and a later sweep closes the connection.
+            Some(ConnectionCommand::Close) if connection.is_busy() => {}
+            Some(ConnectionCommand::Close) | None => break,
+        }
+    }
+    context.clients.closed(opened.id);
+}
+
+async fn respond(
+    context: Rc<RequestContext>,
+    connection: Rc<ClientConnection>,
+    request: Request<Incoming>,
+) -> Result<Response<Body>, Infallible> {
+    connection.request_started();
+    let mut response = request::handle(&context, request).await;
+    if context.shutdown.is_draining() {
+        response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+    }
+    Ok(response.map(|body| -> Body { Box::pin(TrackedBody { body, connection, context }) }))
+}
+
+/// A client's socket; notifies the connection when bytes arrive.
+struct TrackedStream {
+    stream: TcpStream,
+    connection: Rc<ClientConnection>,
+    context: Rc<RequestContext>,
+}
+
+impl AsyncRead for TrackedStream {
+    fn poll_read(
+        mut self: Pin<&mut Self>,
+        context: &mut Context,
+        buffer: &mut [u8],
+    ) -> Poll<io::Result<usize>> {
+        let polled = Pin::new(&mut self.stream).poll_read(context, buffer);
+        if matches!(polled, Poll::Ready(Ok(length)) if length > 0) {
+            self.connection.bytes_received(self.context.now());
+        }
+        polled
+    }
+}
+
+impl AsyncWrite for TrackedStream {
+    fn poll_write(mut self: Pin<&mut Self>, context: &mut Context, buffer: &[u8]) -> Poll<io::Result<usize>> {
+        Pin::new(&mut self.stream).poll_write(context, buffer)
+    }
+
+    fn poll_write_vectored(
+        mut self: Pin<&mut Self>,
+        context: &mut Context,
+        buffers: &[io::IoSlice],
+    ) -> Poll<io::Result<usize>> {
+        Pin::new(&mut self.stream).poll_write_vectored(context, buffers)
+    }
+
+    fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.stream).poll_flush(context)
+    }
+
+    fn poll_close(mut self: Pin<&mut Self>, context: &mut Context) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.stream).poll_close(context)
+    }
+}
+
+/// The body of a response; notifies the connection when it has been written or given up.
+struct TrackedBody {
+    body: Body,
+    connection: Rc<ClientConnection>,
+    context: Rc<RequestContext>,
+}
+
+impl hyper::body::Body for TrackedBody {
+    type Data = Bytes;
+    type Error = BodyError;
+
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        context: &mut Context,
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
+        self.body.as_mut().poll_frame(context)
+    }
+
+    fn is_end_stream(&self) -> bool {
+        self.body.is_end_stream()
+    }
+
+    fn size_hint(&self) -> SizeHint {
+        self.body.size_hint()
+    }
+}
+
+impl Drop for TrackedBody {
+    fn drop(&mut self) {
+        self.connection.request_finished(self.context.now());
+    }
+}
--- /dev/null
+++ b/crates/router/node/src/process.rs
@@ -0,0 +1,157 @@
+//! Composition and start-up of one process: builds every part, opens the ports, starts the loops and waits for the end.
+//!
+//! Nothing here decides about requests, endpoints or replication.
+
+use crate::background_tasks;
+use crate::client_listener;
+use crate::clock::Clock;
+use crate::control_api::{self, ControlApi};
+use crate::coordinator_driver::{ActionTargets, CoordinatorDriver};
+use crate::data_plane::DataPlane;
+use crate::endpoint_registration::EndpointRegistration;
+use crate::freshness::Freshness;
+use crate::graceful_shutdown::GracefulShutdown;
+use crate::logging::log_event;
+use crate::readiness::Readiness;
+use crate::request_context::RequestContext;
+use crate::settings::{CurrentSettings, NodeSettings, SettingsError};
+use crate::signals;
+use crate::storage::{Storage, StorageEvent};
+use crate::tasks::{BackgroundTasks, Spawner};
+use crate::transport::Transport;
+use passrelay_control_plane::{Coordinator, CoordinatorSettings};
+use passrelay_dissemination::{GossipSettings, Incarnation};
+use smol::channel::Receiver;
+use smol::LocalExecutor;
+use std::rc::Rc;
+use std::time::Duration;
+use thiserror::Error;
+
+/// Why a process ends with an error.
+#[derive(Debug, Error)]
+pub enum NodeError {
+    /// The settings are invalid.
+    #[error("{0}")]
+    Settings(#[from] SettingsError),
+    /// The operating system refuses a socket, a thread or a signal handler.
+    #[error("{what}: {source}")]
+    System {
+        /// What was requested.
+        what: &'static str,
+        /// The operating system's error.
+        source: std::io::Error,
+    },
+}
+
+fn system(what: &'static str) -> impl FnOnce(std::io::Error) -> NodeError {
+    move |source| NodeError::System { what, source }
+}
+
+/// Runs one process until its graceful shutdown is complete.
+///
+/// # Errors
+///
+/// Returns why it couldn't start.
+pub fn run() -> Result<(), NodeError> {
+    let settings = NodeSettings::from_environment()?;
+    // Lives as long as the process: tasks refer to it.
+    let executor: &'static LocalExecutor<'static> = Box::leak(Box::new(LocalExecutor::new()));
+    smol::block_on(executor.run(serve(settings, Spawner::new(executor))))
+}
+
+/// The parts that are started after they have all been built.
+struct Process {
+    settings: Rc<CurrentSettings>,
+    transport: Rc<Transport>,
+    driver: Rc<CoordinatorDriver>,
+    storage_events: Option<Receiver<StorageEvent>>,
+    requests: Rc<RequestContext>,
+    control: Rc<ControlApi>,
+}
+
+async fn serve(settings: NodeSettings, spawner: Spawner) -> Result<(), NodeError> {
+    let process = build(settings, spawner).await?;
+    let tasks = BackgroundTasks::new(spawner);
+    if let Some(events) = process.storage_events {
+        background_tasks::start_storage_events(&tasks, &process.driver, &process.settings, events);
+    }
+    background_tasks::start(&tasks, &process.driver, &process.transport);
+    control_api::start(&tasks, &process.control, &process.settings).await.map_err(system("control port"))?;
+    let client_address = process.settings.borrow().listen_front;
+    client_listener::start(&tasks, &process.requests, client_address)
+        .await
+        .map_err(system("clients' port"))?;
+    log_started(&process.settings);
+    signals::run_until_shutdown(&process.requests, &process.settings, &process.driver)
+        .await
+        .map_err(system("signals"))
+}
+
+/// Builds all parts, the sockets for messages between processes and the storage thread among them.
+async fn build(settings: NodeSettings, spawner: Spawner) -> Result<Process, NodeError> {
+    let clock = Clock::start();
+    let transport =
+        Transport::open(settings.internal_address(), spawner).await.map_err(system("internal port"))?;
+    let transport = Rc::new(transport);
+    let coordinator = Coordinator::new(Duration::ZERO, coordinator_settings(&settings));
+    let data_plane = Rc::new(DataPlane::new(&settings.zone, settings.retry_budget_ratio, rand::random()));
+    let (storage, storage_events) = start_storage(&settings)?.unzip();
+    let settings = Rc::new(CurrentSettings::new(settings));
+    let freshness = Rc::new(Freshness::new(clock, settings.clone()));
+    let shutdown = Rc::new(GracefulShutdown::new(clock));
+    let readiness = Rc::new(Readiness::new(data_plane.clone(), freshness.clone(), shutdown.clone()));
+    let targets = ActionTargets {
+        transport: transport.clone(),
+        storage,
+        data_plane: data_plane.clone(),
+        freshness: freshness.clone(),
+    };
+    let driver = Rc::new(CoordinatorDriver::new(clock, coordinator, targets));
+    let control = Rc::new(ControlApi {
+        registration: EndpointRegistration::new(driver.clone()),
+        readiness: readiness.clone(),
+        driver: driver.clone(),
+    });
+    let requests =
+        RequestContext::new(clock, spawner, data_plane, freshness, readiness, shutdown, driver.clone());
+    Ok(Process { settings, transport, driver, storage_events, requests: Rc::new(requests), control })
+}
+
+fn coordinator_settings(settings: &NodeSettings) -> CoordinatorSettings {
+    CoordinatorSettings {
+        gossip: GossipSettings {
+            own: settings.internal_address(),
+            seeds: settings.internal_seeds(),
+            heartbeat: settings.heartbeat,
+            random_seed: rand::random(),
+            mutation: Default::default(),
+        },
+        replica: None,
+        incarnation: Incarnation(rand::random()),
+        is_voter: settings.counts_for_quorum && settings.data_dir.is_some(),
+        tolerated_losses: settings.tolerated_losses,
+        quota_bounds: settings.quota_bounds,
+    }
+}
+
+/// Starts the storage thread on a machine with a vote and a disk.
+fn start_storage(settings: &NodeSettings) -> Result<Option<(Storage, Receiver<StorageEvent>)>, NodeError> {
+    let data_dir = settings.data_dir.clone().filter(|_| settings.counts_for_quorum);
+    let Some(data_dir) = data_dir else { return Ok(None) };
+    let (events, received) = smol::channel::unbounded();
+    let storage =
+        Storage::start(data_dir, settings.bootstrap, events).map_err(system("thread of the disk"))?;
+    Ok(Some((storage, received)))
+}
+
+fn log_started(settings: &CurrentSettings) {
+    let settings = settings.borrow();
+    log_event!(
+        info,
+        "started",
+        name = settings.node_name,
+        address = settings.internal_address(),
+        counts = settings.counts_for_quorum,
+        seeds = format_args!("{:?}", settings.internal_seeds()),
+    );
+}
--- /dev/null
+++ b/crates/router/node/src/request/mod.rs
@@ -0,0 +1,99 @@
+//! The life of a client's request: from its head to the response, in phases that run in this order.
+//!
+//! | phase | module | ends the request with |
+//! |---|---|---|
+//! | wait for start-up | here | - |
+//! | parse the head | `inbound` | 400 |
+//! | match route, authenticate, check freshness | `admission` | 401, 404, 503 |
+//! | check the graceful shutdown | here | 503 |
+//! | read the body | `inbound_body` | 400, 408, 413 |
+//! | admit once more: reading may have taken long | `admission` | as above |
+//! | reserve quota | `quota` | 429, 503 |
+//! | select an endpoint, attempt, retry | `attempts`, by the rules in `retry_policy` | 502, 503, 504 |
+//! | relay the response, resume a stream | `relay_body` | the connection breaks off |
+//!
+//! 429 and 503 promise that the request has not been executed and never will be; what may have been executed ends with 502
+//! or 504.
+
+mod admission;
+mod attempts;
+mod endpoint_call;
+mod event_buffer;
+mod headers;
+mod inbound;
+mod inbound_body;
+mod outbound;
+mod quota;
+mod relay_body;
+mod retry_policy;
+
+use crate::request_context::RequestContext;
+use crate::responses::{Body, Failure};
+use attempts::Attempts;
+use headers::DEADLINE;
+use hyper::body::Incoming;
+use hyper::{Request, Response};
+use inbound::{InboundRequest, DEFAULT_TIMEOUT};
+use passrelay_configuration::RouteType;
+use smol::Timer;
+use std::rc::Rc;
+use std::time::Duration;
+
+/// A process counts as just started for this long.
+const STARTUP_PERIOD: Duration = Duration::from_secs(5);
+/// Fraction of its timeout that a request waits for a process that has just started.
+const STARTUP_WAIT_FRACTION: f64 = 0.35;
+/// Interval of the check whether a process that has just started can serve.
+const STARTUP_POLL_INTERVAL: Duration = Duration::from_millis(15);
+
+/// Serves one request.
+pub async fn handle(context: &Rc<RequestContext>, request: Request<Incoming>) -> Response<Body> {
+    let arrived = context.now();
+    wait_for_startup(context, &request).await;
+    match forward(context, request, arrived).await {
+        Ok(response) => response,
+        Err(failure) => failure.response(),
+    }
+}
+
+/// A process that has just started gets its configuration and endpoints within moments: a request waits for them, for a
+/// fraction of its timeout.
+async fn wait_for_startup(context: &RequestContext, request: &Request<Incoming>) {
+    let header = request.headers().get(&DEADLINE).and_then(|value| value.to_str().ok());
+    let timeout = header.and_then(|value| value.parse::<u64>().ok());
+    let timeout = timeout.map_or(DEFAULT_TIMEOUT, Duration::from_millis).mul_f64(STARTUP_WAIT_FRACTION);
+    let until = context.now() + timeout;
+    while context.now() < until.min(STARTUP_PERIOD) && !context.readiness.can_serve() {
+        Timer::after(STARTUP_POLL_INTERVAL).await;
+    }
+}
+
+async fn forward(
+    context: &Rc<RequestContext>,
+    request: Request<Incoming>,
+    arrived: Duration,
+) -> Result<Response<Body>, Failure> {
+    let (parts, body) = request.into_parts();
+    let mut inbound = InboundRequest::parse(parts, arrived)?;
+    let admission = admission::admit(context, &inbound)?;
+    if !context.shutdown.accepts(inbound.deadline(&admission.route)) {
+        return Err(Failure::Ending);
+    }
+    inbound.body = inbound_body::read(admission.snapshot.table.limits(), body).await?;
+    let inbound = Rc::new(inbound);
+    let admission = admission::admit(context, &inbound)?;
+    let reservation = quota::reserve(context, &inbound, &admission).await?;
+    let deadline = inbound.deadline(&admission.route);
+    let resumable = admission.route.route_type == RouteType::Streaming && admission.route.resumable;
+    drop(admission);
+    let mut attempts = Attempts::new(context.clone(), inbound, deadline);
+    match attempts.next(None).await {
+        Ok(answered) => Ok(relay_body::respond(answered, attempts, resumable)),
+        Err(failure) => {
+            if let Some(reservation) = reservation.filter(|_| !attempts.may_have_executed()) {
+                reservation.refund(context);
+            }
+            Err(failure)
+        }
+    }
+}
--- /dev/null
+++ b/crates/router/node/src/request/relay_body.rs
@@ -0,0 +1,159 @@
+//! Relays the body of an endpoint's response to the client, chunk by chunk as it comes.
+//!
+//! A resumable stream is relayed in complete events; when its endpoint breaks off, another one continues after the last
+//! event that was relayed, inside the same response.
+
+use super::attempts::{Answered, Attempts};
+use super::endpoint_call::EndpointCall;
+use super::event_buffer::EventBuffer;
+use super::headers::end_to_end;
+use crate::logging::log_event;
+use crate::responses::{full, Body, BodyError};
+use crate::upstream::Connection;
+use bytes::Bytes;
+use http_body_util::{BodyExt, StreamBody};
+use hyper::body::{Body as _, Frame, Incoming};
+use hyper::header::CONTENT_LENGTH;
+use hyper::{Response, StatusCode};
+use passrelay_data_plane::balancer::CallEnd;
+use smol::stream;
+use smol::Timer;
+
+/// The client's response from an endpoint's.
+pub fn respond(answered: Answered, attempts: Attempts, resumable: bool) -> Response<Body> {
+    let Answered { response, connection, call } = answered;
+    let (parts, incoming) = response.into_parts();
+    let complete_events =
+        resumable && parts.status == StatusCode::OK && !parts.headers.contains_key(CONTENT_LENGTH);
+    let time_left = attempts.deadline().saturating_sub(attempts.context().now());
+    let is_empty = incoming.is_end_stream();
+    let mut relay = BodyRelay {
+        incoming,
+        connection: Some(connection),
+        call,
+        events: complete_events.then(EventBuffer::default),
+        deadline: Timer::after(time_left),
+        attempts,
+        ended: false,
+    };
+    if is_empty {
+        relay.finish();
+    }
+    let chunks = stream::unfold(relay, |mut relay| async move {
+        let chunk = relay.next().await?;
+        Some((chunk.map(Frame::data), relay))
+    });
+    let mut response = Response::new(());
+    *response.status_mut() = parts.status;
+    *response.headers_mut() = end_to_end(&parts.headers);
+    if is_empty {
+        return response.map(|()| full(Bytes::new()));
+    }
+    response.map(|()| -> Body { Box::pin(StreamBody::new(chunks)) })
+}
+
+struct BodyRelay {
+    incoming: Incoming,
+    /// The connection of `incoming`, until its body has been read whole.
+    connection: Option<Connection>,
+    call: EndpointCall,
+    /// Where the stream can be resumed.
+    events: Option<EventBuffer>,
+    deadline: Timer,
+    attempts: Attempts,
+    ended: bool,
+}
+
+/// What came first while waiting for the endpoint.
+enum Received {
+    Frame(Frame<Bytes>),
+    EndOfBody,
+    Broken,
+    DeadlinePassed,
+}
+
+impl BodyRelay {
+    async fn next(&mut self) -> Option<Result<Bytes, BodyError>> {
+        while !self.ended {
+            match self.receive().await {
+                Received::DeadlinePassed => {
+                    self.ended = true;
+                    return Some(Err(BodyError::TimedOut));
+                }
+                Received::Frame(frame) => {
+                    // The client's connection doesn't poll a body of known length once its last byte is written.
+                    if self.events.is_none() && self.incoming.is_end_stream() {
+                        self.finish();
+                    }
+                    if let Some(chunk) = frame.into_data().ok().and_then(|data| self.relayable(data)) {
+                        return Some(Ok(chunk));
+                    }
+                }
+                Received::Broken => {
+                    self.call.end(CallEnd::Failed);
+                    if !self.resume().await {
+                        self.ended = true;
+                        return Some(Err(BodyError::BrokeOff));
+                    }
+                }
+                Received::EndOfBody => {
+                    self.finish();
+                    return self.events.as_mut().and_then(EventBuffer::take_rest).map(Ok);
+                }
+            }
+        }
+        None
+    }
+
+    /// Waits for the next frame, at most until the deadline.
+    async fn receive(&mut self) -> Received {
+        let frame = async {
+            match self.incoming.frame().await {
+                Some(Ok(frame)) => Received::Frame(frame),
+                Some(Err(_)) => Received::Broken,
+                None => Received::EndOfBody,
+            }
+        };
+        let deadline = async {
+            (&mut self.deadline).await;
+            Received::DeadlinePassed
+        };
+        smol::future::or(frame, deadline).await
+    }
+
+    /// What can be relayed after a chunk has come.
+    fn relayable(&mut self, data: Bytes) -> Option<Bytes> {
+        self.call.record_progress();
+        match &mut self.events {
+            Some(events) => events.push(&data),
+            None => Some(data),
+        }
+    }
+
+    /// The response is complete.
+    fn finish(&mut self) {
+        self.ended = true;
+        self.call.end(CallEnd::Completed);
+        if let Some(connection) = self.connection.take() {
+            let context = self.attempts.context();
+            context.upstream.put(context.now(), connection);
+        }
+    }
+
+    /// Has another endpoint continue the stream. Returns whether one does.
+    async fn resume(&mut self) -> bool {
+        let Some(events) = &mut self.events else { return false };
+        events.discard_partial();
+        let last_event_id = events.last_id().map(str::to_owned);
+        self.attempts.record_broken_response();
+        let Ok(answered) = self.attempts.next(last_event_id.as_deref()).await else { return false };
+        if answered.response.status() != StatusCode::OK {
+            return false;
+        }
+        log_event!(debug, "resumed", after = last_event_id.as_deref().unwrap_or("start"));
+        self.incoming = answered.response.into_body();
+        self.connection = Some(answered.connection);
+        self.call = answered.call;
+        true
+    }
+}
--- /dev/null
+++ b/crates/router/node/src/transport/mod.rs
@@ -0,0 +1,154 @@
+//! Sockets for messages between processes: small frames as datagrams, large ones compressed over a connection of their own.
+//!
+//! Either may be lost without notice. Whoever needs an answer repeats its request.
+
+mod frame;
+
+use crate::logging::{log_event, Quoted};
+use crate::tasks::Spawner;
+pub use frame::ReceivedMessage;
+use frame::{FrameError, LENGTH_BYTES, MAX_FRAME_BYTES};
+use passrelay_control_plane::Envelope;
+use smol::io::{AsyncReadExt, AsyncWriteExt};
+use smol::net::{TcpListener, TcpStream, UdpSocket};
+use smol::Timer;
+use std::cell::Cell;
+use std::net::{SocketAddr, SocketAddrV4};
+use std::time::Duration;
+
+/// Frames up to this length are sent as datagrams: one that fits an Ethernet frame is not fragmented.
+const MAX_DATAGRAM_BYTES: usize = 1_300;
+/// Buffer for datagrams: any that UDP can carry.
+const RECEIVE_BUFFER_BYTES: usize = 64 * 1024;
+/// Timeout for sending or receiving a large frame, the connection included.
+const FRAME_TIMEOUT: Duration = Duration::from_secs(3);
+/// Pause after the operating system refused a connection, for want of descriptors for instance.
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(50);
+
+/// The sockets for messages between processes.
+pub struct Transport {
+    own: SocketAddrV4,
+    spawner: Spawner,
+    datagrams: UdpSocket,
+    listener: TcpListener,
+    /// Received frames that were dropped.
+    dropped: Cell<u64>,
+}
+
+impl Transport {
+    /// Opens the sockets, one for datagrams and one for connections on the same port.
+    ///
+    /// # Errors
+    ///
+    /// Returns the operating system's error.
+    pub async fn open(own: SocketAddrV4, spawner: Spawner) -> std::io::Result<Self> {
+        let datagrams = UdpSocket::bind(own).await?;
+        let listener = TcpListener::bind(own).await?;
+        Ok(Transport { own, spawner, datagrams, listener, dropped: Cell::new(0) })
+    }
+
+    /// Number of received frames that were dropped: of another version, too long, undecodable, or incomplete.
+    pub fn dropped(&self) -> u64 {
+        self.dropped.get()
+    }
+
+    /// Counts a received frame that was dropped.
+    pub fn count_dropped(&self) {
+        self.dropped.set(self.dropped.get() + 1);
+    }
+
+    /// Sends a message without waiting for it.
+    pub fn send(&self, to: SocketAddrV4, envelope: Envelope) {
+        let bytes = match frame::encode(self.own, envelope) {
+            Ok(bytes) => bytes,
+            Err(error) => {
+                log_event!(error, "frame_unwritable", problem = Quoted(&error));
+                return;
+            }
+        };
+        if bytes.len() <= MAX_DATAGRAM_BYTES {
+            // A datagram that the operating system can't take just now counts as lost.
+            let send = self.datagrams.send_to(&bytes, to);
+            let _ = smol::future::block_on(smol::future::poll_once(send));
+        } else {
+            self.spawner.spawn_bounded(send_compressed(to, frame::compress(&bytes)));
+        }
+    }
+
+    /// Waits for the next datagram that can be decoded.
+    pub async fn receive(&self) -> ReceivedMessage {
+        let mut buffer = vec![0; RECEIVE_BUFFER_BYTES];
+        loop {
+            match self.datagrams.recv_from(&mut buffer).await {
+                Ok((length, _)) => match frame::decode(&buffer[..length]) {
+                    Ok(received) => return received,
+                    Err(error) => {
+                        self.count_dropped();
+                        log_event!(warn, "frame_dropped", problem = Quoted(&error));
+                    }
+                },
+                // A datagram to a closed port comes back as an error of this socket.
+                Err(_) => smol::future::yield_now().await,
+            }
+        }
+    }
+
+    /// Waits for the next connection that brings a large frame.
+    pub async fn accept(&self) -> TcpStream {
+        loop {
+            match self.listener.accept().await {
+                Ok((stream, _)) => return stream,
+                Err(error) => {
+                    log_event!(warn, "accept_failed", listener = "internal", problem = Quoted(&error));
+                    Timer::after(ACCEPT_RETRY_INTERVAL).await;
+                }
+            }
+        }
+    }
+}
+
+/// Receives the one frame that a connection brings. `None` where it is dropped; the caller counts it.
+pub async fn receive_frame(mut stream: TcpStream) -> Option<ReceivedMessage> {
+    let read = async {
+        let mut length = [0; LENGTH_BYTES];
+        stream.read_exact(&mut length).await?;
+        let declared_length = u32::from_be_bytes(length) as usize;
+        if declared_length > MAX_FRAME_BYTES {
+            return Err(FrameError::TooLong(declared_length));
+        }
+        let mut bytes = Vec::new();
+        (&mut stream).take(declared_length as u64).read_to_end(&mut bytes).await?;
+        frame::decode(&frame::decompress(&bytes)?)
+    };
+    let timeout = async {
+        Timer::after(FRAME_TIMEOUT).await;
+        Err(FrameError::Connection(std::io::ErrorKind::TimedOut.into()))
+    };
+    match smol::future::or(read, timeout).await {
+        Ok(received) => Some(received),
+        Err(error) => {
+            log_event!(debug, "frame_dropped", problem = Quoted(&error));
+            None
+        }
+    }
+}
+
+/// Sends a compressed frame over a connection of its own.
+async fn send_compressed(to: SocketAddrV4, bytes: Vec<u8>) {
+    let write = async {
+        let mut stream = TcpStream::connect(SocketAddr::V4(to)).await?;
+        stream.set_nodelay(true)?;
+        let length = u32::try_from(bytes.len()).map_err(|_| std::io::ErrorKind::InvalidInput)?;
+        stream.write_all(&length.to_be_bytes()).await?;
+        stream.write_all(&bytes).await?;
+        stream.close().await
+    };
+    let timeout = async {
+        Timer::after(FRAME_TIMEOUT).await;
+        Err(std::io::ErrorKind::TimedOut.into())
+    };
+    let sent: std::io::Result<()> = smol::future::or(write, timeout).await;
+    if let Err(error) = sent {
+        log_event!(debug, "frame_lost", to = to, problem = Quoted(&error));
+    }
+}
