--- a/crates/router/node/src/background_tasks.rs
+++ b/crates/router/node/src/background_tasks.rs
@@ -15,7 +15,8 @@
 
 /// Minimum time without contact to the primary after which another is elected.
 const ELECTION_TIMEOUT: Duration = Duration::from_millis(320);
-/// Lower bound of the pause between the coordinator's timers, so that a timer that stays due can't take the processor.
+/// Lower bound of the pause between the coordinator's timers, so that a timer that stays due can't take the
+/// processor.
 const MIN_TICK_INTERVAL: Duration = Duration::from_millis(5);
 /// Interval of quota requests ahead of demand.
 const QUOTA_REQUEST_INTERVAL: Duration = Duration::from_millis(100);
--- a/crates/router/node/src/client_connections.rs
+++ b/crates/router/node/src/client_connections.rs
@@ -1,6 +1,7 @@
 //! Connections of clients: which are open, what each is doing, and since when.
 //!
-//! Idle connections and slow heads are closed after a timeout; a request in flight is bounded by its own deadline.
+//! Idle connections and slow heads are closed after a timeout; a request in flight is bounded by its own
+//! deadline.
 
 use smol::channel::{Receiver, Sender};
 use std::cell::{Cell, RefCell};
@@ -8,7 +9,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Commands that a connection's queue holds: one to finish and one to close. Further ones repeat these and are dropped.
+/// Commands that a connection's queue holds: one to finish and one to close. Further ones repeat these and
+/// are dropped.
 const MAX_PENDING_COMMANDS: usize = 2;
 
 /// A command to the task of a connection.
--- a/crates/router/node/src/client_listener.rs
+++ b/crates/router/node/src/client_listener.rs
@@ -95,7 +95,8 @@
         };
         match command {
             Some(ConnectionCommand::Finish) => serving.as_mut().graceful_shutdown(),
-            // A request may have come between the command and now: it is served, and a later sweep closes the connection.
+            // A request may have come between the command and now: it is served, and a later sweep closes the
+            // connection.
             Some(ConnectionCommand::Close) if connection.is_busy() => {}
             Some(ConnectionCommand::Close) | None => break,
         }
--- a/crates/router/node/src/configuration_snapshot.rs
+++ b/crates/router/node/src/configuration_snapshot.rs
@@ -1,6 +1,7 @@
 //! The committed configuration as the request path reads it: an immutable snapshot, replaced whole.
 //!
-//! A request that holds a snapshot keeps its view; whether it is still the current one is decided by the index.
+//! A request that holds a snapshot keeps its view; whether it is still the current one is decided by the
+//! index.
 
 use passrelay_data_plane::routing::RoutingTable;
 use std::cell::RefCell;
--- a/crates/router/node/src/control_api.rs
+++ b/crates/router/node/src/control_api.rs
@@ -1,4 +1,5 @@
-//! The HTTP interface for endpoints and operators: registration, configuration, status; and the readiness probe.
+//! The HTTP interface for endpoints and operators: registration, configuration, status; and the readiness
+//! probe.
 
 use crate::coordinator_driver::CoordinatorDriver;
 use crate::endpoint_registration::EndpointRegistration;
--- a/crates/router/node/src/coordinator_driver.rs
+++ b/crates/router/node/src/coordinator_driver.rs
@@ -1,7 +1,9 @@
-//! Drives the coordinator of the control plane: hands it events and the time, and applies the actions that it returns.
+//! Drives the coordinator of the control plane: hands it events and the time, and applies the actions that it
+//! returns.
 //!
-//! The coordinator decides without I/O. This is the only place that mutates it, so that every change is followed, before
-//! any other task runs, by its actions and by the update of what the request path reads: endpoints and freshness.
+//! The coordinator decides without I/O. This is the only place that mutates it, so that every change is
+//! followed, before any other task runs, by its actions and by the update of what the request path reads:
+//! endpoints and freshness.
 
 use crate::clock::Clock;
 use crate::data_plane::DataPlane;
--- a/crates/router/node/src/data_plane.rs
+++ b/crates/router/node/src/data_plane.rs
@@ -1,6 +1,7 @@
 //! State that requests are routed by: configuration, endpoints, quota shares, retry budget, traffic splits.
 //!
-//! The coordinator driver updates it, the request path reads and books in it. It knows neither sockets nor messages.
+//! The coordinator driver updates it, the request path reads and books in it. It knows neither sockets nor
+//! messages.
 
 use crate::configuration_snapshot::{ConfigurationSnapshot, CurrentConfiguration};
 use crate::logging::{log_event, Quoted};
@@ -40,8 +41,8 @@
         }
     }
 
-    /// Puts a committed configuration in force and drops the state of tenants, services and routes that it no longer
-    /// has. One that this version can't read is logged and ignored: the one before stays in force.
+    /// Puts a committed configuration in force and drops the state of tenants, services and routes that it no
+    /// longer has. One that this version can't read is logged and ignored: the one before stays in force.
     pub fn apply_configuration(&self, committed: &CommittedConfiguration) {
         let document = parse_document(committed.document.as_bytes());
         match document.and_then(|document| Configuration::read(&document)) {
--- a/crates/router/node/src/endpoint_persistence.rs
+++ b/crates/router/node/src/endpoint_persistence.rs
@@ -1,4 +1,5 @@
-//! Persistence of the endpoint registry, so that a restarted machine knows endpoints before their next heartbeat.
+//! Persistence of the endpoint registry, so that a restarted machine knows endpoints before their next
+//! heartbeat.
 //!
 //! Best effort: nobody waits for the write, and no decision rests on what was stored.
 
@@ -18,8 +19,8 @@
 }
 
 impl EndpointPersistence {
-    /// Hands the records of endpoints that have not expired to the storage, if the registry has changed since the last
-    /// time.
+    /// Hands the records of endpoints that have not expired to the storage, if the registry has changed since
+    /// the last time.
     pub fn persist_if_changed<'a>(
         &self,
         storage: &Storage,
--- a/crates/router/node/src/freshness.rs
+++ b/crates/router/node/src/freshness.rs
@@ -1,8 +1,8 @@
 //! Whether the configuration is known to be current recently enough for requests that carry keys.
 //!
-//! A revoked key must be out of force everywhere within the revocation bound, also on machines that are cut off from the
-//! core. So a process serves keys only while its last proof that its configuration is current is younger than the bound,
-//! less a margin.
+//! A revoked key must be out of force everywhere within the revocation bound, also on machines that are cut
+//! off from the core. So a process serves keys only while its last proof that its configuration is current is
+//! younger than the bound, less a margin.
 
 use crate::clock::Clock;
 use crate::settings::CurrentSettings;
@@ -19,8 +19,8 @@
 pub struct Freshness {
     clock: Clock,
     settings: Rc<CurrentSettings>,
-    /// When the configuration was last known to be current. The coordinator driver copies it from the gossip state after
-    /// each step, before any other task runs, so the two never differ for a reader.
+    /// When the configuration was last known to be current. The coordinator driver copies it from the gossip
+    /// state after each step, before any other task runs, so the two never differ for a reader.
     proven_at: Cell<Option<Duration>>,
 }
 
--- a/crates/router/node/src/graceful_shutdown.rs
+++ b/crates/router/node/src/graceful_shutdown.rs
@@ -1,8 +1,9 @@
 //! Graceful shutdown: which requests are accepted after SIGTERM, and when the last responses are due.
 //!
-//! The platform takes some seconds to send clients elsewhere, and goes on using a machine that is not ready where few
-//! others are left. So requests keep arriving up to the end. Early ones are accepted whatever they need; a later one only
-//! if its deadline is before the end of the process, so that none is cut off without a response.
+//! The platform takes some seconds to send clients elsewhere, and goes on using a machine that is not ready
+//! where few others are left. So requests keep arriving up to the end. Early ones are accepted whatever they
+//! need; a later one only if its deadline is before the end of the process, so that none is cut off without a
+//! response.
 
 use crate::clock::Clock;
 use event_listener::Event;
@@ -10,8 +11,9 @@
 use std::cell::Cell;
 use std::time::Duration;
 
-/// Requests that arrive within this time after SIGTERM are accepted however long they may last. The platform's bound is
-/// 3 s from the signal to the sending of the request; the margin covers a signal that is handled late.
+/// Requests that arrive within this time after SIGTERM are accepted however long they may last. The
+/// platform's bound is 3 s from the signal to the sending of the request; the margin covers a signal that is
+/// handled late.
 const ACCEPT_ALL_PERIOD: Duration = Duration::from_millis(2_700);
 /// What is left of the grace period when the process ends whatever is still in flight.
 const GRACE_MARGIN: Duration = Duration::from_millis(400);
@@ -74,13 +76,14 @@
         self.schedule.get().is_some()
     }
 
-    /// Whether a request that is over at `deadline` may be forwarded now: always, unless the process is to end before that.
+    /// Whether a request that is over at `deadline` may be forwarded now: always, unless the process is to
+    /// end before that.
     pub fn accepts(&self, deadline: Duration) -> bool {
         self.schedule.get().is_none_or(|schedule| schedule.accepts(self.clock.now(), deadline))
     }
 
-    /// Waits until a request that is over at `deadline` has to have a response: its deadline, or the end of this process
-    /// where that comes first.
+    /// Waits until a request that is over at `deadline` has to have a response: its deadline, or the end of
+    /// this process where that comes first.
     pub async fn response_due(&self, deadline: Duration) {
         loop {
             let started = self.started.listen();
--- a/crates/router/node/src/lib.rs
+++ b/crates/router/node/src/lib.rs
@@ -1,5 +1,5 @@
-//! One process of the router fleet: executor, sockets, clock, signals, storage, settings and logs around the decisions of
-//! the other crates. The only crate of the fleet with I/O.
+//! One process of the router fleet: executor, sockets, clock, signals, storage, settings and logs around the
+//! decisions of the other crates. The only crate of the fleet with I/O.
 //!
 //! Who owns what, from the bottom up; a module uses only those above it in this list:
 //!
--- a/crates/router/node/src/listener.rs
+++ b/crates/router/node/src/listener.rs
@@ -10,8 +10,8 @@
 /// Pause after the operating system refused a connection, for want of descriptors for instance.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Accepts connections for ever and serves each in a task of its own, which ends with the connection. `name` is for the
-/// log.
+/// Accepts connections for ever and serves each in a task of its own, which ends with the connection. `name`
+/// is for the log.
 pub async fn accept_all<F>(
     spawner: Spawner,
     listener: TcpListener,
--- a/crates/router/node/src/load_reporter.rs
+++ b/crates/router/node/src/load_reporter.rs
@@ -1,7 +1,7 @@
 //! Load reports of this process to the primary, and the totals that come back.
 //!
-//! A total includes this process's own report; the balancer needs that very report to subtract it. So only totals that
-//! answer the last report are applied.
+//! A total includes this process's own report; the balancer needs that very report to subtract it. So only
+//! totals that answer the last report are applied.
 
 use passrelay_control_plane::load::LoadMessage;
 use passrelay_data_plane::balancer::Balancer;
@@ -12,7 +12,8 @@
 
 /// Base interval between load reports.
 const LOAD_REPORT_INTERVAL: Duration = Duration::from_millis(50);
-/// Added to the interval for each reporting sidecar, so that the primary's work stays bounded in a large fleet.
+/// Added to the interval for each reporting sidecar, so that the primary's work stays bounded in a large
+/// fleet.
 const LOAD_REPORT_INTERVAL_PER_SIDECAR: Duration = Duration::from_millis(2);
 
 /// Load of this process on each endpoint.
--- a/crates/router/node/src/logging.rs
+++ b/crates/router/node/src/logging.rs
@@ -1,12 +1,12 @@
 //! Log lines of the form `event=name key=value`, formatted in one place.
 //!
-//! The line is formatted only if its level is enabled, so that an event on the request path costs a comparison. Levels
-//! and sinks are chosen by the program, not here.
+//! The line is formatted only if its level is enabled, so that an event on the request path costs a
+//! comparison. Levels and sinks are chosen by the program, not here.
 
 use std::fmt;
 
-/// A value in double quotes, for text that may contain spaces. Quotes inside are written as they are: the lines are for
-/// people and for `grep`, not for a parser.
+/// A value in double quotes, for text that may contain spaces. Quotes inside are written as they are: the
+/// lines are for people and for `grep`, not for a parser.
 pub struct Quoted<T>(pub T);
 
 impl<T: fmt::Display> fmt::Display for Quoted<T> {
--- a/crates/router/node/src/operator_calls.rs
+++ b/crates/router/node/src/operator_calls.rs
@@ -1,4 +1,5 @@
-//! Operators' calls in flight: each waits for the answer that the coordinator produces, possibly from the primary.
+//! Operators' calls in flight: each waits for the answer that the coordinator produces, possibly from the
+//! primary.
 
 use passrelay_control_plane::{CallId, OperatorAnswer};
 use smol::channel::{Receiver, Sender};
--- a/crates/router/node/src/process.rs
+++ b/crates/router/node/src/process.rs
@@ -1,4 +1,5 @@
-//! Composition and start-up of one process: builds every part, opens the ports, starts the loops and waits for the end.
+//! Composition and start-up of one process: builds every part, opens the ports, starts the loops and waits
+//! for the end.
 //!
 //! Nothing here decides about requests, endpoints or replication.
 
--- a/crates/router/node/src/quota_client.rs
+++ b/crates/router/node/src/quota_client.rs
@@ -1,6 +1,8 @@
-//! Client side of tenants' quotas: the tokens granted to this process, and the wake-up of requests that wait for them.
+//! Client side of tenants' quotas: the tokens granted to this process, and the wake-up of requests that wait
+//! for them.
 //!
-//! Requests to the grantor are composed here and sent by the coordinator driver, which also delivers the grants.
+//! Requests to the grantor are composed here and sent by the coordinator driver, which also delivers the
+//! grants.
 
 use event_listener::{Event, EventListener};
 use passrelay_control_plane::quota::{QuotaMessage, TenantGrant, TenantKey, GRANT_LIFETIME};
--- a/crates/router/node/src/request/admission.rs
+++ b/crates/router/node/src/request/admission.rs
@@ -1,7 +1,7 @@
 //! Admission: route and tenant of a request by the configuration of one moment.
 //!
-//! An admission is repeated before each attempt, and checked once more when the connection is there, so that nothing is
-//! forwarded by a configuration that is no longer in force.
+//! An admission is repeated before each attempt, and checked once more when the connection is there, so that
+//! nothing is forwarded by a configuration that is no longer in force.
 
 use super::inbound::InboundRequest;
 use crate::configuration_snapshot::ConfigurationSnapshot;
@@ -45,7 +45,8 @@
 }
 
 impl Admission {
-    /// Whether the admission still holds: the same configuration is in force and, with a key, known to be current.
+    /// Whether the admission still holds: the same configuration is in force and, with a key, known to be
+    /// current.
     pub fn is_valid(&self, context: &RequestContext) -> bool {
         let current = context.data_plane.configuration.snapshot();
         let unchanged = current.is_some_and(|current| current.index == self.snapshot.index);
--- a/crates/router/node/src/request/attempts.rs
+++ b/crates/router/node/src/request/attempts.rs
@@ -1,6 +1,8 @@
-//! The attempts of one request: select an endpoint, connect, check that all still holds, send, and judge the response.
+//! The attempts of one request: select an endpoint, connect, check that all still holds, send, and judge the
+//! response.
 //!
-//! Whether there is a next attempt, and which failure the client gets otherwise, is decided in `retry_policy`.
+//! Whether there is a next attempt, and which failure the client gets otherwise, is decided in
+//! `retry_policy`.
 
 use super::admission::{self, Admission};
 use super::endpoint_call::EndpointCall;
@@ -84,8 +86,8 @@
         self.history.possibly_executed += 1;
     }
 
-    /// Attempts endpoints until one answers. `last_event_id` is that of the last event that the client has, where a stream is
-    /// resumed.
+    /// Attempts endpoints until one answers. `last_event_id` is that of the last event that the client has,
+    /// where a stream is resumed.
     ///
     /// # Errors
     ///
@@ -120,8 +122,8 @@
         }
     }
 
-    /// The service of the next attempt. A request stays with its service as long as its route leads there, so that a retry
-    /// does not change the traffic split.
+    /// The service of the next attempt. A request stays with its service as long as its route leads there, so
+    /// that a retry does not change the traffic split.
     fn assign_service(&mut self, admission: &Admission) -> String {
         let assigned = self.service.take().filter(|service| admission.has_service(service));
         let service = assigned.unwrap_or_else(|| admission.choose_service(&self.context));
@@ -194,7 +196,8 @@
         match result {
             None => Outcome::TimedOut,
             Some(Err(SendError::NotSent)) => {
-                // A reused connection may just have been closed by the endpoint, which says nothing about its health.
+                // A reused connection may just have been closed by the endpoint, which says nothing about its
+                // health.
                 call.end(if connection.is_reused { CallEnd::Rejected } else { CallEnd::Failed });
                 if connection.is_reused {
                     self.tried.pop();
--- a/crates/router/node/src/request/event_buffer.rs
+++ b/crates/router/node/src/request/event_buffer.rs
@@ -1,4 +1,5 @@
-//! Splits a stream of server-sent events at event boundaries, so that a stream can be resumed after the last complete one.
+//! Splits a stream of server-sent events at event boundaries, so that a stream can be resumed after the last
+//! complete one.
 
 use bytes::{Bytes, BytesMut};
 use std::rc::Rc;
--- a/crates/router/node/src/request/inbound_body.rs
+++ b/crates/router/node/src/request/inbound_body.rs
@@ -12,8 +12,8 @@
 ///
 /// # Errors
 ///
-/// Returns [`Failure::BodyTooLong`] over the limit, [`Failure::TooSlow`] where no byte comes for the header timeout, and
-/// [`Failure::BadRequest`] where the client breaks off.
+/// Returns [`Failure::BodyTooLong`] over the limit, [`Failure::TooSlow`] where no byte comes for the header
+/// timeout, and [`Failure::BadRequest`] where the client breaks off.
 pub async fn read(limits: &Limits, mut body: Incoming) -> Result<Bytes, Failure> {
     let max_length = limits.max_body_bytes;
     let frame_timeout = Duration::from_millis(limits.header_timeout_ms.max(1));
--- a/crates/router/node/src/request/mod.rs
+++ b/crates/router/node/src/request/mod.rs
@@ -12,8 +12,8 @@
 //! | select an endpoint, attempt, retry | `attempts`, by the rules in `retry_policy` | 502, 503, 504 |
 //! | relay the response, resume a stream | `relay_body` | the connection breaks off |
 //!
-//! 429 and 503 promise that the request has not been executed and never will be; what may have been executed ends with 502
-//! or 504.
+//! 429 and 503 promise that the request has not been executed and never will be; what may have been executed
+//! ends with 502 or 504.
 
 mod admission;
 mod attempts;
@@ -56,8 +56,8 @@
     }
 }
 
-/// A process that has just started gets its configuration and endpoints within moments: a request waits for them, for a
-/// fraction of its timeout.
+/// A process that has just started gets its configuration and endpoints within moments: a request waits for
+/// them, for a fraction of its timeout.
 async fn wait_for_startup(context: &RequestContext, request: &Request<Incoming>) {
     let header = request.headers().get(&DEADLINE).and_then(|value| value.to_str().ok());
     let timeout = header.and_then(|value| value.parse::<u64>().ok());
--- a/crates/router/node/src/request/outbound.rs
+++ b/crates/router/node/src/request/outbound.rs
@@ -19,8 +19,8 @@
     pub last_event_id: Option<&'a str>,
 }
 
-/// Composes the request: the client's own, less hop-by-hop fields and what only a sidecar may set, and with the
-/// sidecar's fields.
+/// Composes the request: the client's own, less hop-by-hop fields and what only a sidecar may set, and with
+/// the sidecar's fields.
 pub fn compose(inbound: &InboundRequest, admission: &Admission, attempt: &AttemptFields) -> UpstreamRequest {
     let mut request = Request::new(Full::new(inbound.body.clone()));
     *request.method_mut() = inbound.method.clone();
--- a/crates/router/node/src/request/quota.rs
+++ b/crates/router/node/src/request/quota.rs
@@ -1,4 +1,5 @@
-//! Reserves the tokens of a request from its tenant's quota; waits a little where this process has none granted.
+//! Reserves the tokens of a request from its tenant's quota; waits a little where this process has none
+//! granted.
 
 use super::admission::Admission;
 use super::inbound::InboundRequest;
--- a/crates/router/node/src/request/relay_body.rs
+++ b/crates/router/node/src/request/relay_body.rs
@@ -1,7 +1,7 @@
 //! Relays the body of an endpoint's response to the client, chunk by chunk as it comes.
 //!
-//! A resumable stream is relayed in complete events; when its endpoint breaks off, another one continues after the last
-//! event that was relayed, inside the same response.
+//! A resumable stream is relayed in complete events; when its endpoint breaks off, another one continues
+//! after the last event that was relayed, inside the same response.
 
 use super::attempts::{Answered, Attempts};
 use super::endpoint_call::EndpointCall;
@@ -81,7 +81,8 @@
                     return Some(Err(BodyError::TimedOut));
                 }
                 Received::Frame(frame) => {
-                    // The client's connection doesn't poll a body of known length once its last byte is written.
+                    // The client's connection doesn't poll a body of known length once its last byte is
+                    // written.
                     if self.events.is_none() && self.incoming.is_end_stream() {
                         self.finish();
                     }
--- a/crates/router/node/src/request/retry_policy.rs
+++ b/crates/router/node/src/request/retry_policy.rs
@@ -1,7 +1,7 @@
 //! Whether a request may be attempted once more, and which failure ends it.
 //!
-//! What decides is whether the request may already have been executed. 429 and 503 promise the client that it has not
-//! been and never will be, so once an endpoint may have executed it only 502 and 504 are left:
+//! What decides is whether the request may already have been executed. 429 and 503 promise the client that it
+//! has not been and never will be, so once an endpoint may have executed it only 502 and 504 are left:
 //!
 //! | what happened | nothing executed | may have been executed |
 //! |---|---|---|
@@ -16,8 +16,8 @@
 
 use crate::responses::Failure;
 
-/// Attempts of one request, refused connections among them. Bounds the work that a request causes while all endpoints
-/// reject.
+/// Attempts of one request, refused connections among them. Bounds the work that a request causes while all
+/// endpoints reject.
 pub const MAX_ATTEMPTS_PER_REQUEST: usize = 4;
 
 /// What the attempts of one request have come to so far.
@@ -48,7 +48,8 @@
         self.possibly_executed > 0
     }
 
-    /// Whether the next attempt reaches an endpoint after another one did, so that it draws on the retry budget.
+    /// Whether the next attempt reaches an endpoint after another one did, so that it draws on the retry
+    /// budget.
     pub fn next_is_retry(&self) -> bool {
         self.possibly_executed + self.rejected > 0
     }
--- a/crates/router/node/src/request/retry_policy/tests.rs
+++ b/crates/router/node/src/request/retry_policy/tests.rs
@@ -22,7 +22,8 @@
 #[case(history(3, 0, 3), SHUTTING_DOWN, Err(Failure::Ending))]
 #[case(history(4, 0, 4), REPEATABLE, Err(Failure::NoEndpoint))]
 #[case(history(4, 0, 0), REPEATABLE, Err(Failure::NoEndpoint))]
-// Once it may have been executed, only idempotent requests go on, up to the route's bound, also during a shutdown.
+// Once it may have been executed, only idempotent requests go on, up to the route's bound, also during a
+// shutdown.
 #[case(history(1, 1, 0), ONCE, Err(Failure::NoAnswer))]
 #[case(history(1, 1, 0), REPEATABLE, Ok(()))]
 #[case(history(2, 2, 0), REPEATABLE, Ok(()))]
--- a/crates/router/node/src/request_context.rs
+++ b/crates/router/node/src/request_context.rs
@@ -1,4 +1,5 @@
-//! What the path of a client's request may use of the process, and nothing else: no settings, no storage, no coordinator.
+//! What the path of a client's request may use of the process, and nothing else: no settings, no storage, no
+//! coordinator.
 
 use crate::client_connections::ClientConnections;
 use crate::clock::Clock;
--- a/crates/router/node/src/responses.rs
+++ b/crates/router/node/src/responses.rs
@@ -32,8 +32,8 @@
     TimedOut,
 }
 
-/// Why a request has no response of an endpoint. 429 and 503 promise that it has not been executed and never will be;
-/// one that may have been executed gets 502 or 504.
+/// Why a request has no response of an endpoint. 429 and 503 promise that it has not been executed and never
+/// will be; one that may have been executed gets 502 or 504.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum Failure {
     /// There is no configuration yet.
--- a/crates/router/node/src/settings.rs
+++ b/crates/router/node/src/settings.rs
@@ -227,7 +227,8 @@
     }
 }
 
-/// The settings in force, replaced whole at SIGHUP. What is used only at the start keeps the value of the start.
+/// The settings in force, replaced whole at SIGHUP. What is used only at the start keeps the value of the
+/// start.
 pub struct CurrentSettings {
     settings: RefCell<NodeSettings>,
 }
--- a/crates/router/node/src/signals.rs
+++ b/crates/router/node/src/signals.rs
@@ -10,8 +10,8 @@
 use smol::Timer;
 use std::time::Duration;
 
-/// Idle client connections stay open for this long after SIGTERM: it takes a while until the platform sends clients
-/// elsewhere.
+/// Idle client connections stay open for this long after SIGTERM: it takes a while until the platform sends
+/// clients elsewhere.
 const KEEP_ALIVE_PERIOD: Duration = Duration::from_millis(2_600);
 /// Interval of the check whether all client connections have ended.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(50);
--- a/crates/router/node/src/storage/error.rs
+++ b/crates/router/node/src/storage/error.rs
@@ -40,9 +40,9 @@
 
     /// Whether the store is damaged, so that no retry can help. Not for undecodable values, which always are.
     ///
-    /// Decided by the text of the source, because redb reports damage in several ways: as `Corrupted`, as an I/O error of
-    /// the kind `InvalidData` where the file is no database, and as `UpgradeRequired` for a format that it no longer reads.
-    /// Anything else, a full or failing disk for instance, may pass.
+    /// Decided by the text of the source, because redb reports damage in several ways: as `Corrupted`, as an
+    /// I/O error of the kind `InvalidData` where the file is no database, and as `UpgradeRequired` for a
+    /// format that it no longer reads. Anything else, a full or failing disk for instance, may pass.
     pub fn is_damage(&self) -> bool {
         match self {
             StoreError::Database(source) => indicates_damage(&source.to_string()),
--- a/crates/router/node/src/storage/mod.rs
+++ b/crates/router/node/src/storage/mod.rs
@@ -1,7 +1,8 @@
-//! Storage of a voter: a redb database on a thread of its own, so that a stalled disk delays nothing but itself.
+//! Storage of a voter: a redb database on a thread of its own, so that a stalled disk delays nothing but
+//! itself.
 //!
-//! Writes are queued here and acknowledged by events; `writer` is the thread, `open` opens the database and quarantines
-//! a damaged one, `format` knows keys and encodings.
+//! Writes are queued here and acknowledged by events; `writer` is the thread, `open` opens the database and
+//! quarantines a damaged one, `format` knows keys and encodings.
 
 mod error;
 mod format;
@@ -24,8 +25,8 @@
 }
 
 impl Storage {
-    /// Starts the thread. Events come through the channel. `bootstrap` says that the whole fleet starts for the first
-    /// time; a store that is created now records it.
+    /// Starts the thread. Events come through the channel. `bootstrap` says that the whole fleet starts for
+    /// the first time; a store that is created now records it.
     ///
     /// # Errors
     ///
--- a/crates/router/node/src/storage/open.rs
+++ b/crates/router/node/src/storage/open.rs
@@ -40,10 +40,11 @@
     pub contents: StoreContents,
 }
 
-/// Opens the store, and retries while the disk refuses. A damaged store is quarantined and an empty one takes its place.
-/// `None` where a later version has written the store: this program must leave it alone.
+/// Opens the store, and retries while the disk refuses. A damaged store is quarantined and an empty one takes
+/// its place. `None` where a later version has written the store: this program must leave it alone.
 pub fn open_with_retry(data_dir: &Path, bootstrap: bool) -> Option<OpenStore> {
-    // A machine whose store was quarantined has lost its state, whatever the start was: it doesn't bootstrap a fleet.
+    // A machine whose store was quarantined has lost its state, whatever the start was: it doesn't bootstrap
+    // a fleet.
     let mut bootstrap = bootstrap;
     loop {
         match open(data_dir, bootstrap) {
--- a/crates/router/node/src/storage/tests.rs
+++ b/crates/router/node/src/storage/tests.rs
@@ -86,8 +86,8 @@
     assert!(open(&folder.0, false).is_ok());
 }
 
-/// What a machine of version 0.2.0 had on its disk before the renaming, packed: `replica.redb` of format 2, and one from
-/// before formats were kept.
+/// What a machine of version 0.2.0 had on its disk before the renaming, packed: `replica.redb` of format 2,
+/// and one from before formats were kept.
 const SAMPLE: &[u8] = include_bytes!("../../tests/data/replica.redb.lz4");
 const SAMPLE_WITHOUT_FORMAT: &[u8] = include_bytes!("../../tests/data/replica-without-format.redb.lz4");
 
--- a/crates/router/node/src/storage/writer.rs
+++ b/crates/router/node/src/storage/writer.rs
@@ -67,7 +67,8 @@
     }
 }
 
-/// Reports the end of a write, if anybody waits for it. Returns false once the process no longer takes events.
+/// Reports the end of a write, if anybody waits for it. Returns false once the process no longer takes
+/// events.
 fn acknowledge(events: &Sender<StorageEvent>, request: &StoreRequest, succeeded: bool) -> bool {
     match request {
         StoreRequest::Replica { write_id, .. } => {
@@ -81,8 +82,8 @@
 fn reopen(data_dir: &Path, identity: MemberId) -> Option<Database> {
     let OpenStore { database, contents } = open_with_retry(data_dir, false)?;
     if contents.identity != identity {
-        // What this process has promised as an acceptor is lost with the old store. It acknowledges no further write, so it
-        // leads nothing and accepts nothing; the next start joins as a new member.
+        // What this process has promised as an acceptor is lost with the old store. It acknowledges no
+        // further write, so it leads nothing and accepts nothing; the next start joins as a new member.
         log_event!(error, "store_lost", advice = Quoted("restart this process"));
         return None;
     }
--- a/crates/router/node/src/tasks.rs
+++ b/crates/router/node/src/tasks.rs
@@ -1,7 +1,8 @@
 //! Tasks on the process's single-threaded executor: who owns them and how their end becomes visible.
 //!
-//! Background loops run as long as the process and are owned by [`BackgroundTasks`]; one that ends is logged, because
-//! none should unless the storage was given up. Connection tasks are bounded by their socket or by a timeout of their own and need no owner.
+//! Background loops run as long as the process and are owned by [`BackgroundTasks`]; one that ends is logged,
+//! because none should unless the storage was given up. Connection tasks are bounded by their socket or by a
+//! timeout of their own and need no owner.
 
 use crate::logging::log_event;
 use smol::{LocalExecutor, Task, Timer};
@@ -53,7 +54,8 @@
         self.running.borrow_mut().push(task);
     }
 
-    /// Spawns a loop that waits for `interval()` and then acts, for ever. The interval is computed before each wait.
+    /// Spawns a loop that waits for `interval()` and then acts, for ever. The interval is computed before
+    /// each wait.
     pub fn spawn_periodic(
         &self,
         name: &'static str,
--- a/crates/router/node/src/transport/frame.rs
+++ b/crates/router/node/src/transport/frame.rs
@@ -1,8 +1,8 @@
 //! Codec of the frames between processes; no sockets.
 //!
-//! A frame is CBOR of protocol version, sender and envelope. A small one is sent as it is in a datagram. A large one is
-//! compressed by LZ4 in its block format, with the uncompressed length in front (four bytes, little endian), and sent over
-//! a connection after its compressed length (four bytes, big endian).
+//! A frame is CBOR of protocol version, sender and envelope. A small one is sent as it is in a datagram. A
+//! large one is compressed by LZ4 in its block format, with the uncompressed length in front (four bytes,
+//! little endian), and sent over a connection after its compressed length (four bytes, big endian).
 
 use passrelay_control_plane::Envelope;
 use serde::{Deserialize, Serialize};
--- a/crates/router/node/src/transport/mod.rs
+++ b/crates/router/node/src/transport/mod.rs
@@ -1,4 +1,5 @@
-//! Sockets for messages between processes: small frames as datagrams, large ones compressed over a connection of their own.
+//! Sockets for messages between processes: small frames as datagrams, large ones compressed over a connection
+//! of their own.
 //!
 //! Either may be lost without notice. Whoever needs an answer repeats its request.
 
--- a/crates/router/node/src/upstream.rs
+++ b/crates/router/node/src/upstream.rs
@@ -25,8 +25,8 @@
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(8);
 /// Upper bound of the idle timeout that an endpoint may give in `Keep-Alive`, in seconds.
 const MAX_IDLE_TIMEOUT_S: f64 = 60.0;
-/// A connection is not reused this much before the end that `Keep-Alive` gives, in seconds: the endpoint may be closing
-/// it while the request is on its way.
+/// A connection is not reused this much before the end that `Keep-Alive` gives, in seconds: the endpoint may
+/// be closing it while the request is on its way.
 const IDLE_MARGIN_S: f64 = 0.3;
 /// Maximum number of idle connections to one endpoint.
 const MAX_IDLE_PER_ENDPOINT: usize = 32;
