--- a/crates/sidecar/proxy/src/client_connection.rs
+++ b/crates/sidecar/proxy/src/client_connection.rs
@@ -1,4 +1,4 @@
-//! The connection of one client. It brings one request at a time and takes its answer back.
+//! State machine of one client connection: reads one request at a time and writes its answer. Decides nothing about requests.
 
 use crate::buffer_pool::{Buffer, BufferPool};
 use crate::http::{BodyReader, Head, MessageError};
@@ -8,24 +8,24 @@
 use std::net::Shutdown;
 use std::ops::Range;
 
-/// Reads of unwanted bytes at one go.
+/// Maximum reads per turn while draining input.
 const MAX_DRAIN_READS: usize = 16;
 
-/// What a client has brought.
+/// Result of reading from a client.
 pub enum Received {
     /// No complete request yet.
     Partial,
-    /// Unwanted bytes, and there may be more of them: others first, then again.
+    /// Drained input; there may be more in the next turn.
     More,
-    /// A whole request.
+    /// A complete request.
     Request(Head),
-    /// Something that is no request.
+    /// Input that is no valid request.
     Invalid(MessageError),
-    /// The client has gone.
+    /// The client has disconnected.
     Closed,
 }
 
-/// What a client does just now.
+/// State of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Stage {
     /// Between two requests.
@@ -38,8 +38,8 @@
     Writing,
     /// A served answer goes out while it comes from the node on this upstream.
     Relaying(usize),
-    /// The last answer is out; what the client still sends is thrown away until it closes. Guards against
-    /// a reset that would take the answer from a client who has not read it yet.
+    /// The last answer is written and the write side shut down; further input is discarded until the client closes. Closing with unread
+    /// input would reset the connection and destroy an answer that the client has not read yet.
     Lingering,
 }
 
@@ -47,15 +47,15 @@
 pub struct ClientConnection {
     pub sock: TcpStream,
     pub stage: Stage,
-    /// Since when it has been in this stage.
+    /// Start of the current stage, in seconds on the loop's clock.
     pub since: f64,
-    /// When its client was let in, until that has brought a first whole request.
+    /// When it was accepted; `None` after its first complete request.
     pub new_since: Option<f64>,
-    /// Counts clients in the order in which they were let in.
+    /// Sequence number in the order of accepts.
     pub number: u64,
-    /// It ends after the answer that goes out now or next.
+    /// Whether to close after the current or next answer.
     pub close: bool,
-    /// The client has ended its side: whatever has come from it before, nobody waits for an answer.
+    /// The client has shut down its side: nobody waits for an answer, whatever it sent before.
     pub peer_closed: bool,
     /// When the last byte came from the client.
     pub progress: f64,
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Whether closing it now takes nothing from its client: no whole request is there, read or unread.
+    /// Whether closing now loses nothing: no complete request is there, read or unread.
     pub fn has_no_unread_input(&self) -> bool {
         match self.stage {
             Stage::Idle => !matches!(self.sock.peek(&mut [0]), Ok(n) if n > 0),
@@ -152,8 +152,8 @@
         }
     }
 
-    /// While a request waits only the client's going is looked for; early bytes stay for later. Guards against an
-    /// end behind more early bytes than a buffer takes, which could not be read.
+    /// While a request is pending, reads ahead only to detect a disconnect; pipelined bytes stay buffered. A disconnect behind more
+    /// bytes than fit the buffer is known from `peer_closed`.
     fn poll_while_waiting(&mut self) -> Received {
         if self.peer_closed && matches!(self.stage, Stage::Waiting(_)) {
             return Received::Closed;
@@ -250,8 +250,7 @@
         self.since = now;
     }
 
-    /// Reads on what the client still sends after the last answer, as far as that may go at one go. Guards against
-    /// bytes that would reset the connection under that answer, and against a flood that keeps the loop to itself.
+    /// Discards input after the last answer, at most [`MAX_DRAIN_READS`] reads per turn, so that a flood does not hold up the loop.
     pub fn drain_input(&mut self) -> Received {
         let mut sink = [0; 4096];
         for _ in 0..MAX_DRAIN_READS {
--- a/crates/sidecar/proxy/src/connections.rs
+++ b/crates/sidecar/proxy/src/connections.rs
@@ -1,4 +1,5 @@
-//! The connections: every connection of the sidecar, and how the dispatcher's wishes are carried out on them.
+//! All connections of the sidecar, to clients, nodes and discovery. Implements [`Transport`]: carries out what the dispatcher decides,
+//! and queues what happens on the connections as [`ConnectionEvent`]s.
 
 use crate::buffer_pool::BufferPool;
 use crate::client_connection::ClientConnection;
@@ -22,7 +23,8 @@
 
 pub use tokens::{generation, owner, Owner, DISCOVERY, LISTENER, SIGNALS};
 
-/// A node closes idle connections; ours are closed before, at this part of that time.
+/// Idle connections are closed at this fraction of the nodes' idle timeout, so that the sidecar closes first and no request meets a
+/// connection that the node is closing.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.8;
 
 /// What fires on the timer wheel.
@@ -55,7 +57,7 @@
     Exit,
 }
 
-/// What has happened on the connections and the dispatcher has not been told yet.
+/// An event on a connection that the dispatcher has not handled yet.
 pub enum ConnectionEvent {
     AttemptOutcome {
         id: RequestId,
@@ -81,7 +83,7 @@
     },
 }
 
-/// What goes on in the next turn without an event: a key, and the number that tells its connection from a later one.
+/// Work that continues in the next turn without an event of the poller. The number tells the slot's connection from a later one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Continuation {
     /// A client's connection after its last answer, with bytes that lie unread.
@@ -90,7 +92,7 @@
     Pump(usize, u64),
 }
 
-/// What is kept of a request until it is answered.
+/// A request without an answer yet.
 struct Pending {
     client: usize,
     head: Head,
@@ -136,7 +138,7 @@
     conn_idle: f64,
 }
 
-/// The limits that all connections keep.
+/// Limits of connections; times in seconds.
 pub struct Bounds {
     pub max_upstreams: usize,
     pub connect_timeout: f64,
--- a/crates/sidecar/proxy/src/connections/clients.rs
+++ b/crates/sidecar/proxy/src/connections/clients.rs
@@ -1,4 +1,4 @@
-//! The clients' side of the connections.
+//! Client connections: accepting, evicting, answering, closing without a reset, and timeouts.
 
 use super::tokens::client_token;
 use super::{call_id, ConnectionEvent, Connections, Continuation, Pending};
@@ -10,22 +10,22 @@
 use std::fmt::Display;
 use std::io;
 
-/// A request has to be in so long after its first byte, and a client's first one after it was let in.
+/// Timeout of a request's head from its first byte, and of a client's first request from its accept, in seconds.
 const REQUEST_HEAD_TIMEOUT_S: f64 = 2.5;
-/// A body that comes in has to bring a byte so often.
+/// Longest pause between two bytes of a request's body, in seconds.
 const BODY_STALL_TIMEOUT_S: f64 = 2.5;
-/// A client has this long to take its answer.
+/// Longest time without a byte of the answer accepted by the client, in seconds.
 const RESPONSE_STALL_TIMEOUT_S: f64 = 5.0;
-/// A client that has had an answer may stand idle for so long.
+/// Idle timeout of a connection after an answer, in seconds.
 const IDLE_TIMEOUT_S: f64 = 10.0;
-/// Where there is no room, a request that has not come in whole after this makes it.
+/// At the connection limit, a connection that has been receiving one request for longer than this may be evicted, in seconds.
 const EVICTABLE_READING_AFTER_S: f64 = 0.5;
-/// A client that has just been let in is not sent off for others before this: its request is on its way.
+/// A new client is not evicted before this, in seconds: its request is on its way.
 const NEW_CLIENT_GRACE_S: f64 = 0.1;
-/// A client has this long to close after the last answer.
+/// Time for a client to close after the last answer, in seconds.
 const LINGER_TIMEOUT_S: f64 = 1.0;
 
-/// Whether a client connection may make room for another.
+/// Whether a client connection may be evicted for a new one.
 fn is_idle(client: &ClientConnection, now: f64) -> bool {
     match client.stage {
         Stage::Idle => client.new_since.is_none_or(|since| now - since >= NEW_CLIENT_GRACE_S),
@@ -35,7 +35,7 @@
 }
 
 impl Connections {
-    /// Lets a client in.
+    /// Registers an accepted connection.
     pub fn accept(&mut self, mut sock: TcpStream) -> io::Result<()> {
         let _ = sock.set_nodelay(true);
         let entry = self.clients.vacant_entry();
@@ -58,8 +58,8 @@
         }
     }
 
-    /// Ends a connection on which nothing more is owed: says so, and reads what the client sends meanwhile, of
-    /// which nothing goes on. Guards against a reset over unread bytes, which takes the last answer with it.
+    /// Closes a connection on which no answer is pending: shuts down the write side and drains what the client still sends, without
+    /// forwarding any of it. Closing with unread bytes would reset the connection and destroy the last answer.
     pub fn close_gracefully(&mut self, key: usize) {
         if let Some(client) = self.clients.get_mut(key) {
             client.leave(self.now);
@@ -67,40 +67,40 @@
         }
     }
 
-    /// Requests that are owed an answer.
+    /// Requests without an answer, by id.
     pub fn owed(&self) -> Vec<RequestId> {
         let mut ids: Vec<_> = self.pending.keys().copied().collect();
         ids.sort_unstable();
         ids
     }
 
-    /// Connections on which a request has come in only in part.
+    /// Connections with a partially received request.
     pub fn partially_received(&self) -> Vec<usize> {
         self.clients.iter().filter(|(_, k)| k.stage == Stage::Reading).map(|(key, _)| key).collect()
     }
 
-    /// Closes the client's connection that has been idle longest, or else the one that has been at its
-    /// request longest. Guards against a client cut off whose request lies unread, against one just let in
-    /// who falls to the crowd behind it, and against a crowd with half a request each that shuts others out.
+    /// Closes the connection that has been idle longest, or else the one that has been receiving its request longest; returns whether
+    /// there was one. Connections with unread input and new clients are spared, since their request is there or on its way; slow
+    /// requests are not, or many half requests could lock others out.
     pub fn evict_idle_client(&mut self) -> bool {
         let now = self.now;
         self.evict_oldest(|k| is_idle(k, now))
             || self.evict_oldest(|k| k.stage == Stage::Reading && now - k.since >= EVICTABLE_READING_AFTER_S)
     }
 
-    /// Whether a newcomer can be let in, if need be in the place of one who is idle.
+    /// Whether a new client can be accepted, if need be by evicting an idle one.
     pub fn can_accept(&self, most: usize) -> bool {
         self.clients.len() < most || self.clients.iter().any(|(_, k)| is_idle(k, self.now))
     }
 
-    /// Closes every client connection on which nothing is: in standby they are to move elsewhere.
+    /// Closes all idle client connections; in standby, clients are to connect elsewhere.
     pub fn close_idle_clients(&mut self) {
         let idle = self.clients.iter().filter(|(_, k)| k.stage == Stage::Idle && k.has_no_unread_input());
         let idle: Vec<_> = idle.map(|(key, _)| key).collect();
         idle.into_iter().for_each(|key| self.close_gracefully(key));
     }
 
-    /// Of those who may go, closes the one that has been as it is for longest and loses nothing unread.
+    /// Closes the oldest connection that `may_go` and has no unread input.
     fn evict_oldest(&mut self, may_go: impl Fn(&ClientConnection) -> bool) -> bool {
         let idle = self.clients.iter().filter(|(_, k)| may_go(k));
         let mut idle: Vec<_> = idle.map(|(key, k)| (k.since, k.number, key)).collect();
@@ -113,7 +113,7 @@
         })
     }
 
-    /// Notes a request before the dispatcher takes it.
+    /// Records a request before it is handed to the dispatcher.
     pub fn track_request(&mut self, id: RequestId, client: usize, head: Head, budget: f64) {
         self.clients[client].stage = Stage::Waiting(id);
         self.clients[client].close |= head.close;
@@ -121,19 +121,19 @@
         self.pending.insert(id, Pending { client, head, deadline: self.now + budget });
     }
 
-    /// Whether a request with the client's id of this one waits for its answer.
+    /// Whether a request with the same client id is pending.
     pub fn is_duplicate(&self, head: &Head) -> bool {
         self.call_ids.contains(call_id(head))
     }
 
-    /// Forgets a request whose client has gone or gets its answer.
+    /// Removes a request that is answered or whose client has disconnected; returns its client's key.
     pub fn untrack_request(&mut self, id: RequestId) -> Option<usize> {
         let pending = self.pending.remove(&id)?;
         self.call_ids.remove(call_id(&pending.head));
         Some(pending.client)
     }
 
-    /// Answers a client with a few words of the sidecar's own.
+    /// Answers a client with a plain-text response of the sidecar itself.
     pub fn respond(&mut self, key: usize, status: u16, text: &str, more: &[(&str, &dyn Display)]) {
         let Some(client) = self.clients.get_mut(key) else { return };
         client.close |= self.closing;
@@ -145,7 +145,7 @@
         self.write_out(key);
     }
 
-    /// Writes what a client has to write. A client that has more in store is looked at by the loop.
+    /// Writes pending output. A client with further input is handled by the event loop.
     pub fn write_out(&mut self, key: usize) {
         let Some(client) = self.clients.get_mut(key) else { return };
         if let Stage::Relaying(upstream) = client.stage {
@@ -153,14 +153,14 @@
         }
         match client.on_writable(self.now, &mut self.buffers) {
             Ok(true) if client.close => self.close_gracefully(key),
-            // Guards against a request that waits unseen: its edge may have come during the answer.
+            // The readiness event of the next request may have come during the answer: check for input.
             Ok(true) => self.events.push_back(ConnectionEvent::ClientReady { client: key }),
             Ok(false) => {}
             Err(_) => self.close_client(key),
         }
     }
 
-    /// Reads off what a client sends after its last answer.
+    /// Drains what a client sends after its last answer.
     pub(super) fn drain_input(&mut self, key: usize) {
         let Some(client) = self.clients.get_mut(key) else { return };
         match client.drain_input() {
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Closes clients' connections that have been idle or slow for too long.
+    /// Closes client connections that exceeded a timeout.
     pub fn sweep_clients(&mut self) {
         let now = self.now;
         let late = |k: &ClientConnection| match k.stage {
--- a/crates/sidecar/proxy/src/connections/upstreams.rs
+++ b/crates/sidecar/proxy/src/connections/upstreams.rs
@@ -1,4 +1,4 @@
-//! The nodes' side of the connections: attempts and probes on their way there and back.
+//! Connections to nodes: attempts and health checks, reuse of idle connections, and what the dispatcher is told of failures.
 
 use super::tokens::upstream_token;
 use super::{ConnectionEvent, Connections, Timer};
@@ -11,20 +11,21 @@
 use std::io::{self, Write};
 use std::net::SocketAddr;
 
-/// A probe is given up after this.
+/// Timeout of a health check, in seconds.
 const PROBE_TIMEOUT_S: f64 = 1.0;
-/// A connection that is not up in time is waited for so much longer, without an attempt: it serves the next.
+/// A connection that missed the connect timeout stays pending this much longer, in seconds, without an attempt; the next one may use it.
 const LATE_CONNECT_TIMEOUT_S: f64 = 2.0;
-/// Such connections to one node at a time.
+/// Maximum of such connections to one node.
 const MAX_LATE_CONNECTIONS: usize = 2;
-/// A connection rests for this long after an answer before the next attempt is whole on it: three times what second
-/// answers were measured to be late (1 to 4 ms) ...
+/// Minimum time between an answer and the last byte of the next request on the same connection, in seconds: three times the measured
+/// delay of erroneous second answers (1 to 4 ms), which would be taken for the next request's ...
 const MIN_REST_S: f64 = 0.012;
-/// ... unless so many rest at one node: then a new one is opened.
+/// ... unless this many connections to one node are resting: then a new one is opened.
 const MAX_RESTING_CONNECTIONS: usize = 4;
-/// A kept connection idle for this long is tried with all but the last byte of what must not run twice ...
+/// On a connection idle for this long, in seconds, the last byte of a request that must not run twice is held back ...
 const PROBE_AFTER_IDLE_S: f64 = 0.05;
-/// ... for this long: a round trip inside the data centre takes well under a millisecond.
+/// ... for this long, in seconds, so that a dead connection shows before the request can run; a round trip inside the data centre takes
+/// well under a millisecond.
 const LAST_BYTE_DELAY_S: f64 = 0.002;
 
 impl Connections {
--- a/crates/sidecar/proxy/src/discovery_client.rs
+++ b/crates/sidecar/proxy/src/discovery_client.rs
@@ -1,4 +1,5 @@
-//! The connection to discovery, one call at a time.
+//! Client of discovery: one long-polling call at a time over one connection. Parses node lists and their changes; what they mean is
+//! decided elsewhere.
 
 use crate::buffer_pool::{Buffer, BufferPool};
 use crate::http::{BodyReader, Head};
@@ -7,27 +8,27 @@
 use std::io::{self, Read, Write};
 use std::net::SocketAddr;
 
-/// How long discovery may hold a watch open. Guards against a watch that falls silent: the copy goes on with a
-/// list of nodes that have been replaced until the wait is over. News counts as told 2 s after the wait.
+/// Long-poll timeout that is requested from discovery, in seconds. While a watch hangs, the sidecar keeps using a list whose nodes may
+/// have been replaced; changes count as notified 2 s after this.
 const WATCH_TIMEOUT_S: f64 = 2.5;
-/// How much longer than that an answer may take: a call may wait 1 s for its turn.
+/// Extra time for the answer, in seconds: discovery may queue a call for 1 s.
 const WATCH_SLACK_S: f64 = 1.5;
-/// How long a call for the whole list may take.
+/// Timeout of a call for the complete list, in seconds.
 const FULL_LIST_TIMEOUT_S: f64 = 3.0;
-/// The pause after an answer, well under the 200 ms after which a watch would end.
+/// Pause between an answer and the next call, in seconds; well under the 200 ms after which discovery drops a watch.
 pub const REQUEST_PAUSE_S: f64 = 0.05;
-/// An answer to a watch that comes sooner than this and tells nothing is out of order ...
+/// An answer without changes that arrives sooner than this, in seconds, is out of order ...
 const MIN_EMPTY_ANSWER_S: f64 = 1.0;
-/// ... and so many of them in a row are a failure: guards against a storm of calls.
+/// ... and more than this many in a row count as a failure, which bounds the rate of calls.
 const MAX_EMPTY_ANSWERS: u32 = 3;
 
-/// What discovery said.
+/// Progress of a call to discovery.
 pub enum DiscoveryResult {
     /// The answer is not complete yet.
     Pending,
-    /// News; the next call is to follow after [`REQUEST_PAUSE_S`].
+    /// A list or changes; the next call follows after [`REQUEST_PAUSE_S`].
     Update(NodeListUpdate),
-    /// The call failed; discovery is to be left alone until the module asks again.
+    /// The call failed; the next one is up to the policy.
     Failed(String),
 }
 
@@ -36,7 +37,7 @@
     address: SocketAddr,
     pub sock: Option<TcpStream>,
     up: bool,
-    /// The version held; `None` before the first list.
+    /// Version of the current list; `None` before the first.
     seq: Option<u64>,
     /// Changes are wanted.
     pub wanted: bool,
@@ -98,8 +99,7 @@
         Ok((fresh, patience))
     }
 
-    /// Turns to discovery at another address: the old connection is ended, whatever is out on it, and the
-    /// watch goes on there from the version held.
+    /// Moves to another address: drops the current connection and call, and continues from the current version.
     pub fn move_to(&mut self, address: SocketAddr, buffers: &mut BufferPool) {
         self.fail(buffers);
         self.address = address;
--- a/crates/sidecar/proxy/src/pool.rs
+++ b/crates/sidecar/proxy/src/pool.rs
@@ -11,29 +11,29 @@
 use std::net::SocketAddr;
 use std::ops::Range;
 
-/// What an upstream connection is out for.
+/// The purpose of a connection's current exchange.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Attempt {
     /// An attempt of a request.
     Request { id: RequestId, number: u32 },
-    /// A probe, sent at this time.
+    /// A health check, sent at this time.
     Probe { sent: f64 },
 }
 
-/// What an upstream connection does just now.
+/// State of an upstream connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Phase {
-    /// The connection is coming up.
+    /// Connecting.
     Dialing,
-    /// Up and in use.
+    /// Connected, with an attempt in flight.
     Busy,
-    /// Up, without an attempt.
+    /// Connected, without an attempt.
     Idle,
-    /// Its answer goes to a client while it comes.
+    /// Its answer is being relayed to a client while it arrives.
     Relaying,
 }
 
-/// How an attempt ended.
+/// Result of an attempt.
 pub struct AttemptResult {
     pub ending: Ending,
     pub report: Option<Report>,
@@ -46,18 +46,18 @@
     pub stream: bool,
 }
 
-/// Who is to blame for what came back.
+/// Whose fault a failed exchange is.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Blame {
-    /// Nobody, or the node as its ending says.
+    /// Nobody's, or the node's as far as the ending says so.
     None,
-    /// The node: what came back is no answer.
+    /// The node's: what it sent is no valid response.
     InvalidResponse,
-    /// The client: the node finds the request itself at fault.
+    /// The client's: the node rejects the request itself (4xx).
     RejectedRequest,
 }
 
-/// An answer to serve.
+/// Body of an answer to serve, still in its buffer.
 pub struct ResponseBody {
     pub buffer: Buffer,
     pub body: Range<usize>,
@@ -71,17 +71,16 @@
     pub dial: SocketAddr,
     pub phase: Phase,
     pub attempt: Option<Attempt>,
-    /// Since when it has been in this phase.
+    /// Start of the current phase, in seconds on the loop's clock.
     pub since: f64,
-    /// Tells it from those that had its slot before.
+    /// Sequence number, which tells it from earlier connections in the same slot.
     pub number: u64,
     buffer: Option<Buffer>,
     /// Bytes written so far; all of them are out once the buffer is cleared for the answer.
     written: usize,
     sent: bool,
-    /// The last byte is held back until the connection has had time to show that it is dead. Guards an attempt
-    /// that must not run twice against a kept connection that the node has dropped unseen: it would count as
-    /// one that may have run.
+    /// The last byte of the request is held back until a dead connection has had time to show. A request that must not run twice
+    /// would otherwise count as possibly executed on a connection that the node has already dropped.
     pub held: bool,
     answer: Option<(Head, BodyReader)>,
     /// Where its answer goes while it comes.
@@ -138,17 +137,17 @@
         self.answer = None;
     }
 
-    /// Whether it was not up in time for its attempt and may come up yet.
+    /// Whether it missed the connect timeout and may still connect.
     pub fn is_late(&self) -> bool {
         self.phase == Phase::Dialing && self.attempt.is_none()
     }
 
-    /// Whether its attempt is on its way in whole: from then on it may run.
+    /// Whether the complete request is written: from then on it may be executed.
     pub fn is_sent(&self) -> bool {
         self.sent
     }
 
-    /// Whether an idle connection is still good: open and with nothing to read.
+    /// Whether an idle connection is usable: open, with nothing to read.
     pub fn has_no_unread_input(&mut self) -> bool {
         matches!(self.sock.read(&mut [0]), Err(e) if e.kind() == io::ErrorKind::WouldBlock)
     }
@@ -198,7 +197,7 @@
         }
     }
 
-    /// Looks for a whole answer in what has been read; `Err` for bytes that are none.
+    /// Parses what has been read; true once the answer is complete, `Err` for bytes that are no answer.
     fn parse_buffered(&mut self, ended: bool) -> Result<bool, ()> {
         let buffer = self.buffer.as_mut().ok_or(())?;
         while self.answer.is_none() {
@@ -219,7 +218,7 @@
         body.read(buffer, ended).map_err(|_| ())
     }
 
-    /// The connection has broken: the request has not run only if its last byte was never written.
+    /// The connection broke: the request has certainly not been executed only if its last byte was never written.
     pub fn broken(&mut self) -> AttemptResult {
         let ending = if self.sent { Ending::Dropped } else { Ending::DialFailed };
         AttemptResult {
@@ -272,8 +271,8 @@
         }
     }
 
-    /// Bytes that are no answer: it has run, or may have. Guards against taking a node that works, and that
-    /// may answer others well, for one that is down; of no further use is only this connection.
+    /// Bytes that are no answer: the request may have been executed. Only this connection is discarded; the node may answer others
+    /// well and is not taken for unreachable.
     fn invalid_response(&mut self) -> AttemptResult {
         AttemptResult { ending: Ending::AppError, verdict: Blame::InvalidResponse, ..self.broken() }
     }
@@ -320,11 +319,11 @@
 /// The connections to one node.
 pub struct ConnectionPool {
     pub dial: SocketAddr,
-    /// Named by the list as a node that may get something new.
+    /// Whether the node list allows new requests to this node.
     pub open: bool,
-    /// Upstream connections without an attempt, the warmest last.
+    /// Idle connections, the most recently used last.
     pub idle: Vec<usize>,
-    /// A connection that was up broke before its attempt was out, and nothing whole has come back since.
+    /// An established connection broke before its request was written, and no complete answer has come since.
     pub closed_unused: bool,
 }
 
@@ -352,7 +351,7 @@
         id
     }
 
-    /// Guards against growth with every node that ever was: closed pools that nobody needs any more go.
+    /// Drops closed pools without users, so that memory does not grow with every node that ever was.
     pub fn forget(&mut self, unused: impl Fn(UpstreamId) -> bool) {
         self.by_node.retain(|node, pool| pool.open || !unused(*node));
         self.taken.retain(|node, _| self.by_node.contains_key(node));
--- a/crates/sidecar/proxy/src/sidecar.rs
+++ b/crates/sidecar/proxy/src/sidecar.rs
@@ -1,4 +1,5 @@
-//! The loop: what the poller, the timers and the connections report goes to the dispatcher.
+//! The event loop: one thread and one poller. Events of sockets, timers and signals go to the dispatcher, which decides; what it
+//! decides is carried out on the connections. Nothing here blocks.
 
 use crate::admin::{AdminListener, ADMIN, ADMIN_BASE};
 use crate::connections::{
@@ -27,24 +28,24 @@
 mod signals;
 mod upstreams;
 
-/// How often idle and slow connections are looked through.
+/// Interval of the check for idle and slow connections, in seconds.
 const SWEEP_INTERVAL_S: f64 = 0.25;
-/// How often the figures go to the log.
+/// Interval of the `figures` log line, in seconds.
 const FIGURES_INTERVAL_S: f64 = 10.0;
-/// The longest wait for events.
+/// Upper bound of one wait for events, in seconds.
 const MAX_POLL_TIMEOUT_S: f64 = 0.5;
 
-/// Where the module expects news unasked, discovery is asked again so long after a failure.
+/// Retry interval of discovery after a failure, in seconds, where the policy does not retry by itself.
 const DISCOVERY_RETRY_S: f64 = 2.0;
 
-/// How far a planned end has come.
+/// Phase of the graceful shutdown.
 #[derive(Clone, Copy, PartialEq)]
 enum ShutdownPhase {
     /// Serving.
     Serving,
-    /// Told to end; arrivals go on.
+    /// SIGTERM or SIGINT came; new requests are still accepted.
     Draining,
-    /// Nothing more is taken; what was taken is answered.
+    /// No new requests; accepted ones are answered.
     Closed,
 }
 
@@ -53,11 +54,11 @@
     poll: Poll,
     signals: Signals,
     listener: Option<Listener>,
-    /// What `/status` says of the fleet, where there is one.
+    /// Source of the `fleet` part of `/status`, where a fleet is configured.
     fleet: Option<Box<dyn Fn() -> serde_json::Value>>,
-    /// Where operators call.
+    /// Listener of the operators' address.
     admin: Option<AdminListener>,
-    /// Standby or active, as the operators said.
+    /// Standby or active, as set by the operators.
     lifecycle: Lifecycle,
     /// Settings read so far: 0 for those of the start, one more for each good reload.
     generation: u64,
@@ -73,11 +74,11 @@
     /// Unix time at 0 of the module's clock.
     epoch: f64,
     shutdown_phase: ShutdownPhase,
-    /// When it was told to end, and how the end goes from then on.
+    /// When SIGTERM came, in seconds on the loop's clock (infinite before), and the schedule from then on.
     shutdown_requested_at: f64,
     end: PlannedEnd,
     listener_full: bool,
-    /// More clients may stand at the listener than one round lets in.
+    /// The listener's backlog may hold more clients than one turn accepts.
     accept_backlog: bool,
 }
 
@@ -161,12 +162,12 @@
         Ok(sidecar)
     }
 
-    /// Gives `/status` something to say of the fleet. It is called in the loop, so it must not wait.
+    /// Sets the source of the `fleet` part of `/status`. It is called in the event loop, so it must not block.
     pub fn set_fleet_status(&mut self, fleet: Box<dyn Fn() -> serde_json::Value>) {
         self.fleet = Some(fleet);
     }
 
-    /// Serves until it was told to end and all that was taken is answered.
+    /// Serves until a graceful shutdown is complete: all accepted requests are answered.
     ///
     /// # Errors
     ///
@@ -210,7 +211,7 @@
             }
             self.connections.run_continuations();
             self.dispatch_events();
-            // Where there was no room an answer may have made some: nobody waits outside for the next sweep.
+            // An answer may have freed a slot: clients in the backlog need not wait for the next sweep.
             if self.accept_backlog || self.listener_full && self.connections.can_accept(self.max_clients) {
                 self.listener_ready();
                 self.dispatch_events();
@@ -225,15 +226,15 @@
         self.connections.now = self.began.elapsed().as_secs_f64();
     }
 
-    /// Whether a planned end is over: all is answered, and the clients have taken it or had the time to.
-    /// Guards against an exit over unread bytes, which would reset the connection under its last answer.
+    /// Whether the graceful shutdown is complete: all requests are answered, and clients have read the answers or had the time to. An
+    /// exit with unread bytes would reset the connection and destroy its last answer.
     fn is_done(&self) -> bool {
         let late = self.connections.now - self.shutdown_requested_at >= self.end.exits_by;
         self.shutdown_phase == ShutdownPhase::Closed
             && (late || self.dispatcher.open_requests() == 0 && self.connections.clients.is_empty())
     }
 
-    /// Tells the dispatcher what has come up on the connections meanwhile.
+    /// Hands queued connection events to the dispatcher.
     fn dispatch_events(&mut self) {
         while let Some(events) = self.connections.events.pop_front() {
             let now = self.connections.now;
@@ -253,7 +254,7 @@
                     self.dispatcher.discovery_failed(now, &mut self.connections);
                 }
                 ConnectionEvent::DiscoveryRequested => self.discovery_ready(),
-                // Guards against an end that has been overtaken: the slot may have a new attempt by now.
+                // The slot may have a new attempt by now; then this event is stale.
                 ConnectionEvent::AttemptEnded { upstream, attempt, end } => {
                     match self.connections.upstreams.get(upstream) {
                         Some(b) if b.attempt == Some(attempt) => self.returned(upstream, end),
--- a/crates/sidecar/proxy/src/sidecar/clients.rs
+++ b/crates/sidecar/proxy/src/sidecar/clients.rs
@@ -1,4 +1,4 @@
-//! Clients and their requests.
+//! Client events: accepting connections, reading requests, admission.
 
 use super::{ShutdownPhase, Sidecar};
 use crate::client_connection::{Received, Stage};
@@ -9,9 +9,9 @@
 use passrelay_load_balancing::dispatcher::Arrival;
 use passrelay_load_balancing::{Effect, RequestId};
 
-/// Clients let in at one go, so that a crowd at the listener does not hold up answers.
+/// Maximum accepts per turn, so that a full backlog does not hold up answers.
 const MAX_ACCEPTS_PER_TURN: usize = 64;
-/// More work than any call is for: a guess above it is none.
+/// Upper bound of a plausible `X-Call-Cost`, in seconds; larger values are ignored.
 const MAX_WORK_S: f64 = 3600.0;
 
 impl Sidecar {
@@ -53,7 +53,7 @@
         self.accept_backlog = true;
     }
 
-    /// The poller tells of a client's connection, or of one that had its slot before.
+    /// Readiness of a client connection, or of an earlier one in the same slot, which is ignored.
     pub(super) fn client_event(&mut self, key: usize, of: usize, ended: bool) {
         if let Some(client) = self.connections.clients.get_mut(key).filter(|k| generation(k.number) == of) {
             client.peer_closed |= ended;
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Takes a whole request, or says what is wrong with it.
+    /// Admits a complete request, or answers what is wrong with it.
     fn admit(&mut self, key: usize, head: Head) {
         let path = head.target.split('?').next().unwrap_or("");
         if path == "/ready" {
--- a/crates/sidecar/proxy/src/sidecar/discovery.rs
+++ b/crates/sidecar/proxy/src/sidecar/discovery.rs
@@ -1,4 +1,4 @@
-//! What discovery says.
+//! Events of the discovery client: node lists and failures.
 
 use super::Sidecar;
 use crate::connections::Timer;
@@ -19,7 +19,7 @@
         }
     }
 
-    /// Takes in a list or its changes.
+    /// Applies a node list or its changes to the connection pools and the dispatcher.
     pub(super) fn apply_node_list(&mut self, update: NodeListUpdate) {
         let now = self.connections.now;
         let (mut items, mut open) = (Vec::new(), Vec::new());
--- a/crates/sidecar/proxy/src/sidecar/operators.rs
+++ b/crates/sidecar/proxy/src/sidecar/operators.rs
@@ -1,11 +1,11 @@
-//! What operators call for.
+//! Operator calls: status, standby, active.
 
 use super::{ShutdownPhase, Sidecar};
 use crate::admin::Call;
 use passrelay_load_balancing::lifecycle::Transition;
 
 impl Sidecar {
-    /// Tells the connections whether answers end their connections, as the lifecycle and the shift say.
+    /// Sets whether answers close their connections, by lifecycle and shutdown phase.
     pub(super) fn set_closing(&mut self) {
         self.connections.closing =
             self.lifecycle.closes_after_answer(self.shutdown_phase == ShutdownPhase::Closed);
--- a/crates/sidecar/proxy/src/sidecar/signals.rs
+++ b/crates/sidecar/proxy/src/sidecar/signals.rs
@@ -1,4 +1,4 @@
-//! Signals: a new configuration, and the planned end.
+//! Signals: reload on SIGHUP, graceful shutdown on SIGTERM and SIGINT.
 
 use super::{ShutdownPhase, Sidecar};
 use crate::client_connection::Stage;
@@ -36,11 +36,9 @@
         }
     }
 
-    /// Reads the configuration again. Guards against an end on SIGHUP and against a faulty file: the whole
-    /// file is read and checked first, and one that fails changes nothing. Of a good one the settings of
-    /// requests (classes, their effects, attempts, tenants) bind for requests from now on; those already
-    /// taken keep theirs. The address of discovery takes effect at once, without a change to the nodes
-    /// known or the connections to them.
+    /// Reloads the configuration. The complete file is read and validated first; an invalid one changes nothing. Settings of requests
+    /// (classes, their effects, attempts, tenants) apply to new requests, accepted ones keep theirs. The address of discovery applies at
+    /// once; known nodes and their connections stay.
     fn reload(&mut self) {
         let file = self.file.clone().unwrap_or_default();
         let read = Config::reread(&file, &self.name, self.listen);
@@ -72,7 +70,7 @@
         self.connections.move_discovery(discovery);
     }
 
-    /// Arrivals have ended: lets in who already stands at the listener, then closes it.
+    /// Accepts what is left in the backlog, then closes the listener.
     pub(super) fn close_listener(&mut self) {
         for _ in 0..MAX_FINAL_ACCEPT_ROUNDS {
             self.listener_ready();
@@ -85,7 +83,7 @@
         }
     }
 
-    /// Closes the resting client connections; the others close with their answer.
+    /// Closes idle client connections; the others close with their answer.
     pub(super) fn close_idle_and_drain(&mut self) {
         self.shutdown_phase = ShutdownPhase::Closed;
         self.set_closing();
@@ -99,7 +97,7 @@
         }
     }
 
-    /// Whatever is owed is answered now: SIGKILL is near. Half a request will not become a whole one in time.
+    /// Answers all pending requests before SIGKILL may come; partially received requests get 503.
     pub(super) fn answer_all_pending(&mut self) {
         for id in self.connections.owed() {
             self.dispatcher.timer_fired(
--- a/crates/sidecar/proxy/src/sidecar/upstreams.rs
+++ b/crates/sidecar/proxy/src/sidecar/upstreams.rs
@@ -1,4 +1,4 @@
-//! What comes back from nodes.
+//! Events of connections to nodes.
 
 use super::Sidecar;
 use crate::connections::generation;
@@ -6,7 +6,7 @@
 use passrelay_load_balancing::Ending;
 
 impl Sidecar {
-    /// The poller tells of a connection to a node, or of one that had its slot before.
+    /// Readiness of a connection to a node, or of an earlier one in the same slot, which is ignored.
     pub(super) fn upstream_event(&mut self, key: usize, of: usize) {
         if self.connections.upstreams.get(key).is_some_and(|b| generation(b.number) == of) {
             self.upstream_ready(key);
@@ -36,7 +36,7 @@
         }
     }
 
-    /// The last byte of a held attempt may go out, if the attempt still may and its connection has shown no fault.
+    /// Sends the held last byte, if the attempt is still wanted and its connection has shown no fault.
     pub(super) fn send_held_byte(&mut self, key: usize, attempt: Attempt) {
         let held = |b: &UpstreamConnection| b.held && b.attempt == Some(attempt);
         if self.connections.upstreams.get(key).is_some_and(held) {
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Whether an attempt may still go out.
+    /// Whether an attempt may still be sent.
     fn is_wanted(&self, attempt: Attempt) -> bool {
         match attempt {
             Attempt::Request { id, number } => {
@@ -64,7 +64,7 @@
         }
     }
 
-    /// A connection has come up: its attempt goes out, unless it must not any more.
+    /// A connection is established: sends its attempt, unless that is no longer wanted.
     fn dialed(&mut self, key: usize) {
         // Late, and good for the next attempt.
         let Some(attempt) = self.connections.upstreams[key].attempt else {
@@ -83,7 +83,7 @@
         }
     }
 
-    /// An attempt has come back from its node.
+    /// Handles the result of an attempt.
     pub(super) fn returned(&mut self, key: usize, end: AttemptResult) {
         let now = self.connections.now;
         let AttemptResult { ending, report, load, reusable, verdict, stream } = end;
