--- a/crates/sidecar/proxy/src/connections/upstreams.rs
+++ b/crates/sidecar/proxy/src/connections/upstreams.rs
@@ -23,7 +23,7 @@
 /// ... unless this many connections to one node are resting: then a new one is opened.
 const MAX_RESTING_CONNECTIONS: usize = 4;
 /// On a connection idle for this long, in seconds, the last byte of a request that must not run twice is held back ...
-const PROBE_AFTER_IDLE_S: f64 = 0.05;
+const HOLD_LAST_BYTE_AFTER_IDLE_S: f64 = 0.05;
 /// ... for this long, in seconds, so that a dead connection shows before the request can run; a round trip inside the data centre takes
 /// well under a millisecond.
 const LAST_BYTE_DELAY_S: f64 = 0.002;
@@ -109,7 +109,7 @@
             }
             let wait = if idle < MIN_REST_S { MIN_REST_S - idle } else { LAST_BYTE_DELAY_S };
             self.upstreams[key].held =
-                idle < MIN_REST_S || idle >= PROBE_AFTER_IDLE_S && self.must_not_repeat(attempt);
+                idle < MIN_REST_S || idle >= HOLD_LAST_BYTE_AFTER_IDLE_S && self.must_not_repeat(attempt);
             if self.upstreams[key].held {
                 self.timers.set(self.now + wait, Timer::LastByte(key, attempt));
             }
@@ -242,9 +242,9 @@
     }
 
     /// Logs an attempt that the connection itself has ended.
-    pub fn log_failed_attempt(&mut self, node: UpstreamId, ending: Ending, verdict: Blame) {
+    pub fn log_failed_attempt(&mut self, node: UpstreamId, ending: Ending, blame: Blame) {
         let event = match ending {
-            _ if verdict == Blame::InvalidResponse => "invalid_response",
+            _ if blame == Blame::InvalidResponse => "invalid_response",
             Ending::DialFailed => "node_unreachable",
             Ending::Dropped => "node_disconnected",
             _ => return,
--- a/crates/sidecar/proxy/src/pool.rs
+++ b/crates/sidecar/proxy/src/pool.rs
@@ -41,7 +41,7 @@
     pub load: Option<ResponseBody>,
     /// The connection can carry another attempt.
     pub reusable: bool,
-    pub verdict: Blame,
+    pub blame: Blame,
     /// The answer is served but larger than a buffer: the rest comes on this connection, by a body relay.
     pub stream: bool,
 }
@@ -221,14 +221,7 @@
     /// The connection broke: the request has certainly not been executed only if its last byte was never written.
     pub fn broken(&mut self) -> AttemptResult {
         let ending = if self.sent { Ending::Dropped } else { Ending::DialFailed };
-        AttemptResult {
-            ending,
-            report: None,
-            load: None,
-            reusable: false,
-            verdict: Blame::None,
-            stream: false,
-        }
+        AttemptResult { ending, report: None, load: None, reusable: false, blame: Blame::None, stream: false }
     }
 
     /// A served answer fills the buffer: it is the client's, and the rest follows by a body relay.
@@ -274,7 +267,7 @@
     /// Bytes that are no answer: the request may have been executed. Only this connection is discarded; the node may answer others
     /// well and is not taken for unreachable.
     fn invalid_response(&mut self) -> AttemptResult {
-        AttemptResult { ending: Ending::AppError, verdict: Blame::InvalidResponse, ..self.broken() }
+        AttemptResult { ending: Ending::AppError, blame: Blame::InvalidResponse, ..self.broken() }
     }
 
     fn finished(&mut self, ended: bool) -> AttemptResult {
@@ -295,13 +288,13 @@
         let reusable = !head.close && !ended && body.raw == buffer.bytes().len();
         let media = head.header("content-type").map(str::to_owned);
         let load = Some(ResponseBody { buffer, body: body.start..body.end, media });
-        let verdict = match head.status {
+        let blame = match head.status {
             // About the node or the moment, not about the request.
             408 | 421 | 425 | 429 => Blame::None,
             400..=499 if !probe => Blame::RejectedRequest,
             _ => Blame::None,
         };
-        AttemptResult { ending, report, load, reusable, verdict, stream: false }
+        AttemptResult { ending, report, load, reusable, blame, stream: false }
     }
 
     /// Gives the buffer back.
--- a/crates/sidecar/proxy/src/sidecar/upstreams.rs
+++ b/crates/sidecar/proxy/src/sidecar/upstreams.rs
@@ -86,7 +86,7 @@
     /// Handles the result of an attempt.
     pub(super) fn returned(&mut self, key: usize, end: AttemptResult) {
         let now = self.connections.now;
-        let AttemptResult { ending, report, load, reusable, verdict, stream } = end;
+        let AttemptResult { ending, report, load, reusable, blame, stream } = end;
         if stream {
             // Served, and larger than a buffer: the upstream stays up to pass the rest on, if the dispatcher serves it.
             if let Some((_, Attempt::Request { id, number })) = self.connections.hold_upstream(key) {
@@ -101,10 +101,10 @@
         let Some((node, attempt)) = self.connections.free_upstream(key, reusable) else {
             return load.into_iter().for_each(|l| self.connections.buffers.give_back(l.buffer));
         };
-        self.connections.log_failed_attempt(node, ending, verdict);
+        self.connections.log_failed_attempt(node, ending, blame);
         let ending = self.connections.attribute_failure(node, ending);
         match attempt {
-            Attempt::Request { id, number } if verdict == Blame::RejectedRequest => {
+            Attempt::Request { id, number } if blame == Blame::RejectedRequest => {
                 load.into_iter().for_each(|l| self.connections.buffers.give_back(l.buffer));
                 self.dispatcher.reject_invalid(now, id, number, &mut self.connections);
             }
