--- a/crates/router/control-plane/src/coordinator.rs
+++ b/crates/router/control-plane/src/coordinator.rs
@@ -28,7 +28,7 @@
 use context::Context;
 use operator_calls::{Caller, Core, OperatorCalls};
 use passrelay_dissemination::{
-    Announcement, EndpointLoad, EndpointRecord, Gossip, GossipSettings, Heartbeat, Incarnation, Peer,
+    AnnouncementId, EndpointLoad, EndpointRecord, Gossip, GossipSettings, Heartbeat, Incarnation, Peer,
 };
 use quota_grantor::GrantorLifecycle;
 use rollouts::ControllerLifecycle;
@@ -84,7 +84,7 @@
 impl Coordinator {
     /// The control plane of a process that starts at `now`.
     pub fn new(now: Duration, settings: CoordinatorSettings) -> Self {
-        let own = Peer { address: settings.gossip.own, incarnation: settings.incarnation };
+        let own = Peer { address: settings.gossip.own_address, incarnation: settings.incarnation };
         let non_voting_seed =
             NonVotingSeed::new(own.address, &settings.gossip.seeds, settings.tolerated_losses);
         Coordinator {
@@ -204,7 +204,7 @@
 
     /// Requests the core's acknowledgement of the record of `endpoint` known here;
     /// [`Action::AnnouncementConfirmed`] reports it.
-    pub fn announce(&mut self, now: Duration, endpoint: &str) -> Announcement {
+    pub fn announce(&mut self, now: Duration, endpoint: &str) -> AnnouncementId {
         self.gossip.announce(now, endpoint)
     }
 
--- a/crates/router/control-plane/src/load/endpoint_outcomes.rs
+++ b/crates/router/control-plane/src/load/endpoint_outcomes.rs
@@ -1,6 +1,6 @@
 //! Outcomes of requests to one endpoint over all sidecars, and the quorum of sidecars that its failures need.
 
-use passrelay_dissemination::{EndpointLoad, Outcomes};
+use passrelay_dissemination::{DecayingOutcomes, EndpointLoad};
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -26,7 +26,7 @@
 /// Outcomes that sidecars reported of one endpoint, decaying over time.
 #[derive(Debug, Default)]
 pub(super) struct EndpointOutcomes {
-    outcomes: Outcomes,
+    outcomes: DecayingOutcomes,
     /// Sidecars that reported failures, with the time of their last such report.
     failure_reporters: BTreeMap<SocketAddrV4, Duration>,
 }
@@ -34,7 +34,7 @@
 impl EndpointOutcomes {
     /// Adds the outcomes of a sidecar's report.
     pub(super) fn add(&mut self, now: Duration, reporter: SocketAddrV4, load: &EndpointLoad) {
-        self.outcomes.add(now, load.answered, load.failed);
+        self.outcomes.add(now, load.succeeded, load.failed);
         if load.failed > 0 {
             self.failure_reporters.insert(reporter, now);
         }
@@ -45,7 +45,7 @@
         self.failure_reporters.retain(|_, at| now.saturating_sub(*at) < FAILURE_REPORTER_TIMEOUT);
         let decayed = self.outcomes.decayed(now);
         let failed = if self.has_failure_quorum() { decayed.failed } else { 0.0 };
-        RoundedOutcomes { answered: decayed.answered.round() as u32, failed: failed.round() as u32 }
+        RoundedOutcomes { answered: decayed.succeeded.round() as u32, failed: failed.round() as u32 }
     }
 
     /// Whether failures of a sidecar still wait for, or are part of, a quorum.
--- a/crates/router/control-plane/src/load/totals.rs
+++ b/crates/router/control-plane/src/load/totals.rs
@@ -42,7 +42,7 @@
         request_id: u64,
         loads: Vec<EndpointLoad>,
     ) -> LoadMessage {
-        for load in loads.iter().filter(|load| load.answered + load.failed > 0) {
+        for load in loads.iter().filter(|load| load.succeeded + load.failed > 0) {
             self.outcomes.entry(load.endpoint).or_default().add(now, from, load);
         }
         self.reports.insert(from, Report { received_at: now, loads });
@@ -83,7 +83,7 @@
             let counts = outcomes.counts(now);
             if !counts.is_empty() {
                 let total = total_of(totals, *endpoint);
-                total.answered = counts.answered;
+                total.succeeded = counts.answered;
                 total.failed = counts.failed;
             }
             !counts.is_empty() || outcomes.has_failure_reporters()
--- a/crates/router/control-plane/src/messages.rs
+++ b/crates/router/control-plane/src/messages.rs
@@ -11,7 +11,7 @@
 use crate::replication::{DurableWrite, ReplicationEnvelope, WriteId};
 use crate::rollout::RolloutMessage;
 use passrelay_configuration::RolloutOrder;
-use passrelay_dissemination::{Announcement, CommittedConfiguration, GossipMessage, Incarnation};
+use passrelay_dissemination::{AnnouncementId, CommittedConfiguration, GossipMessage, Incarnation};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -140,7 +140,7 @@
     /// A newer configuration is in force here.
     Configured(CommittedConfiguration),
     /// The core has acknowledged an announcement about an endpoint.
-    AnnouncementConfirmed(Announcement),
+    AnnouncementConfirmed(AnnouncementId),
     /// The answer to a call that an operator made to this process.
     Answer {
         /// The call.
--- a/crates/router/control-plane/src/rollout/controller.rs
+++ b/crates/router/control-plane/src/rollout/controller.rs
@@ -14,7 +14,7 @@
 use passrelay_configuration::{
     Configuration, Rollout, RolloutPhase, Rollouts, ServiceRollouts, ServiceVersions,
 };
-use passrelay_dissemination::{EndpointState, Peer, Registry, RolloutReport, ShareGrant, Tally};
+use passrelay_dissemination::{EndpointState, Peer, Registry, RequestTally, RolloutReport, ShareGrant};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -338,7 +338,7 @@
 
 fn requests_at_target(comparisons: &Comparisons) -> u32 {
     let targets = comparisons.values().map(|comparison| &comparison.target);
-    targets.map(|target: &Tally| target.ended).sum()
+    targets.map(|target: &RequestTally| target.ended).sum()
 }
 
 fn grant_of(id: u64, share: Share, load_test: Option<u16>) -> ShareGrant {
--- a/crates/router/control-plane/src/rollout/evidence.rs
+++ b/crates/router/control-plane/src/rollout/evidence.rs
@@ -3,7 +3,7 @@
 //! A report holds everything that its sender has counted, and replaces the one before it: a report that is lost, late or comes twice
 //! counts nothing twice. Nothing here is durable: a new controller has it again from the next reports.
 
-use passrelay_dissemination::{Peer, RequestClass, RolloutReport, Tally};
+use passrelay_dissemination::{Peer, RequestClass, RequestTally, RolloutReport};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -12,9 +12,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Comparison {
     /// At the version in service before the roll-out.
-    pub base: Tally,
+    pub base: RequestTally,
     /// At the new version.
-    pub target: Tally,
+    pub target: RequestTally,
 }
 
 /// Requests at both versions, by class.
@@ -67,8 +67,8 @@
         let mut comparisons = Comparisons::new();
         for outcomes in self.reports.values().flat_map(|received| &received.report.outcomes) {
             let comparison = comparisons.entry(&outcomes.class).or_default();
-            comparison.base.add(&outcomes.base);
-            comparison.target.add(&outcomes.target);
+            comparison.base.merge(&outcomes.base);
+            comparison.target.merge(&outcomes.target);
         }
         comparisons
     }
--- a/crates/router/control-plane/src/rollout/judge.rs
+++ b/crates/router/control-plane/src/rollout/judge.rs
@@ -6,7 +6,7 @@
 //! `1 / FALSE_ALARM` at any time with a probability below `FALSE_ALARM` (Ville's inequality). So it may be looked at after every report.
 
 use super::evidence::{Comparison, Comparisons};
-use passrelay_dissemination::{Measure, RequestClass, Tally, LOAD_TEST_CLASS};
+use passrelay_dissemination::{LatencyMeasure, RequestClass, RequestTally, LOAD_TEST_SIZE_CLASS};
 use statrs::function::beta::ln_beta;
 use std::collections::BTreeSet;
 
@@ -65,13 +65,14 @@
 }
 
 fn is_of_load_test(class: &RequestClass) -> bool {
-    class.size == LOAD_TEST_CLASS
+    class.size_class == LOAD_TEST_SIZE_CLASS
 }
 
 /// Why the new version is worse on these requests; `None` where nothing says so.
 fn worse(classes: &Classes) -> Option<String> {
-    let slow_whole = || slow(classes, Measure::Complete).map(|reason| format!("{reason} (whole answers)"));
-    failing(classes).or_else(|| slow(classes, Measure::FirstByte)).or_else(slow_whole)
+    let slow_whole =
+        || slow(classes, LatencyMeasure::Complete).map(|reason| format!("{reason} (whole answers)"));
+    failing(classes).or_else(|| slow(classes, LatencyMeasure::FirstByte)).or_else(slow_whole)
 }
 
 type Classes<'a> = Vec<(&'a RequestClass, &'a Comparison)>;
@@ -97,10 +98,10 @@
 }
 
 fn failing(classes: &Classes) -> Option<String> {
-    let (mut base, mut target) = (Tally::default(), Tally::default());
+    let (mut base, mut target) = (RequestTally::default(), RequestTally::default());
     for (_, comparison) in classes {
-        base.add(&comparison.base);
-        target.add(&comparison.target);
+        base.merge(&comparison.base);
+        target.merge(&comparison.target);
     }
     let base_rate = f64::from(base.failed) / f64::from(base.ended.max(1));
     let rate = Rate {
@@ -117,7 +118,7 @@
     })
 }
 
-fn slow(classes: &Classes, measure: Measure) -> Option<String> {
+fn slow(classes: &Classes, measure: LatencyMeasure) -> Option<String> {
     let (mut slow, mut requests, mut expected) = (0.0, 0.0, 0.0);
     for (_, comparison) in classes.iter().filter(|(class, _)| class.measure == measure) {
         let Some(threshold) = slow_from(&comparison.base) else { continue };
@@ -135,7 +136,7 @@
 }
 
 /// The bucket from which on a request is slow; `None` where too few say what is usual.
-fn slow_from(base: &Tally) -> Option<usize> {
+fn slow_from(base: &RequestTally) -> Option<usize> {
     let requests: u32 = base.latencies.iter().sum();
     let mut remaining = requests / 2;
     let median = base.latencies.iter().position(|count| {
@@ -147,14 +148,14 @@
 }
 
 /// Requests from a bucket on, and all.
-fn count_from(tally: &Tally, bucket: usize) -> (f64, f64) {
+fn count_from(tally: &RequestTally, bucket: usize) -> (f64, f64) {
     let slow: u32 = tally.latencies.iter().skip(bucket).sum();
     let all: u32 = tally.latencies.iter().sum();
     (f64::from(slow), f64::from(all))
 }
 
 fn is_compared_enough(routes: &BTreeSet<&str>, comparisons: &Comparisons) -> bool {
-    let count = |route: Option<&str>, of: fn(&Comparison) -> &Tally| -> u32 {
+    let count = |route: Option<&str>, of: fn(&Comparison) -> &RequestTally| -> u32 {
         let fitting = comparisons.iter().filter(|(class, _)| route.is_none_or(|route| class.route == route));
         fitting.map(|(_, comparison)| of(comparison).ended).sum()
     };
--- a/crates/router/control-plane/tests/load.rs
+++ b/crates/router/control-plane/tests/load.rs
@@ -15,8 +15,8 @@
 }
 
 /// One request of 100 prompt tokens in flight at endpoint 7, and these outcomes.
-fn load(answered: u32, failed: u32) -> Vec<EndpointLoad> {
-    vec![EndpointLoad { endpoint: 7, pending_prompt_tokens: 100, in_flight: 1, answered, failed }]
+fn load(succeeded: u32, failed: u32) -> Vec<EndpointLoad> {
+    vec![EndpointLoad { endpoint: 7, pending_prompt_tokens: 100, in_flight: 1, succeeded, failed }]
 }
 
 /// Reports the load of a sidecar; the total of the first endpoint in the response.
@@ -46,7 +46,7 @@
     let of_one_reporter = report(&mut totals, ms(0), 1, load(2, 4)).unwrap();
     assert_eq!(of_one_reporter.failed, 0, "a single reporter is no quorum");
     let of_two_reporters = report(&mut totals, ms(100), 2, load(1, 1)).unwrap();
-    assert_eq!((of_two_reporters.answered, of_two_reporters.failed), (3, 5));
+    assert_eq!((of_two_reporters.succeeded, of_two_reporters.failed), (3, 5));
     assert_eq!(report(&mut totals, ms(30_000), 2, load(0, 0)).unwrap().failed, 0);
 }
 
--- a/crates/router/control-plane/tests/rollout.rs
+++ b/crates/router/control-plane/tests/rollout.rs
@@ -6,7 +6,7 @@
     adjudicate, judge, Evidence, Judgement, OrderRejection, OrderVerdict,
 };
 use passrelay_dissemination::{
-    ClassOutcomes, Incarnation, Measure, Peer, RequestClass, RolloutReport, Tally,
+    ClassOutcomes, Incarnation, LatencyMeasure, Peer, RequestClass, RequestTally, RolloutReport,
 };
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -24,16 +24,16 @@
 }
 
 fn class(route: &str) -> RequestClass {
-    RequestClass { route: route.to_owned(), size: 0, measure: Measure::FirstByte }
+    RequestClass { route: route.to_owned(), size_class: 0, measure: LatencyMeasure::FirstByte }
 }
 
 /// Requests of which some fail and some take eight times as long as the others.
-fn tally(requests: u32, failed: u32, slow: u32) -> Tally {
-    let mut tally = Tally::default();
+fn tally(requests: u32, failed: u32, slow: u32) -> RequestTally {
+    let mut tally = RequestTally::default();
     for number in 0..requests {
-        tally.add_end(number < failed);
+        tally.record_end(number < failed);
         let usual = ms(40 + u64::from(number % 40));
-        tally.add_latency(if number < slow { usual * 8 } else { usual });
+        tally.record_latency(if number < slow { usual * 8 } else { usual });
     }
     tally
 }
@@ -42,7 +42,7 @@
     RolloutReport { id, known_for_ms: known_for, switched: false, base_in_flight: 0, outcomes }
 }
 
-fn judgement(base: Tally, target: Tally) -> Judgement {
+fn judgement(base: RequestTally, target: RequestTally) -> Judgement {
     let mut evidence = Evidence::new(ms(0), ms(0));
     let outcomes = vec![ClassOutcomes { class: class("r"), base, target }];
     evidence.observe(ms(0), sidecar(1, 1), 1, report(7, 0, outcomes));
@@ -54,7 +54,7 @@
 #[case::a_third_fails(tally(200, 0, 0), tally(30, 10, 0))]
 #[case::half_is_slow(tally(200, 0, 0), tally(40, 0, 20))]
 #[case::worse_than_a_faulty_base(tally(400, 40, 0), tally(60, 30, 0))]
-fn a_version_that_is_worse_is_bad(#[case] base: Tally, #[case] target: Tally) {
+fn a_version_that_is_worse_is_bad(#[case] base: RequestTally, #[case] target: RequestTally) {
     assert!(matches!(judgement(base, target), Judgement::Bad(_)));
 }
 
@@ -63,14 +63,14 @@
 #[case::as_faulty_as_the_base(tally(400, 40, 0), tally(60, 7, 0))]
 #[case::as_slow_as_the_base(tally(400, 0, 80), tally(60, 0, 13))]
 #[case::one_unlucky_request(tally(200, 0, 0), tally(21, 1, 1))]
-fn a_version_that_is_no_worse_is_good(#[case] base: Tally, #[case] target: Tally) {
+fn a_version_that_is_no_worse_is_good(#[case] base: RequestTally, #[case] target: RequestTally) {
     assert_eq!(judgement(base, target), Judgement::Good);
 }
 
 #[test]
 fn a_version_that_got_few_requests_is_not_judged_good() {
     assert_eq!(judgement(tally(200, 0, 0), tally(19, 0, 0)), Judgement::Unknown);
-    assert_eq!(judgement(Tally::default(), Tally::default()), Judgement::Unknown);
+    assert_eq!(judgement(RequestTally::default(), RequestTally::default()), Judgement::Unknown);
 }
 
 #[test]
@@ -90,13 +90,13 @@
 fn a_version_whose_rates_are_tolerated_is_hardly_ever_condemned() {
     let mut rng = ChaCha8Rng::seed_from_u64(3);
     for _ in 0..300 {
-        let (mut base, mut target) = (Tally::default(), Tally::default());
+        let (mut base, mut target) = (RequestTally::default(), RequestTally::default());
         for _ in 0..10 {
             for (tally, requests) in [(&mut base, 300), (&mut target, 25)] {
                 for _ in 0..requests {
-                    tally.add_end(rng.random_bool(0.02));
+                    tally.record_end(rng.random_bool(0.02));
                     let slow = if rng.random_bool(0.05) { 6.0 } else { 1.0 };
-                    tally.add_latency(Duration::from_secs_f64(0.05 * slow * rng.random_range(0.5..2.0)));
+                    tally.record_latency(Duration::from_secs_f64(0.05 * slow * rng.random_range(0.5..2.0)));
                 }
             }
             let judged = judgement(base.clone(), target.clone());
@@ -109,7 +109,11 @@
 fn a_report_that_comes_twice_or_late_counts_once() {
     let mut evidence = Evidence::new(ms(0), ms(0));
     let of = |requests| {
-        vec![ClassOutcomes { class: class("r"), base: tally(requests, 0, 0), target: Tally::default() }]
+        vec![ClassOutcomes {
+            class: class("r"),
+            base: tally(requests, 0, 0),
+            target: RequestTally::default(),
+        }]
     };
     evidence.observe(ms(0), sidecar(1, 1), 1, report(7, 0, of(5)));
     evidence.observe(ms(1), sidecar(1, 1), 2, report(7, 0, of(8)));
--- a/crates/router/data-plane/src/balancer/endpoint.rs
+++ b/crates/router/data-plane/src/balancer/endpoint.rs
@@ -194,7 +194,7 @@
             endpoint: self.load_key,
             pending_prompt_tokens: self.load.in_flight.pending_prompt_tokens as u32,
             in_flight: self.load.in_flight.requests,
-            answered: outcomes.answered,
+            succeeded: outcomes.answered,
             failed: outcomes.failed,
         }
     }
@@ -212,7 +212,7 @@
             endpoint: self.load_key,
             pending_prompt_tokens: others(|load| load.pending_prompt_tokens),
             in_flight: others(|load| load.in_flight),
-            answered: total.map_or(0, |load| load.answered),
+            succeeded: total.map_or(0, |load| load.succeeded),
             failed: total.map_or(0, |load| load.failed),
         };
         self.load.observe_peers(now, peers);
--- a/crates/router/data-plane/src/balancer/outlier.rs
+++ b/crates/router/data-plane/src/balancer/outlier.rs
@@ -5,7 +5,7 @@
 //!   lasts. Whether outliers are passed over is decided by the caller, who sees all endpoints of the service
 //!   ([`may_eject`]).
 
-use passrelay_dissemination::{EndpointLoad, OutcomeCounts, Outcomes};
+use passrelay_dissemination::{DecayingOutcomes, EndpointLoad, OutcomeCounts};
 use std::time::Duration;
 
 /// Fewest recent failures of an outlier, after decay ...
@@ -33,7 +33,7 @@
 #[derive(Debug, Default)]
 pub(super) struct OutlierDetector {
     /// Outcomes of own requests, decaying.
-    outcomes: Outcomes,
+    outcomes: DecayingOutcomes,
     /// Outcomes of own requests since the last load report to the fleet.
     unreported: UnreportedOutcomes,
     /// Failures since the last response.
@@ -67,10 +67,10 @@
 
     /// Whether the failure rate is high, by own requests or by those that several routers reported.
     pub(super) fn is_outlier(&self, now: Duration, peers: Option<&EndpointLoad>) -> bool {
-        let OutcomeCounts { answered, failed } = self.outcomes.decayed(now);
-        has_high_failure_rate(answered, failed)
+        let OutcomeCounts { succeeded, failed } = self.outcomes.decayed(now);
+        has_high_failure_rate(succeeded, failed)
             || peers
-                .is_some_and(|load| has_high_failure_rate(f64::from(load.answered), f64::from(load.failed)))
+                .is_some_and(|load| has_high_failure_rate(f64::from(load.succeeded), f64::from(load.failed)))
     }
 
     /// Whether there are outcomes that no load report has held.
--- a/crates/router/data-plane/src/rollout_shares.rs
+++ b/crates/router/data-plane/src/rollout_shares.rs
@@ -7,7 +7,8 @@
 
 use passrelay_configuration::{Rollout, RolloutPhase, Rollouts};
 use passrelay_dissemination::{
-    ClassOutcomes, Measure, RequestClass, RolloutReport, ShareGrant, Tally, LOAD_TEST_CLASS,
+    ClassOutcomes, LatencyMeasure, RequestClass, RequestTally, RolloutReport, ShareGrant,
+    LOAD_TEST_SIZE_CLASS,
 };
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -54,8 +55,8 @@
 /// Requests of one class at both versions.
 #[derive(Debug, Default)]
 struct Comparison {
-    base: Tally,
-    target: Tally,
+    base: RequestTally,
+    target: RequestTally,
 }
 
 /// The version that a request goes to under a share.
@@ -73,7 +74,7 @@
     /// The class of its size; requests of a load test are one class of their own.
     fn size_class(&self) -> u8 {
         if self.is_load_test {
-            return LOAD_TEST_CLASS;
+            return LOAD_TEST_SIZE_CLASS;
         }
         SIZE_CLASSES.iter().filter(|end| self.prefill_tokens >= **end).count() as u8
     }
@@ -192,25 +193,25 @@
     }
 
     /// A request has a latency.
-    pub fn record_latency(&mut self, request: &ObservedRequest, measure: Measure, latency: Duration) {
+    pub fn record_latency(&mut self, request: &ObservedRequest, measure: LatencyMeasure, latency: Duration) {
         if let Some(tally) = self.tally(request, measure) {
-            tally.add_latency(latency);
+            tally.record_latency(latency);
         }
     }
 
     /// A request has ended.
     pub fn record_end(&mut self, request: &ObservedRequest, failed: bool) {
-        if let Some(tally) = self.tally(request, Measure::FirstByte) {
-            tally.add_end(failed);
+        if let Some(tally) = self.tally(request, LatencyMeasure::FirstByte) {
+            tally.record_end(failed);
         }
     }
 
-    fn tally(&mut self, request: &ObservedRequest, measure: Measure) -> Option<&mut Tally> {
+    fn tally(&mut self, request: &ObservedRequest, measure: LatencyMeasure) -> Option<&mut RequestTally> {
         let running = self.running.get_mut(&request.service)?;
         if running.id != request.rollout {
             return None;
         }
-        let class = RequestClass { route: request.route.clone(), size: request.size, measure };
+        let class = RequestClass { route: request.route.clone(), size_class: request.size, measure };
         if running.outcomes.len() >= MAX_CLASSES && !running.outcomes.contains_key(&class) {
             return None;
         }
--- a/crates/router/data-plane/tests/balancer.rs
+++ b/crates/router/data-plane/tests/balancer.rs
@@ -249,7 +249,7 @@
     let own_report = balancer.take_load_report();
     let failing = |count: usize| -> HashMap<u64, EndpointLoad> {
         let endpoints = own_report.iter().take(count);
-        endpoints.map(|load| (load.endpoint, EndpointLoad { failed: 5, answered: 3, ..*load })).collect()
+        endpoints.map(|load| (load.endpoint, EndpointLoad { failed: 5, succeeded: 3, ..*load })).collect()
     };
     balancer.observe_fleet_load(ms(60), &own_report, &failing(1));
     let used: HashSet<Arc<str>> = picked_ids(&mut balancer, ms(100), 40).into_iter().collect();
--- a/crates/router/data-plane/tests/decision_trace/balancer.rs
+++ b/crates/router/data-plane/tests/decision_trace/balancer.rs
@@ -173,14 +173,14 @@
             self.digest.number(load.endpoint);
             self.digest.number(u64::from(load.pending_prompt_tokens));
             self.digest.number(u64::from(load.in_flight));
-            self.digest.number(u64::from(load.answered));
+            self.digest.number(u64::from(load.succeeded));
             self.digest.number(u64::from(load.failed));
             if self.draws.percent(80) {
                 let total = EndpointLoad {
                     endpoint: load.endpoint,
                     pending_prompt_tokens: load.pending_prompt_tokens + self.draws.below(9_000) as u32,
                     in_flight: load.in_flight + self.draws.below(6) as u32,
-                    answered: load.answered + self.draws.below(12) as u32,
+                    succeeded: load.succeeded + self.draws.below(12) as u32,
                     failed: load.failed + self.draws.below(3) as u32,
                 };
                 fleet.insert(load.endpoint, total);
--- a/crates/router/data-plane/tests/rollout_shares.rs
+++ b/crates/router/data-plane/tests/rollout_shares.rs
@@ -2,7 +2,7 @@
 
 use passrelay_configuration::{Rollout, RolloutOrder, RolloutPhase, Rollouts};
 use passrelay_data_plane::rollout_shares::{RequestFeatures, RolloutShares, SHARE_LIFETIME};
-use passrelay_dissemination::{Measure, ShareGrant, LOAD_TEST_CLASS};
+use passrelay_dissemination::{LatencyMeasure, ShareGrant, LOAD_TEST_SIZE_CLASS};
 use std::time::Duration;
 
 const ID: u64 = 7;
@@ -102,7 +102,7 @@
     let base = shares.observe("s", "v1", features(100)).unwrap();
     let target = shares.observe("s", "v2", features(100)).unwrap();
     let larger = shares.observe("s", "v2", features(5_000)).unwrap();
-    shares.record_latency(&base, Measure::FirstByte, ms(40));
+    shares.record_latency(&base, LatencyMeasure::FirstByte, ms(40));
     for (request, failed) in [(&base, false), (&target, true), (&larger, false)] {
         shares.record_end(request, failed);
     }
@@ -110,7 +110,7 @@
     assert_eq!(outcomes.len(), 2);
     assert_eq!((outcomes[0].base.ended, outcomes[0].base.failed), (1, 0));
     assert_eq!((outcomes[0].target.ended, outcomes[0].target.failed), (1, 1));
-    assert_eq!((outcomes[1].class.size, outcomes[1].target.ended), (2, 1));
+    assert_eq!((outcomes[1].class.size_class, outcomes[1].target.ended), (2, 1));
 }
 
 #[test]
@@ -129,5 +129,5 @@
     let request = shares.observe("s", "v2", tested).unwrap();
     shares.record_end(&request, true);
     let outcomes = shares.next_report(ms(900), |_, _| 0).1.remove(0).outcomes;
-    assert_eq!((outcomes[0].target.failed, outcomes[0].class.size), (1, LOAD_TEST_CLASS));
+    assert_eq!((outcomes[0].target.failed, outcomes[0].class.size_class), (1, LOAD_TEST_SIZE_CLASS));
 }
--- a/crates/router/dissemination/src/gossip.rs
+++ b/crates/router/dissemination/src/gossip.rs
@@ -15,7 +15,7 @@
 mod timers;
 
 pub use actions::GossipAction;
-pub use announcements::Announcement;
+pub use announcements::AnnouncementId;
 
 use crate::messages::{CommittedConfiguration, CoreHint, GossipMessage};
 use crate::mutation::ActiveMutation;
@@ -42,11 +42,11 @@
 #[derive(Clone, Debug)]
 pub struct GossipSettings {
     /// Address of this sidecar for internal messages.
-    pub own: SocketAddrV4,
+    pub own_address: SocketAddrV4,
     /// Addresses of the seeds for internal messages.
     pub seeds: Vec<SocketAddrV4>,
     /// Interval of an endpoint's heartbeats.
-    pub heartbeat: Duration,
+    pub heartbeat_interval: Duration,
     /// Whether this sidecar takes configurations as deltas. Only the cluster simulation turns it off, for sidecars that run
     /// an earlier build.
     pub accepts_deltas: bool,
@@ -78,12 +78,12 @@
     /// A sidecar that knows nothing but its seeds.
     pub fn new(settings: GossipSettings) -> Self {
         Gossip {
-            own: settings.own,
-            view: PartialView::new(settings.own),
+            own: settings.own_address,
+            view: PartialView::new(settings.own_address),
             restored_peers: RestoredPeers::default(),
             seeds: settings.seeds,
             rng: ChaCha8Rng::seed_from_u64(settings.random_seed),
-            registry: Registry::new(settings.heartbeat),
+            registry: Registry::new(settings.heartbeat_interval),
             core: None,
             configuration: ConfigurationState::new(settings.accepts_deltas),
             freshness: Freshness::new(settings.mutation),
@@ -164,7 +164,7 @@
 
     /// Polls the core until a member, in contact with a majority since now, knows what is known here of an endpoint.
     /// [`GossipAction::AnnouncementConfirmed`] reports it; it may never come.
-    pub fn announce(&mut self, now: Duration, endpoint: &str) -> Announcement {
+    pub fn announce(&mut self, now: Duration, endpoint: &str) -> AnnouncementId {
         let announcement = self.announcements.add(now, endpoint);
         self.timers.expedite_core_poll(now);
         announcement
--- a/crates/router/dissemination/src/gossip/actions.rs
+++ b/crates/router/dissemination/src/gossip/actions.rs
@@ -1,6 +1,6 @@
 //! Actions: what the decider asks of its driver, and the context in which a step of it runs.
 
-use super::announcements::Announcement;
+use super::announcements::AnnouncementId;
 use crate::messages::{CommittedConfiguration, GossipMessage};
 use crate::peer::{Incarnation, Peer};
 use std::net::SocketAddrV4;
@@ -21,7 +21,7 @@
     /// A newer configuration is in force from now on.
     Configured(CommittedConfiguration),
     /// The core knows what was announced.
-    AnnouncementConfirmed(Announcement),
+    AnnouncementConfirmed(AnnouncementId),
 }
 
 /// The instant of a step and the actions that it has emitted so far.
--- a/crates/router/dissemination/src/gossip/announcements.rs
+++ b/crates/router/dissemination/src/gossip/announcements.rs
@@ -13,12 +13,12 @@
 
 /// Id of a change of an endpoint that the core has to know of before the change is acknowledged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Announcement(pub u64);
+pub struct AnnouncementId(pub u64);
 
 /// An announcement that awaits its confirmation.
 #[derive(Debug)]
 pub(super) struct PendingAnnouncement {
-    announcement: Announcement,
+    announcement: AnnouncementId,
     /// The endpoint's bucket in registry digests.
     pub(super) bucket: usize,
     pub(super) announced_at: Duration,
@@ -37,9 +37,9 @@
     }
 
     /// Adds an announcement of what is known of `endpoint`.
-    pub(super) fn add(&mut self, now: Duration, endpoint: &str) -> Announcement {
+    pub(super) fn add(&mut self, now: Duration, endpoint: &str) -> AnnouncementId {
         self.last_id += 1;
-        let announcement = Announcement(self.last_id);
+        let announcement = AnnouncementId(self.last_id);
         self.pending.push(PendingAnnouncement {
             announcement,
             bucket: bucket_of(endpoint),
--- a/crates/router/dissemination/src/gossip/exchange.rs
+++ b/crates/router/dissemination/src/gossip/exchange.rs
@@ -113,7 +113,7 @@
         to: SocketAddrV4,
         remote_digest: &RegistryDigest,
     ) {
-        let records = self.registry.differing(remote_digest);
+        let records = self.registry.differing_records(remote_digest);
         if !records.is_empty() {
             context.send(to, GossipMessage::Records(records));
         }
--- a/crates/router/dissemination/src/lib.rs
+++ b/crates/router/dissemination/src/lib.rs
@@ -37,8 +37,8 @@
 mod registry;
 mod rollout;
 
-pub use gossip::{Announcement, Gossip, GossipAction, GossipSettings};
-pub use load::{EndpointLoad, OutcomeCounts, Outcomes};
+pub use gossip::{AnnouncementId, Gossip, GossipAction, GossipSettings};
+pub use load::{DecayingOutcomes, EndpointLoad, OutcomeCounts};
 pub use messages::{CommittedConfiguration, ConfigurationDelta, CoreHint, Digest, GossipMessage};
 pub use mutation::ActiveMutation;
 #[cfg(feature = "mutations")]
@@ -46,4 +46,7 @@
 pub use partial_view::{PartialView, PeerDescriptor};
 pub use peer::{Incarnation, Peer};
 pub use registry::{EndpointRecord, EndpointState, Heartbeat, Registry, RegistryDigest};
-pub use rollout::{ClassOutcomes, Measure, RequestClass, RolloutReport, ShareGrant, Tally, LOAD_TEST_CLASS};
+pub use rollout::{
+    ClassOutcomes, LatencyMeasure, RequestClass, RequestTally, RolloutReport, ShareGrant,
+    LOAD_TEST_SIZE_CLASS,
+};
--- a/crates/router/dissemination/src/load.rs
+++ b/crates/router/dissemination/src/load.rs
@@ -22,7 +22,7 @@
     pub in_flight: u32,
     /// Requests that succeeded.
     #[serde(rename = "a", default, skip_serializing_if = "is_zero")]
-    pub answered: u32,
+    pub succeeded: u32,
     /// Requests that ended with an error or without a response.
     #[serde(rename = "f", default, skip_serializing_if = "is_zero")]
     pub failed: u32,
@@ -37,24 +37,24 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct OutcomeCounts {
     /// Requests that succeeded.
-    pub answered: f64,
+    pub succeeded: f64,
     /// Requests that failed.
     pub failed: f64,
 }
 
 /// Exponentially decaying counters of outcomes at one endpoint.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Outcomes {
+pub struct DecayingOutcomes {
     /// The counts as of `updated_at`.
     counts: OutcomeCounts,
     updated_at: Duration,
 }
 
-impl Outcomes {
+impl DecayingOutcomes {
     /// Adds outcomes at full weight.
-    pub fn add(&mut self, now: Duration, answered: u32, failed: u32) {
+    pub fn add(&mut self, now: Duration, succeeded: u32, failed: u32) {
         let decayed = self.decayed(now);
-        self.counts.answered = decayed.answered + f64::from(answered);
+        self.counts.succeeded = decayed.succeeded + f64::from(succeeded);
         self.counts.failed = decayed.failed + f64::from(failed);
         self.updated_at = now;
     }
@@ -63,6 +63,6 @@
     pub fn decayed(&self, now: Duration) -> OutcomeCounts {
         let age = now.saturating_sub(self.updated_at);
         let weight = (-age.as_secs_f64() / OUTCOME_DECAY_TIME.as_secs_f64()).exp();
-        OutcomeCounts { answered: self.counts.answered * weight, failed: self.counts.failed * weight }
+        OutcomeCounts { succeeded: self.counts.succeeded * weight, failed: self.counts.failed * weight }
     }
 }
--- a/crates/router/dissemination/src/mutation.rs
+++ b/crates/router/dissemination/src/mutation.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GossipMutation {
     /// A configuration counts as fresh from the request on, whatever age the responder reports.
-    AgeFromArrival,
+    IgnoreReportedAge,
 }
 
 /// The mutation that a sidecar runs with; the default is none.
@@ -32,7 +32,7 @@
     /// The age of a responder's configuration that is to be used, given the age that it reported.
     pub(crate) fn fresh_age(self, reported: Duration) -> Duration {
         #[cfg(feature = "mutations")]
-        if self.0 == Some(GossipMutation::AgeFromArrival) {
+        if self.0 == Some(GossipMutation::IgnoreReportedAge) {
             return Duration::ZERO;
         }
         reported
--- a/crates/router/dissemination/src/registry.rs
+++ b/crates/router/dissemination/src/registry.rs
@@ -167,7 +167,7 @@
     }
 
     /// The records of the buckets in which `remote` differs, tombstones included.
-    pub fn differing(&mut self, remote: &RegistryDigest) -> Vec<EndpointRecord> {
+    pub fn differing_records(&mut self, remote: &RegistryDigest) -> Vec<EndpointRecord> {
         let own = self.digest();
         let differs = |record: &&EndpointRecord| {
             let bucket = bucket_of(&record.id);
--- a/crates/router/dissemination/src/rollout.rs
+++ b/crates/router/dissemination/src/rollout.rs
@@ -9,7 +9,7 @@
 /// Outcomes of requests to the endpoints of one version. Counts only grow, so that a report may be lost or come twice.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "PackedTally", into = "PackedTally")]
-pub struct Tally {
+pub struct RequestTally {
     /// Requests that ended, whatever they ended with.
     pub ended: u32,
     /// Of these, those that failed: an error of the endpoint, or no complete answer.
@@ -23,36 +23,36 @@
 #[derive(Serialize, Deserialize)]
 struct PackedTally(u32, u32, u8, Vec<u32>);
 
-impl From<Tally> for PackedTally {
-    fn from(tally: Tally) -> Self {
+impl From<RequestTally> for PackedTally {
+    fn from(tally: RequestTally) -> Self {
         let first = tally.latencies.iter().take_while(|count| **count == 0).count();
         PackedTally(tally.ended, tally.failed, first as u8, tally.latencies[first..].to_vec())
     }
 }
 
-impl From<PackedTally> for Tally {
+impl From<PackedTally> for RequestTally {
     fn from(packed: PackedTally) -> Self {
         let PackedTally(ended, failed, first, counts) = packed;
         let zeros = std::iter::repeat_n(0, usize::from(first).min(LATENCY_BUCKETS));
         let latencies = zeros.chain(counts).take(LATENCY_BUCKETS).collect();
-        Tally { ended, failed, latencies }
+        RequestTally { ended, failed, latencies }
     }
 }
 
-impl Tally {
+impl RequestTally {
     /// Requests that were counted, ended or not.
     pub fn requests(&self) -> u32 {
         self.ended.max(self.latencies.iter().sum())
     }
 
     /// A request has ended.
-    pub fn add_end(&mut self, failed: bool) {
+    pub fn record_end(&mut self, failed: bool) {
         self.ended = self.ended.saturating_add(1);
         self.failed = self.failed.saturating_add(u32::from(failed));
     }
 
     /// A request had a latency.
-    pub fn add_latency(&mut self, latency: Duration) {
+    pub fn record_latency(&mut self, latency: Duration) {
         let bucket = bucket_of(latency);
         if self.latencies.len() <= bucket {
             self.latencies.resize(bucket + 1, 0);
@@ -61,7 +61,7 @@
     }
 
     /// Adds what another sidecar counted.
-    pub fn add(&mut self, other: &Tally) {
+    pub fn merge(&mut self, other: &RequestTally) {
         self.ended = self.ended.saturating_add(other.ended);
         self.failed = self.failed.saturating_add(other.failed);
         if self.latencies.len() < other.latencies.len() {
@@ -79,11 +79,11 @@
 }
 
 /// Size class of the requests of a load test, whatever their size.
-pub const LOAD_TEST_CLASS: u8 = 0x80;
+pub const LOAD_TEST_SIZE_CLASS: u8 = 0x80;
 
 /// What a latency measures; requests are compared with those of the same kind only.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Measure {
+pub enum LatencyMeasure {
     /// Until the first part of the answer's body.
     #[serde(rename = "F")]
     FirstByte,
@@ -94,25 +94,25 @@
 
 /// Requests that are alike: on one route, with about as much of the prompt to be read.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-#[serde(from = "(String, u8, Measure)", into = "(String, u8, Measure)")]
+#[serde(from = "(String, u8, LatencyMeasure)", into = "(String, u8, LatencyMeasure)")]
 pub struct RequestClass {
     /// Name of the route.
     pub route: String,
     /// Class of the prompt tokens that have to be read, 0 for the fewest.
-    pub size: u8,
+    pub size_class: u8,
     /// What the latencies measure.
-    pub measure: Measure,
+    pub measure: LatencyMeasure,
 }
 
-impl From<(String, u8, Measure)> for RequestClass {
-    fn from((route, size, measure): (String, u8, Measure)) -> Self {
-        RequestClass { route, size, measure }
+impl From<(String, u8, LatencyMeasure)> for RequestClass {
+    fn from((route, size_class, measure): (String, u8, LatencyMeasure)) -> Self {
+        RequestClass { route, size_class, measure }
     }
 }
 
-impl From<RequestClass> for (String, u8, Measure) {
+impl From<RequestClass> for (String, u8, LatencyMeasure) {
     fn from(class: RequestClass) -> Self {
-        (class.route, class.size, class.measure)
+        (class.route, class.size_class, class.measure)
     }
 }
 
@@ -124,10 +124,10 @@
     pub class: RequestClass,
     /// At the version in service before the roll-out.
     #[serde(rename = "b")]
-    pub base: Tally,
+    pub base: RequestTally,
     /// At the new version.
     #[serde(rename = "t")]
-    pub target: Tally,
+    pub target: RequestTally,
 }
 
 /// What a sidecar reports of one roll-out.
--- a/crates/router/dissemination/tests/gossip.rs
+++ b/crates/router/dissemination/tests/gossip.rs
@@ -24,9 +24,9 @@
 /// The sidecar of host 1, whose only seed is host 2.
 fn gossip() -> Gossip {
     Gossip::new(GossipSettings {
-        own: address(1),
+        own_address: address(1),
         seeds: vec![address(2)],
-        heartbeat: at(1_200),
+        heartbeat_interval: at(1_200),
         accepts_deltas: true,
         random_seed: 1,
         mutation: ActiveMutation::default(),
--- a/crates/router/dissemination/tests/load.rs
+++ b/crates/router/dissemination/tests/load.rs
@@ -1,18 +1,18 @@
 //! Outcome counters decay with time.
 
-use passrelay_dissemination::{OutcomeCounts, Outcomes};
+use passrelay_dissemination::{DecayingOutcomes, OutcomeCounts};
 use std::time::Duration;
 
 #[test]
 fn outcomes_lose_the_factor_e_in_three_seconds() {
-    let mut outcomes = Outcomes::default();
+    let mut outcomes = DecayingOutcomes::default();
     outcomes.add(Duration::ZERO, 10, 2);
     let later = Duration::from_secs(3);
     let weight = (-1.0_f64).exp();
-    assert_eq!(outcomes.decayed(later), OutcomeCounts { answered: 10.0 * weight, failed: 2.0 * weight });
+    assert_eq!(outcomes.decayed(later), OutcomeCounts { succeeded: 10.0 * weight, failed: 2.0 * weight });
     outcomes.add(later, 1, 0);
     assert_eq!(
         outcomes.decayed(later),
-        OutcomeCounts { answered: 10.0 * weight + 1.0, failed: 2.0 * weight }
+        OutcomeCounts { succeeded: 10.0 * weight + 1.0, failed: 2.0 * weight }
     );
 }
--- a/crates/router/dissemination/tests/registry.rs
+++ b/crates/router/dissemination/tests/registry.rs
@@ -65,7 +65,7 @@
     assert!(second.merge(at(5_001), expired).is_empty());
     assert_eq!(state(&second, "i"), Some(EndpointState::Ready));
     // The digests differ, and the later record wins.
-    let differing = second.differing(&first.digest());
+    let differing = second.differing_records(&first.digest());
     first.merge(at(5_002), differing);
     assert_eq!(state(&first, "i"), Some(EndpointState::Ready));
 }
@@ -100,12 +100,12 @@
         let id = format!("i{number}");
         first.heartbeat(at(0), &heartbeat(&id, 1_000 + number, EndpointState::Ready, 1));
     }
-    let missing = first.differing(&second.digest());
+    let missing = first.differing_records(&second.digest());
     assert_eq!(missing.len(), 20);
     second.merge(at(5), missing);
     assert_eq!(first.digest(), second.digest());
     first.heartbeat(at(10), &heartbeat("i3", 1_003, EndpointState::Draining, 2));
-    let differing = first.differing(&second.digest());
+    let differing = first.differing_records(&second.digest());
     assert!(differing.len() < 20 && differing.iter().any(|r| r.id == "i3"));
 }
 
--- a/crates/router/node/src/coordinator_driver.rs
+++ b/crates/router/node/src/coordinator_driver.rs
@@ -19,7 +19,7 @@
 use crate::transport::{ReceivedMessage, Transport};
 use passrelay_control_plane::rollout::RolloutMessage;
 use passrelay_control_plane::{Action, Coordinator, OperatorAnswer, OperatorRequest};
-use passrelay_dissemination::Announcement;
+use passrelay_dissemination::AnnouncementId;
 use smol::channel::Receiver;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddrV4;
@@ -29,7 +29,7 @@
 /// An announcement on its way to the core.
 pub struct Confirmation {
     /// Which announcement.
-    pub announcement: Announcement,
+    pub announcement: AnnouncementId,
     /// Notified once the core has confirmed it.
     pub confirmed: Receiver<()>,
 }
@@ -132,7 +132,7 @@
     }
 
     /// Nobody waits for this announcement any more.
-    pub fn forget_announcement(&self, announcement: &Announcement) {
+    pub fn forget_announcement(&self, announcement: &AnnouncementId) {
         self.announcements.remove(announcement);
     }
 
--- a/crates/router/node/src/process.rs
+++ b/crates/router/node/src/process.rs
@@ -123,9 +123,9 @@
 fn coordinator_settings(settings: &NodeSettings) -> CoordinatorSettings {
     CoordinatorSettings {
         gossip: GossipSettings {
-            own: settings.internal_address(),
+            own_address: settings.internal_address(),
             seeds: settings.internal_seeds(),
-            heartbeat: settings.heartbeat,
+            heartbeat_interval: settings.heartbeat,
             accepts_deltas: true,
             random_seed: rand::random(),
             mutation: Default::default(),
--- a/crates/router/node/src/request/endpoint_call.rs
+++ b/crates/router/node/src/request/endpoint_call.rs
@@ -4,7 +4,7 @@
 use passrelay_data_plane::balancer::{CallEnd, LoadReport, Pick};
 use passrelay_data_plane::prompt::Prompt;
 use passrelay_data_plane::rollout_shares::ObservedRequest;
-use passrelay_dissemination::Measure;
+use passrelay_dissemination::LatencyMeasure;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -76,11 +76,11 @@
     /// The first part of the body has come, or will never come.
     fn record_first_byte(&self) {
         if !self.has_first_byte.replace(true) {
-            self.record_latency(Measure::FirstByte);
+            self.record_latency(LatencyMeasure::FirstByte);
         }
     }
 
-    fn record_latency(&self, measure: Measure) {
+    fn record_latency(&self, measure: LatencyMeasure) {
         if let Some(observed) = &self.observed {
             let latency = self.context.now().saturating_sub(self.sent_at);
             self.context.data_plane.rollout_shares.borrow_mut().record_latency(observed, measure, latency);
@@ -92,7 +92,7 @@
         let Some(observed) = self.observed.as_ref().filter(|_| end != CallEnd::Rejected) else { return };
         self.record_first_byte();
         if end == CallEnd::Completed {
-            self.record_latency(Measure::Complete);
+            self.record_latency(LatencyMeasure::Complete);
         }
         let failed = self.is_error.get() || end == CallEnd::Failed;
         self.context.data_plane.rollout_shares.borrow_mut().record_end(observed, failed);
--- a/crates/testing/cluster-simulation/src/cluster.rs
+++ b/crates/testing/cluster-simulation/src/cluster.rs
@@ -22,7 +22,7 @@
 use passrelay_control_plane::quota::QuotaMessage;
 use passrelay_control_plane::replication::WriteId;
 use passrelay_control_plane::{Action, CallId, Coordinator, OperatorRequest};
-use passrelay_dissemination::{Announcement, Heartbeat, RolloutReport};
+use passrelay_dissemination::{AnnouncementId, Heartbeat, RolloutReport};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
@@ -129,7 +129,7 @@
     }
 
     /// Makes a machine announce what it knows of an endpoint; `Observation::Confirmed` follows when a quorum knows it too.
-    pub fn announce(&mut self, machine: usize, endpoint: &str) -> Option<(Announcement, Vec<Observation>)> {
+    pub fn announce(&mut self, machine: usize, endpoint: &str) -> Option<(AnnouncementId, Vec<Observation>)> {
         let mut announcement = None;
         let observations = self.with_process(machine, |process, now, _| {
             announcement = Some(process.announce(now, endpoint));
--- a/crates/testing/cluster-simulation/src/cluster/machine.rs
+++ b/crates/testing/cluster-simulation/src/cluster/machine.rs
@@ -249,9 +249,9 @@
         });
         let settings = CoordinatorSettings {
             gossip: GossipSettings {
-                own,
+                own_address: own,
                 seeds,
-                heartbeat: HEARTBEAT,
+                heartbeat_interval: HEARTBEAT,
                 accepts_deltas,
                 random_seed,
                 mutation: self.settings.gossip_mutation.into(),
--- a/crates/testing/cluster-simulation/src/cluster/observation.rs
+++ b/crates/testing/cluster-simulation/src/cluster/observation.rs
@@ -3,7 +3,7 @@
 use passrelay_control_plane::quota::QuotaMessage;
 use passrelay_control_plane::rollout::RolloutMessage;
 use passrelay_control_plane::{CallId, OperatorAnswer};
-use passrelay_dissemination::{Announcement, CommittedConfiguration};
+use passrelay_dissemination::{AnnouncementId, CommittedConfiguration};
 
 /// Identifies an operator's call in a history: call ids are unique only within one incarnation of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -42,7 +42,7 @@
         /// The incarnation of its process.
         incarnation: u64,
         /// The announcement.
-        announcement: Announcement,
+        announcement: AnnouncementId,
     },
     /// A sidecar's quota request was answered.
     Granted {
--- a/crates/testing/cluster-simulation/src/limits/endpoints.rs
+++ b/crates/testing/cluster-simulation/src/limits/endpoints.rs
@@ -2,7 +2,7 @@
 
 use super::{LimitHistory, LimitMutation, CLIENTS_START_AT, SERVICE};
 use crate::cluster::HEARTBEAT;
-use passrelay_dissemination::{Announcement, EndpointRecord, EndpointState, Heartbeat};
+use passrelay_dissemination::{AnnouncementId, EndpointRecord, EndpointState, Heartbeat};
 use rand::Rng;
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -31,7 +31,7 @@
 pub(super) struct AnnouncementKey {
     pub(super) machine: usize,
     pub(super) incarnation: u64,
-    pub(super) announcement: Announcement,
+    pub(super) announcement: AnnouncementId,
 }
 
 impl LimitHistory {
--- a/crates/testing/cluster-simulation/tests/limits.rs
+++ b/crates/testing/cluster-simulation/tests/limits.rs
@@ -70,7 +70,7 @@
 fn an_age_counted_from_the_arrival_of_news_is_found_out() {
     let found = (0..500).find(|seed| {
         let mut mutated = settings(3, 12, *seed);
-        mutated.cluster.gossip_mutation = Some(GossipMutation::AgeFromArrival);
+        mutated.cluster.gossip_mutation = Some(GossipMutation::IgnoreReportedAge);
         !play(&mutated).violations.is_empty()
     });
     println!("seed {found:?}");
--- a/crates/testing/cluster-simulation/tests/rollouts.rs
+++ b/crates/testing/cluster-simulation/tests/rollouts.rs
@@ -7,7 +7,7 @@
 use passrelay_control_plane::rollout::RolloutMessage;
 use passrelay_control_plane::OperatorRequest;
 use passrelay_data_plane::rollout_shares::{RequestFeatures, RolloutShares};
-use passrelay_dissemination::{EndpointRecord, EndpointState, Heartbeat, Measure};
+use passrelay_dissemination::{EndpointRecord, EndpointState, Heartbeat, LatencyMeasure};
 use rand::seq::SliceRandom;
 use rand::Rng;
 use rstest::rstest;
@@ -188,7 +188,7 @@
             let version = if is_target { "v2" } else { "v1" };
             let latency = Duration::from_secs_f64(if is_target { usual * slow } else { usual });
             if let Some(request) = sidecar.shares.observe(SERVICE, version, features) {
-                sidecar.shares.record_latency(&request, Measure::FirstByte, latency);
+                sidecar.shares.record_latency(&request, LatencyMeasure::FirstByte, latency);
                 sidecar.shares.record_end(&request, is_target && fails);
             }
         }
