--- a/crates/router/control-plane/src/coordinator.rs
+++ b/crates/router/control-plane/src/coordinator.rs
@@ -167,11 +167,17 @@
     }
 
     /// Completion of the write `write_id`: synced if `succeeded`, otherwise failed.
-    pub fn written(&mut self, now: Duration, write_id: WriteId, succeeded: bool, actions: &mut Vec<Action>) {
+    pub fn write_completed(
+        &mut self,
+        now: Duration,
+        write_id: WriteId,
+        succeeded: bool,
+        actions: &mut Vec<Action>,
+    ) {
         let mut context = Context::new(now, self.own, actions);
         if let Some(replica) = &mut self.replica {
             context.step_replica(replica, |replica, actions| {
-                replica.written(now, write_id, succeeded, actions);
+                replica.write_completed(now, write_id, succeeded, actions);
             });
         }
         self.advance(&mut context);
@@ -197,7 +203,7 @@
     }
 
     /// The endpoint `id` has shut down gracefully.
-    pub fn leave(&mut self, now: Duration, id: &str, actions: &mut Vec<Action>) {
+    pub fn deregister(&mut self, now: Duration, id: &str, actions: &mut Vec<Action>) {
         let mut context = Context::new(now, self.own, actions);
         context.step_gossip(&mut self.gossip, |gossip, actions| gossip.deregister(now, id, actions));
     }
--- a/crates/router/control-plane/src/lib.rs
+++ b/crates/router/control-plane/src/lib.rs
@@ -23,7 +23,7 @@
 //!        (forwarded        |    ^                          |
 //!        to the primary)   |    | committed, confirmed     | propose
 //!                          v    |                          v
-//!  replication messages <----> replica  ----> Action::Write, then Coordinator::written
+//!  replication messages <----> replica  ----> Action::Write, then Coordinator::write_completed
 //!                               |
 //!                               | publish: committed state, location of the core
 //!                               v
--- a/crates/router/control-plane/src/messages.rs
+++ b/crates/router/control-plane/src/messages.rs
@@ -130,7 +130,7 @@
         /// The message in its envelope.
         envelope: Envelope,
     },
-    /// Write atomically and sync, then call [`Coordinator::written`](crate::Coordinator::written).
+    /// Write atomically and sync, then call [`Coordinator::write_completed`](crate::Coordinator::write_completed).
     Write {
         /// Identifies the write in that call.
         write_id: WriteId,
--- a/crates/router/control-plane/src/replication/action.rs
+++ b/crates/router/control-plane/src/replication/action.rs
@@ -17,7 +17,7 @@
         /// The message.
         message: ReplicationMessage,
     },
-    /// Write and sync, then call [`Replica::written`](super::Replica::written). Replies that depend on the
+    /// Write and sync, then call [`Replica::write_completed`](super::Replica::write_completed). Replies that depend on the
     /// write are sent only then.
     Write {
         /// Identifies the write.
--- a/crates/router/control-plane/src/replication/mutation.rs
+++ b/crates/router/control-plane/src/replication/mutation.rs
@@ -54,7 +54,7 @@
     /// The applied changes are dropped at a change of primary.
     DropsAppliedChangesAtFailover,
     /// Replies are sent although the write that they depend on failed.
-    PromisesOnFullDisk,
+    RepliesAfterFailedWrite,
     /// A backup takes a delta for applied, whatever state it holds, and keeps its old document under the new version.
     SkipsDeltas,
 }
@@ -114,7 +114,7 @@
 
     /// Never: whether replies are sent whose write failed.
     pub(super) fn replies_after_failed_write(self) -> bool {
-        self.has(ProtocolMutation::PromisesOnFullDisk)
+        self.has(ProtocolMutation::RepliesAfterFailedWrite)
     }
 
     /// The state as it was received: what a backup stores of it.
--- a/crates/router/control-plane/src/replication/replica/durable_writes.rs
+++ b/crates/router/control-plane/src/replication/replica/durable_writes.rs
@@ -31,7 +31,7 @@
 impl Replica {
     /// A write has ended. If it succeeded, replies that waited for it are sent, and a candidate or primary counts what
     /// is now durable here; if not, the member steps down.
-    pub fn written(
+    pub fn write_completed(
         &mut self,
         now: Duration,
         write_id: WriteId,
--- a/crates/router/control-plane/tests/replica.rs
+++ b/crates/router/control-plane/tests/replica.rs
@@ -14,9 +14,9 @@
     common::replica(ReplicatedState::default(), true)
 }
 
-fn written(replica: &mut Replica, write_id: WriteId, succeeded: bool) -> Vec<ReplicaAction> {
+fn complete_write(replica: &mut Replica, write_id: WriteId, succeeded: bool) -> Vec<ReplicaAction> {
     let mut actions = Vec::new();
-    replica.written(NOW, write_id, succeeded, &mut actions);
+    replica.write_completed(NOW, write_id, succeeded, &mut actions);
     actions
 }
 
@@ -44,7 +44,7 @@
 fn a_promise_is_sent_only_when_it_is_durable() {
     let mut replica = member_without_state();
     let write_id = only_write(&receive(&mut replica, 3, prepare(2, 3)));
-    let actions = written(&mut replica, write_id, true);
+    let actions = complete_write(&mut replica, write_id, true);
     assert!(matches!(only_reply(&actions), ReplicationMessage::Promise { term: 2, record: Some(_) }));
 }
 
@@ -52,7 +52,7 @@
 fn a_promise_whose_write_failed_is_not_sent_but_remembered() {
     let mut replica = member_without_state();
     let write_id = only_write(&receive(&mut replica, 3, prepare(2, 3)));
-    assert_eq!(written(&mut replica, write_id, false), Vec::new());
+    assert_eq!(complete_write(&mut replica, write_id, false), Vec::new());
     let actions = receive(&mut replica, 2, prepare(2, 2));
     assert_eq!(only_reply(&actions), &ReplicationMessage::Rejected { promised: 2 });
 }
@@ -100,11 +100,11 @@
     let version = StateVersion { term: 2, index: 1 };
     let state = Arc::new(ReplicatedState { version, generation: 1, ..ReplicatedState::default() });
     let later = only_write(&receive(&mut replica, 2, ReplicationMessage::Replicate { term: 2, state }));
-    assert_eq!(written(&mut replica, failing, false), Vec::new());
-    written(&mut replica, later, later_succeeds);
+    assert_eq!(complete_write(&mut replica, failing, false), Vec::new());
+    complete_write(&mut replica, later, later_succeeds);
     assert_eq!(replica.state().version == version, later_succeeds);
     let promise = only_write(&receive(&mut replica, 3, prepare(3, 3)));
-    match only_reply(&written(&mut replica, promise, true)) {
+    match only_reply(&complete_write(&mut replica, promise, true)) {
         ReplicationMessage::Promise { record: Some(record), .. } => assert_eq!(record.term, 1),
         other => panic!("not a promise with a record: {other:?}"),
     }
--- a/crates/router/control-plane/tests/state_delta.rs
+++ b/crates/router/control-plane/tests/state_delta.rs
@@ -80,7 +80,7 @@
     let [ReplicaAction::Write { write_id, write }] = actions.as_slice() else { panic!("{actions:?}") };
     assert_eq!(write.state.as_deref(), Some(&newest));
     let mut replies = Vec::new();
-    replica.written(NOW, *write_id, true, &mut replies);
+    replica.write_completed(NOW, *write_id, true, &mut replies);
     let synced = ReplicationMessage::Synced { term: 1, version: newest.version };
     assert!(
         matches!(&replies[..], [ReplicaAction::Send { message, .. }] if *message == synced),
--- a/crates/router/node/src/background_tasks.rs
+++ b/crates/router/node/src/background_tasks.rs
@@ -41,7 +41,7 @@
                 StorageEvent::Opened(opened) => attach_replica(&driver, &settings, *opened),
                 StorageEvent::Written { write_id, succeeded } => {
                     driver.step(|coordinator, now, actions| {
-                        coordinator.written(now, write_id, succeeded, actions);
+                        coordinator.write_completed(now, write_id, succeeded, actions);
                     });
                 }
             }
--- a/crates/router/node/src/endpoint_registration.rs
+++ b/crates/router/node/src/endpoint_registration.rs
@@ -34,7 +34,7 @@
     /// An endpoint has ended as planned, or is about to. Returns whether that may be acknowledged; not for an
     /// endpoint that is unknown here, because nobody could be notified of its end.
     pub async fn deregister(&self, id: &str) -> bool {
-        self.driver.step(|coordinator, now, actions| coordinator.leave(now, id, actions));
+        self.driver.step(|coordinator, now, actions| coordinator.deregister(now, id, actions));
         self.driver.knows_endpoint(id) && self.is_confirmed(id).await
     }
 
--- a/crates/testing/cluster-simulation/src/cluster.rs
+++ b/crates/testing/cluster-simulation/src/cluster.rs
@@ -213,7 +213,9 @@
     fn finish_write(&mut self, machine: usize, write_id: WriteId) -> Option<Vec<Observation>> {
         let now = self.now;
         let succeeded = self.machines[machine].disk.as_mut()?.finish(now, write_id)?;
-        self.with_process(machine, |process, now, actions| process.written(now, write_id, succeeded, actions))
+        self.with_process(machine, |process, now, actions| {
+            process.write_completed(now, write_id, succeeded, actions)
+        })
     }
 
     /// Passes an input to a machine's process, ticks it, and applies the actions that result, in their order. Returns what
--- a/crates/testing/cluster-simulation/tests/histories.rs
+++ b/crates/testing/cluster-simulation/tests/histories.rs
@@ -195,7 +195,7 @@
 #[case(ProtocolMutation::AdmitsUnsyncedMember, Scenario::Repairs)]
 #[case(ProtocolMutation::CampaignsWithOldRecord, Scenario::LongPartitions)]
 #[case(ProtocolMutation::DropsAppliedChangesAtFailover, Scenario::Races)]
-#[case(ProtocolMutation::PromisesOnFullDisk, Scenario::Races)]
+#[case(ProtocolMutation::RepliesAfterFailedWrite, Scenario::Races)]
 #[case(ProtocolMutation::SkipsDeltas, Scenario::Mixed)]
 fn a_broken_protocol_is_found_out(#[case] fault: ProtocolMutation, #[case] scenario: Scenario) {
     is_detected(&format!("{fault:?}"), scenario, |cluster| cluster.fault = Some(fault));
