--- a/crates/sidecar/proxy/src/discovery_client.rs
+++ b/crates/sidecar/proxy/src/discovery_client.rs
@@ -207,16 +207,16 @@
         close: bool,
         buffers: &mut BufferPool,
     ) -> Result<DiscoveryResult, String> {
-        if self.seq.is_none() && !update.whole {
+        if self.seq.is_none() && !update.full {
             return Err("changes to a list that was never sent".to_owned());
         }
-        let idle = self.seq == Some(update.seq) && now - self.asked_at < MIN_EMPTY_ANSWER_S;
+        let idle = self.seq == Some(update.version) && now - self.asked_at < MIN_EMPTY_ANSWER_S;
         self.empty_answers = if idle { self.empty_answers + 1 } else { 0 };
         if self.empty_answers > MAX_EMPTY_ANSWERS {
             self.empty_answers = 0;
             return Err("answers that tell nothing come too fast".to_owned());
         }
-        self.seq = Some(update.seq);
+        self.seq = Some(update.version);
         self.asking = false;
         self.answer = None;
         self.buffer.take().into_iter().for_each(|t| buffers.give_back(t));
--- a/crates/sidecar/proxy/src/pool.rs
+++ b/crates/sidecar/proxy/src/pool.rs
@@ -5,7 +5,7 @@
 use crate::http::{relay_head, BodyReader, Head};
 use mio::net::TcpStream;
 use passrelay_load_balancing::{Ending, Report, RequestId, UpstreamId};
-use passrelay_sidecar_settings::{is_sound, parse_report};
+use passrelay_sidecar_settings::{is_plausible, parse_load_report};
 use std::collections::HashMap;
 use std::io::{self, Read, Write};
 use std::net::SocketAddr;
@@ -306,7 +306,7 @@
 
 /// A load report as it stands in a header or a probe's body, if it is one that can be true.
 fn report_of(text: Option<&str>) -> Option<Report> {
-    text.and_then(|t| parse_report(t.trim(), '=').ok()).filter(is_sound)
+    text.and_then(|t| parse_load_report(t.trim(), '=').ok()).filter(is_plausible)
 }
 
 /// The connections to one node.
--- a/crates/sidecar/proxy/src/sidecar.rs
+++ b/crates/sidecar/proxy/src/sidecar.rs
@@ -97,7 +97,7 @@
             seed,
             max_clients,
             max_upstreams,
-            known,
+            known_nodes,
             service,
             file,
             ..
@@ -116,9 +116,12 @@
         // One reading of both clocks: a start time that moved would look like a restart.
         let (began, epoch) = (Instant::now(), SystemTime::now().duration_since(UNIX_EPOCH)?.as_secs_f64());
         let s = &service.settings;
-        let bounds =
-            Bounds { max_upstreams, connect_timeout: s.connect_timeout, conn_idle: service.conn_idle };
-        let client = DiscoveryClient::new(discovery, known.as_ref().map(|k| k.seq));
+        let bounds = Bounds {
+            max_upstreams,
+            connect_timeout: s.connect_timeout,
+            conn_idle: service.node_idle_timeout,
+        };
+        let client = DiscoveryClient::new(discovery, known_nodes.as_ref().map(|k| k.version));
         let registry = poll.registry().try_clone()?;
         let mut connections = Connections::new(registry, s.tick, client, Log::new(&name), &name, &bounds);
         let dispatcher = Dispatcher::new(&service.settings, seed)?;
@@ -153,7 +156,9 @@
             listener_full: false,
             accept_backlog: false,
         };
-        sidecar.apply_node_list(known.unwrap_or(NodeListUpdate { whole: true, ..NodeListUpdate::default() }));
+        sidecar.apply_node_list(
+            known_nodes.unwrap_or(NodeListUpdate { full: true, ..NodeListUpdate::default() }),
+        );
         if !sidecar.connections.discovery.wanted {
             // The list is asked for also where changes come unasked in the simulator: here they never do.
             passrelay_load_balancing::dispatcher::Transport::subscribe(&mut sidecar.connections);
--- a/crates/sidecar/proxy/src/sidecar/clients.rs
+++ b/crates/sidecar/proxy/src/sidecar/clients.rs
@@ -114,7 +114,7 @@
                 return self.connections.respond(key, status, &format!("{problem}\n"), &[])
             }
         };
-        let admission = Admission::new(self.max_clients, self.service.max_open);
+        let admission = Admission::new(self.max_clients, self.service.max_open_requests);
         if !admission
             .admits(self.dispatcher.open_requests(), self.service.settings.relative_value(arrival.class))
         {
@@ -151,7 +151,7 @@
         head.header("x-call-id").filter(plain).ok_or((400, "X-Call-Id is missing or bad"))?;
         let names = &self.service.names;
         let caller = head.header("x-caller");
-        let tenant = names.tenant(caller).map_err(|_| (400, "X-Caller is not known"))?;
+        let tenant = names.tenant_id(caller).map_err(|_| (400, "X-Caller is not known"))?;
         if tenant.is_none() && !names.tenants.is_empty() {
             return Err((400, "X-Caller is missing"));
         }
@@ -159,7 +159,7 @@
         let budget = head.header("x-budget").filter(digits).and_then(|b| b.parse::<f64>().ok());
         let budget = budget.ok_or((400, "X-Budget is missing or not a number of seconds"))?;
         // No client waits longer than its class's whole time; a day-long budget would never free its state.
-        if budget > self.service.give_up[class].max(0.1) * 2.0 {
+        if budget > self.service.deadlines[class].max(0.1) * 2.0 {
             return Err((400, "X-Budget is far more than this class may take"));
         }
         if self.connections.is_duplicate(head) {
--- a/crates/sidecar/proxy/src/sidecar/discovery.rs
+++ b/crates/sidecar/proxy/src/sidecar/discovery.rs
@@ -4,7 +4,7 @@
 use crate::connections::Timer;
 use crate::discovery_client::{DiscoveryResult, REQUEST_PAUSE_S};
 use passrelay_load_balancing::{Condition, Entry, ZoneId};
-use passrelay_sidecar_settings::{Item, NodeListUpdate};
+use passrelay_sidecar_settings::{NodeListUpdate, UnresolvedEntry};
 use std::fmt::Display;
 
 impl Sidecar {
@@ -25,11 +25,11 @@
         let (mut items, mut open) = (Vec::new(), Vec::new());
         for line in &update.nodes {
             let node = self.connections.pools.number(&line.host);
-            let started = (line.born_ms > 0.0).then(|| line.born_ms / 1000.0 - self.epoch);
+            let started = (line.started_at_ms > 0.0).then(|| line.started_at_ms / 1000.0 - self.epoch);
             let (zone, condition) = (ZoneId(0), line.condition);
-            let entry = Entry { upstream: node, zone, cell: line.block, condition, started };
-            items.push(Item { entry, zone: line.site.clone() });
-            self.connections.update_node(node, line.dial, condition == Condition::Running);
+            let entry = Entry { upstream: node, zone, cell: line.cell, condition, started };
+            items.push(UnresolvedEntry { entry, zone_name: line.zone.clone() });
+            self.connections.update_node(node, line.address, condition == Condition::Running);
             if condition == Condition::Running {
                 open.push(node);
             } else {
@@ -37,7 +37,7 @@
                 self.connections.log.line(now, "info", "node_draining", &[("node", &host)]);
             }
         }
-        if update.whole {
+        if update.full {
             let pools = &self.connections.pools.by_node;
             let absent: Vec<_> = pools
                 .iter()
@@ -50,12 +50,12 @@
                 self.connections.update_node(node, dial, false);
             }
         }
-        if update.whole || !update.nodes.is_empty() {
+        if update.full || !update.nodes.is_empty() {
             let figures: [(&str, &dyn Display); 3] =
-                [("seq", &update.seq), ("whole", &update.whole), ("nodes", &update.nodes.len())];
+                [("seq", &update.version), ("whole", &update.full), ("nodes", &update.nodes.len())];
             self.connections.log_event("info", "node_list", &figures);
         }
-        let entries = self.service.names.entries(&items);
-        self.dispatcher.update_endpoints(now, update.whole, entries, &mut self.connections);
+        let entries = self.service.names.resolve_zones(&items);
+        self.dispatcher.update_endpoints(now, update.full, entries, &mut self.connections);
     }
 }
--- a/crates/sidecar/proxy/src/sidecar/signals.rs
+++ b/crates/sidecar/proxy/src/sidecar/signals.rs
@@ -22,7 +22,7 @@
                 let now = self.connections.now;
                 self.shutdown_phase = ShutdownPhase::Draining;
                 self.shutdown_requested_at = now;
-                self.end = PlannedEnd::of(self.service.deadlines());
+                self.end = PlannedEnd::of(self.service.active_deadlines());
                 self.connections.timers.set(now + self.end.listener_closes, Timer::CloseListener);
                 self.connections.timers.set(now + self.end.idle_closes, Timer::LastCall);
                 self.connections.timers.set(now + self.end.answers_by, Timer::AnswersDue);
@@ -41,12 +41,13 @@
     /// once; known nodes and their connections stay.
     fn reload(&mut self) {
         let file = self.file.clone().unwrap_or_default();
-        let read = Config::reread(&file, &self.name, self.listen);
-        let read = read.and_then(|config| Ok((self.service.retuned(config.service)?, config.discovery)));
+        let read = Config::reload(&file, &self.name, self.listen);
+        let read =
+            read.and_then(|config| Ok((self.service.reloaded_with(config.service)?, config.discovery)));
         let (service, discovery) = match read {
             Ok(both) => both,
             Err(e) => {
-                let line = passrelay_sidecar_settings::line_of(&file, &e);
+                let line = passrelay_sidecar_settings::error_line(&file, &e);
                 let values: [(&str, &dyn Display); 4] =
                     [("file", &file), ("key", &e.key), ("line", &line), ("problem", &e.problem)];
                 return self.connections.log_event("warn", "reload_failed", &values);
--- a/crates/sidecar/settings/src/config.rs
+++ b/crates/sidecar/settings/src/config.rs
@@ -53,7 +53,7 @@
 
 impl Names {
     /// The number of a zone; a new name gets a new number.
-    pub fn zone(&mut self, name: &str) -> ZoneId {
+    pub fn zone_id(&mut self, name: &str) -> ZoneId {
         let known = self.zones.iter().position(|z| z == name);
         ZoneId(known.unwrap_or_else(|| {
             self.zones.push(name.to_owned());
@@ -66,7 +66,7 @@
     /// # Errors
     ///
     /// Returns the name that is not in the settings.
-    pub fn tenant(&self, name: Option<&str>) -> Result<Option<TenantId>, String> {
+    pub fn tenant_id(&self, name: Option<&str>) -> Result<Option<TenantId>, String> {
         let Some(name) = name.filter(|_| !self.tenants.is_empty()) else { return Ok(None) };
         let known = self.tenants.iter().position(|t| t == name);
         known.map(|t| Some(TenantId(t))).ok_or_else(|| name.to_owned())
@@ -81,13 +81,13 @@
     /// Names by position.
     pub names: Names,
     /// The longest time that a client of each class waits.
-    pub give_up: Vec<f64>,
+    pub deadlines: Vec<f64>,
     /// A node closes a connection that has been idle for so long.
-    pub conn_idle: f64,
+    pub node_idle_timeout: f64,
     /// How late a final answer may come.
     pub answer_slack: f64,
     /// Most open requests.
-    pub max_open: usize,
+    pub max_open_requests: usize,
     /// The tier's name, for the log.
     pub tier: String,
 }
@@ -157,8 +157,8 @@
             late_value: self.get(&key("LateValue"), d.late_value)?,
             effect,
         };
-        let give_up = self.span(&key("GiveUp"), class.latency_target.max(0.0))?;
-        Ok((name, class, give_up))
+        let deadlines = self.span(&key("GiveUp"), class.latency_target.max(0.0))?;
+        Ok((name, class, deadlines))
     }
 }
 
@@ -170,10 +170,10 @@
     /// # Errors
     ///
     /// Fails where the classes of the run would come to more than 256.
-    pub fn retuned(&self, new: ServiceSettings) -> Result<ServiceSettings, ConfigError> {
+    pub fn reloaded_with(&self, new: ServiceSettings) -> Result<ServiceSettings, ConfigError> {
         let mut merged = self.clone();
         let same = |at: usize, old: usize| {
-            new.settings.classes[at] == self.settings.classes[old] && new.give_up[at] == self.give_up[old]
+            new.settings.classes[at] == self.settings.classes[old] && new.deadlines[at] == self.deadlines[old]
         };
         let kept: Vec<Option<usize>> = (0..new.names.classes.len())
             .map(|at| {
@@ -193,7 +193,7 @@
             if kept.is_none() {
                 merged.names.classes.push(new.names.classes[at].clone());
                 merged.settings.classes.push(new.settings.classes[at].clone());
-                merged.give_up.push(new.give_up[at]);
+                merged.deadlines.push(new.deadlines[at]);
             }
         }
         if merged.settings.classes.len() > MOST_CLASSES {
@@ -205,14 +205,14 @@
         let classes = std::mem::take(&mut merged.settings.classes);
         merged.settings = Settings { classes, tick: self.settings.tick, ..new.settings };
         merged.names.tenants = new.names.tenants;
-        (merged.conn_idle, merged.answer_slack, merged.max_open) =
-            (new.conn_idle, new.answer_slack, new.max_open);
+        (merged.node_idle_timeout, merged.answer_slack, merged.max_open_requests) =
+            (new.node_idle_timeout, new.answer_slack, new.max_open_requests);
         Ok(merged)
     }
 
     /// The deadlines of the classes that new requests may name.
-    pub fn deadlines(&self) -> impl Iterator<Item = f64> + '_ {
-        self.names.classes.iter().zip(&self.give_up).filter(|(name, _)| !name.is_empty()).map(|(_, d)| *d)
+    pub fn active_deadlines(&self) -> impl Iterator<Item = f64> + '_ {
+        self.names.classes.iter().zip(&self.deadlines).filter(|(name, _)| !name.is_empty()).map(|(_, d)| *d)
     }
 
     /// The position of a class that new requests may name.
@@ -253,13 +253,13 @@
 
     fn read(p: &Pairs) -> Result<ServiceSettings, ConfigError> {
         let mut names = Names { zones: p.list("Dcs"), ..Names::default() };
-        let zone = names.zone(p.text("Az").unwrap_or(""));
-        let (mut classes, mut give_up, mut tenants) = (Vec::new(), Vec::new(), Vec::new());
+        let zone = names.zone_id(p.text("Az").unwrap_or(""));
+        let (mut classes, mut deadlines, mut tenants) = (Vec::new(), Vec::new(), Vec::new());
         for at in 0..p.get("Classes.count", 0)? {
             let (name, class, longest) = p.class(at)?;
             names.classes.push(name);
             classes.push(class);
-            give_up.push(longest);
+            deadlines.push(longest);
         }
         for at in 0..p.get("Tenants.count", 0)? {
             names.tenants.push(p.text(&format!("Tenants.{at}.Name")).unwrap_or("").to_owned());
@@ -305,10 +305,10 @@
         Ok(ServiceSettings {
             settings,
             names,
-            give_up,
-            conn_idle: p.span("Limits.ConnIdle", 30.0)?,
+            deadlines,
+            node_idle_timeout: p.span("Limits.ConnIdle", 30.0)?,
             answer_slack: p.span("Rules.AnswerSlack", 0.02)?,
-            max_open: p.get("Limits.MaxOpen", usize::MAX)?,
+            max_open_requests: p.get("Limits.MaxOpen", usize::MAX)?,
             tier: p.list("Layers").get(layer).cloned().unwrap_or_else(|| layer.to_string()),
         })
     }
@@ -357,7 +357,7 @@
     /// Most connections to nodes.
     pub max_upstreams: usize,
     /// The node list as this sidecar last had it.
-    pub known: Option<NodeListUpdate>,
+    pub known_nodes: Option<NodeListUpdate>,
     /// The settings.
     pub service: ServiceSettings,
     /// The file that all of this was read from, if any; it is read again at SIGHUP.
@@ -389,7 +389,7 @@
     /// # Errors
     ///
     /// Names the first key that is missing or wrong.
-    pub fn reread(file: &str, name: &str, listen: SocketAddr) -> Result<Config, ConfigError> {
+    pub fn reload(file: &str, name: &str, listen: SocketAddr) -> Result<Config, ConfigError> {
         let text = |value: String| Some(Value::String(value));
         Config::read(file.to_owned(), [("name", text(name.to_owned())), ("listen", text(listen.to_string()))])
     }
@@ -444,7 +444,7 @@
         if connections < 4 {
             return wrong("limits", "leave no room for connections");
         }
-        let known = match &file["known"] {
+        let known_nodes = match &file["known"] {
             Value::Null => None,
             list => Some(
                 NodeListUpdate::parse(list)
@@ -469,7 +469,7 @@
             seed,
             max_clients: connections / 2,
             max_upstreams: connections - connections / 2,
-            known,
+            known_nodes,
             service,
             file: None,
         })
@@ -478,24 +478,24 @@
 
 /// A list line whose zone is still a name.
 #[derive(Clone, Debug)]
-pub struct Item {
+pub struct UnresolvedEntry {
     /// The line, its zone not yet set.
     pub entry: Entry,
     /// The name of its zone.
-    pub zone: String,
+    pub zone_name: String,
 }
 
 impl Names {
     /// Gives list lines the zone numbers of these settings.
-    pub fn entries(&mut self, items: &[Item]) -> Vec<Entry> {
-        items.iter().map(|i| Entry { zone: self.zone(&i.zone), ..i.entry }).collect()
+    pub fn resolve_zones(&mut self, items: &[UnresolvedEntry]) -> Vec<Entry> {
+        items.iter().map(|i| Entry { zone: self.zone_id(&i.zone_name), ..i.entry }).collect()
     }
 }
 
 /// The line of a file on which the key of an error stands, as near as can be told: for a file that is no
 /// JSON the line that the reader stopped at; else the line that names the key's last part, the Nth such
 /// line for a key in the Nth item of a list. 0 where neither is found.
-pub fn line_of(path: &str, error: &ConfigError) -> usize {
+pub fn error_line(path: &str, error: &ConfigError) -> usize {
     if let Some(at) = error.problem.find(" at line ") {
         return error.problem[at + 9..].split(' ').next().and_then(|n| n.parse().ok()).unwrap_or(0);
     }
--- a/crates/sidecar/settings/src/config/tests.rs
+++ b/crates/sidecar/settings/src/config/tests.rs
@@ -12,15 +12,15 @@
     let old =
         service(json!([{"Name": "look", "Idempotency": "read_like"}, {"Name": "pay"}, {"Name": "gone"}]), 4);
     let new = service(json!([{"Name": "pay"}, {"Name": "look"}, {"Name": "book", "GiveUp": 3.0}]), 2);
-    let merged = old.retuned(new).unwrap();
+    let merged = old.reloaded_with(new).unwrap();
     assert_eq!(merged.names.classes, ["", "pay", "", "look", "book"]);
     assert_eq!(merged.settings.classes[0].effect, Effect::Safe, "the old look stays for its requests");
     assert_eq!(merged.settings.classes[3].effect, Effect::Unsafe);
     assert_eq!((merged.class("look"), merged.class("gone"), merged.class("")), (Some(3), None, None));
-    assert_eq!((merged.give_up[4], merged.settings.max_attempts), (3.0, 2));
+    assert_eq!((merged.deadlines[4], merged.settings.max_attempts), (3.0, 2));
     let mut grown = merged;
     for n in 0..MOST_CLASSES {
-        match grown.retuned(service(json!([{"Name": format!("c{n}")}]), 1)) {
+        match grown.reloaded_with(service(json!([{"Name": format!("c{n}")}]), 1)) {
             Ok(next) => grown = next,
             Err(e) => return assert_eq!(e.key, "settings.Classes"),
         }
--- a/crates/sidecar/settings/src/lib.rs
+++ b/crates/sidecar/settings/src/lib.rs
@@ -4,6 +4,6 @@
 mod node_list;
 mod report;
 
-pub use config::{line_of, Config, ConfigError, Item, Names, ServiceSettings};
-pub use node_list::{NodeLine, NodeListUpdate};
-pub use report::{is_sound, parse_report};
+pub use config::{error_line, Config, ConfigError, Names, ServiceSettings, UnresolvedEntry};
+pub use node_list::{NodeListUpdate, NodeRecord};
+pub use report::{is_plausible, parse_load_report};
--- a/crates/sidecar/settings/src/node_list.rs
+++ b/crates/sidecar/settings/src/node_list.rs
@@ -8,28 +8,28 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct NodeListUpdate {
     /// The version of the list.
-    pub seq: u64,
+    pub version: u64,
     /// The whole list; otherwise only the lines that changed.
-    pub whole: bool,
+    pub full: bool,
     /// The lines.
-    pub nodes: Vec<NodeLine>,
+    pub nodes: Vec<NodeRecord>,
 }
 
 /// What discovery says of one node.
 #[derive(Clone, Debug, PartialEq)]
-pub struct NodeLine {
+pub struct NodeRecord {
     /// Its name, the same for every sidecar.
     pub host: String,
     /// Where it listens.
-    pub dial: SocketAddr,
+    pub address: SocketAddr,
     /// The zone.
-    pub site: String,
+    pub zone: String,
     /// Its cell.
-    pub block: u64,
+    pub cell: u64,
     /// Its condition.
     pub condition: Condition,
     /// The Unix time in milliseconds of its last start; 0: long ago.
-    pub born_ms: f64,
+    pub started_at_ms: f64,
 }
 
 impl NodeListUpdate {
@@ -39,16 +39,16 @@
     ///
     /// Returns the path of the first bad key and what is wrong with it.
     pub fn parse(value: &Value) -> Result<NodeListUpdate, String> {
-        let seq = value["seq"].as_u64().ok_or("seq should be a whole number")?;
-        let whole = value["whole"].as_bool().ok_or("whole should be true or false")?;
+        let version = value["seq"].as_u64().ok_or("seq should be a whole number")?;
+        let full = value["whole"].as_bool().ok_or("whole should be true or false")?;
         let hosts = value["hosts"].as_array().ok_or("hosts should be a list")?;
-        let nodes = hosts.iter().enumerate().map(|(at, line)| NodeLine::parse(line, at));
-        Ok(NodeListUpdate { seq, whole, nodes: nodes.collect::<Result<_, _>>()? })
+        let nodes = hosts.iter().enumerate().map(|(at, line)| NodeRecord::parse(line, at));
+        Ok(NodeListUpdate { version, full, nodes: nodes.collect::<Result<_, _>>()? })
     }
 }
 
-impl NodeLine {
-    fn parse(line: &Value, at: usize) -> Result<NodeLine, String> {
+impl NodeRecord {
+    fn parse(line: &Value, at: usize) -> Result<NodeRecord, String> {
         let text = |key: &str| {
             line[key].as_str().ok_or_else(|| format!("hosts[{at}].{key} should be text, is {}", line[key]))
         };
@@ -59,15 +59,15 @@
             other => return Err(format!("hosts[{at}].health has the value '{other}'")),
         };
         let dial = text("dial")?;
-        Ok(NodeLine {
+        Ok(NodeRecord {
             host: text("host")?.to_owned(),
-            dial: dial
+            address: dial
                 .parse()
                 .map_err(|_| format!("hosts[{at}].dial should be address:port, is '{dial}'"))?,
-            site: line["site"].as_str().unwrap_or("").to_owned(),
-            block: line["block"].as_u64().unwrap_or(0),
+            zone: line["site"].as_str().unwrap_or("").to_owned(),
+            cell: line["block"].as_u64().unwrap_or(0),
             condition,
-            born_ms: line["born_ms"].as_f64().filter(|b| *b > 0.0).unwrap_or(0.0),
+            started_at_ms: line["born_ms"].as_f64().filter(|b| *b > 0.0).unwrap_or(0.0),
         })
     }
 }
--- a/crates/sidecar/settings/src/report.rs
+++ b/crates/sidecar/settings/src/report.rs
@@ -8,7 +8,7 @@
 const MOST_CPU: f64 = 4.0;
 
 /// Whether all figures can be true. Guards against a node that is starved or flooded by nonsense.
-pub fn is_sound(report: &Report) -> bool {
+pub fn is_plausible(report: &Report) -> bool {
     let figures = [report.active, report.waiting, report.avg_ms, report.rps, report.err_rps];
     figures.iter().flatten().all(|v| (0.0..=MOST).contains(v))
         && report.cpu.is_none_or(|v| (0.0..=MOST_CPU).contains(&v))
@@ -21,7 +21,7 @@
 /// # Errors
 ///
 /// Returns the pair that is not a name and a number.
-pub fn parse_report(text: &str, between: char) -> Result<Report, String> {
+pub fn parse_load_report(text: &str, between: char) -> Result<Report, String> {
     let mut report = Report::default();
     for pair in text.split(',').map(str::trim) {
         let bad = || format!("a report value should be name{between}number, is '{pair}'");
--- a/crates/sidecar/simulator-adapter/src/host.rs
+++ b/crates/sidecar/simulator-adapter/src/host.rs
@@ -5,7 +5,7 @@
 
 use crate::wire::{self, Fields, LineError};
 use passrelay_load_balancing::{Action, Balancer, Event};
-use passrelay_sidecar_settings::{Item, Names, ServiceSettings};
+use passrelay_sidecar_settings::{Names, ServiceSettings, UnresolvedEntry};
 use std::any::Any;
 use std::collections::BTreeMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -49,7 +49,7 @@
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u64, Instance>,
-    lists: BTreeMap<u64, Vec<Item>>,
+    lists: BTreeMap<u64, Vec<UnresolvedEntry>>,
     open_list: Option<OpenList>,
     batch: Option<Batch>,
     reply: String,
@@ -177,7 +177,7 @@
 
 /// Parses a `directory_update` line, which refers to a list sent before.
 fn directory_update(
-    lists: &BTreeMap<u64, Vec<Item>>,
+    lists: &BTreeMap<u64, Vec<UnresolvedEntry>>,
     names: &mut Names,
     fields: &Fields<'_>,
 ) -> Result<Event, LineError> {
@@ -188,7 +188,7 @@
     }
     let number: u64 = fields.required(3, "a list number")?;
     let items = lists.get(&number).ok_or_else(|| format!("a list sent before, got {number}"))?;
-    let entries = names.entries(items);
+    let entries = names.resolve_zones(items);
     match form {
         "delta" => Ok(Event::ListChanges(entries)),
         "full" | "cached" => Ok(Event::FullList(entries)),
--- a/crates/sidecar/simulator-adapter/src/wire.rs
+++ b/crates/sidecar/simulator-adapter/src/wire.rs
@@ -8,7 +8,7 @@
 use passrelay_load_balancing::{
     Action, ClassId, Condition, Ending, Entry, Event, Outcome, Report, RequestId, UpstreamId, ZoneId,
 };
-use passrelay_sidecar_settings::{parse_report, Item, Names};
+use passrelay_sidecar_settings::{parse_load_report, Names, UnresolvedEntry};
 use std::fmt::{self, Write as _};
 
 /// Flag bits of a `submit` line: the work hint is valid; the client marked the request as a repeat.
@@ -34,7 +34,7 @@
 }
 
 /// Parses an `item` line: one entry of an endpoint list, with the name of its zone.
-pub fn parse_item(fields: &Fields<'_>) -> Result<Item, LineError> {
+pub fn parse_item(fields: &Fields<'_>) -> Result<UnresolvedEntry, LineError> {
     fields.check_count(5, 7)?;
     let condition = match fields.required_text(4, "a condition")? {
         "on" => Condition::Running,
@@ -48,7 +48,7 @@
     let upstream = UpstreamId(fields.required(0, "an upstream id")?);
     let cell = fields.number(3, "a cell number")?.unwrap_or(0);
     let entry = Entry { upstream, zone: ZoneId(0), cell, condition, started };
-    Ok(Item { entry, zone: fields.text(1).unwrap_or("").to_owned() })
+    Ok(UnresolvedEntry { entry, zone_name: fields.text(1).unwrap_or("").to_owned() })
 }
 
 /// Parses an event of one instance, other than those about lists, starts and stops. `None` for a message that the
@@ -103,7 +103,7 @@
     let class = fields.required_text(2, "a class")?;
     let known = names.classes.iter().position(|known| known == class);
     let class = known.ok_or_else(|| format!("submit: unknown class '{class}'"))?;
-    let tenant = names.tenant(fields.text(3).filter(|tenant| *tenant != "0"));
+    let tenant = names.tenant_id(fields.text(3).filter(|tenant| *tenant != "0"));
     let tenant = tenant.map_err(|tenant| format!("submit: unknown tenant '{tenant}'"))?;
     // The key of a keyed request is checked but not used: the upstreams deduplicate.
     fields.number::<u64>(4, "a key")?;
@@ -133,7 +133,7 @@
 }
 
 fn report(fields: &Fields<'_>, index: usize) -> Result<Option<Report>, LineError> {
-    Ok(fields.text(index).map(|text| parse_report(text, ':')).transpose()?)
+    Ok(fields.text(index).map(|text| parse_load_report(text, ':')).transpose()?)
 }
 
 fn request_id(fields: &Fields<'_>) -> Result<RequestId, LineError> {
