--- a/crates/router/configuration/src/document_delta.rs
+++ b/crates/router/configuration/src/document_delta.rs
@@ -22,7 +22,7 @@
 pub enum DeltaError {
     /// It applies to another state than the one held.
     #[error("the delta applies to another state")]
-    OtherBase,
+    BaseMismatch,
     /// A range lies beyond the base, or within one of its characters.
     #[error("a range of the delta is none of the base")]
     RangeOutsideBase,
@@ -81,13 +81,13 @@
     }
 
     /// As [`Self::between`]; `None` where it is not short enough to be sent in place of the target.
-    pub fn if_short(base: &str, target: &str) -> Option<Self> {
+    pub fn between_if_worth_sending(base: &str, target: &str) -> Option<Self> {
         let delta = Self::between(base, target);
-        Self::are_short([&delta], target.len()).then_some(delta)
+        Self::are_worth_sending([&delta], target.len()).then_some(delta)
     }
 
     /// Whether deltas are short enough to be sent in place of a document of this length, in bytes.
-    pub fn are_short<'a>(deltas: impl IntoIterator<Item = &'a Self>, document_length: usize) -> bool {
+    pub fn are_worth_sending<'a>(deltas: impl IntoIterator<Item = &'a Self>, document_length: usize) -> bool {
         let size: usize = deltas.into_iter().map(Self::encoded_size).sum();
         (size as f64) < MAX_SIZE_FRACTION * document_length as f64
     }
--- a/crates/router/configuration/src/errors.rs
+++ b/crates/router/configuration/src/errors.rs
@@ -31,16 +31,16 @@
     DuplicateMatch(String),
     /// The weights of a route sum to zero.
     #[error("has weights that sum to 0")]
-    NoWeight,
+    ZeroTotalWeight,
     /// Two tenants have the same API key.
     #[error("holds a key that tenant '{0}' holds too")]
-    SharedKey(String),
+    DuplicateApiKey(String),
     /// A patch upserts and removes the same item.
     #[error("changes and removes '{0}' at once")]
-    ChangedAndRemoved(String),
+    UpsertedAndRemoved(String),
     /// The generation is not above that of the current configuration.
     #[error("has to be above the current generation {0}")]
-    OldGeneration(u64),
+    StaleGeneration(u64),
 }
 
 /// One error and its path, such as `routes[3].timeout-ms`.
--- a/crates/router/configuration/src/patch.rs
+++ b/crates/router/configuration/src/patch.rs
@@ -74,7 +74,7 @@
             reader.report(ValidationErrorKind::DuplicateName(name.clone()));
         }
         if removed.contains(&name) {
-            reader.report(ValidationErrorKind::ChangedAndRemoved(name.clone()));
+            reader.report(ValidationErrorKind::UpsertedAndRemoved(name.clone()));
         }
         upserts.push(Upsert { name, item: item.clone() });
     }
--- a/crates/router/configuration/src/rollouts.rs
+++ b/crates/router/configuration/src/rollouts.rs
@@ -143,7 +143,7 @@
     }
 
     /// Whether one more order can wait.
-    pub fn has_room(&self) -> bool {
+    pub fn has_queue_capacity(&self) -> bool {
         self.waiting.len() < MAX_WAITING
     }
 }
@@ -160,17 +160,17 @@
     }
 
     /// The roll-outs of a service.
-    pub fn of(&self, service: &str) -> Option<&ServiceRollouts> {
+    pub fn get(&self, service: &str) -> Option<&ServiceRollouts> {
         self.0.get(service)
     }
 
     /// The roll-outs of a service, to be changed.
-    pub fn of_mut(&mut self, service: &str) -> &mut ServiceRollouts {
+    pub fn get_or_insert_default(&mut self, service: &str) -> &mut ServiceRollouts {
         self.0.entry(service.to_owned()).or_default()
     }
 
     /// All services that had an order.
-    pub fn services(&self) -> impl Iterator<Item = (&String, &ServiceRollouts)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&String, &ServiceRollouts)> {
         self.0.iter()
     }
 
--- a/crates/router/configuration/src/service_versions.rs
+++ b/crates/router/configuration/src/service_versions.rs
@@ -19,7 +19,7 @@
     }
 
     /// The version of a service; `None` where none is known, and any may get requests.
-    pub fn of(&self, service: &str) -> Option<&str> {
+    pub fn get(&self, service: &str) -> Option<&str> {
         self.0.get(service).map(String::as_str)
     }
 
--- a/crates/router/configuration/src/validate.rs
+++ b/crates/router/configuration/src/validate.rs
@@ -43,11 +43,11 @@
     /// # Errors
     ///
     /// Returns an error at `generation` when it isn't above `current`.
-    pub fn follows(&self, current: u64) -> Result<(), ValidationErrors> {
+    pub fn check_generation_above(&self, current: u64) -> Result<(), ValidationErrors> {
         if self.generation > current {
             return Ok(());
         }
-        let kind = ValidationErrorKind::OldGeneration(current);
+        let kind = ValidationErrorKind::StaleGeneration(current);
         Err(ValidationErrors(vec![ValidationError { path: "generation".to_owned(), kind }]))
     }
 }
@@ -181,7 +181,7 @@
     };
     let backends: Vec<Backend> = split.items().iter().map(read).collect();
     if backends.iter().map(|backend| backend.weight).sum::<f64>() <= 0.0 {
-        split.report(ValidationErrorKind::NoWeight);
+        split.report(ValidationErrorKind::ZeroTotalWeight);
     }
     backends
 }
@@ -234,7 +234,7 @@
     for item in list.items() {
         let api_key = item.text();
         match owners.insert(api_key.clone(), tenant.to_owned()) {
-            Some(owner) if owner != tenant => item.report(ValidationErrorKind::SharedKey(owner)),
+            Some(owner) if owner != tenant => item.report(ValidationErrorKind::DuplicateApiKey(owner)),
             _ => api_keys.push(api_key),
         }
     }
--- a/crates/router/configuration/tests/patch.rs
+++ b/crates/router/configuration/tests/patch.rs
@@ -27,7 +27,7 @@
 fn a_contradictory_patch_is_rejected() {
     let patch = json!({ "generation": 6, "upsert": { "services": [{ "name": "s" }] }, "remove": { "services": ["s"] } });
     let errors = apply_patch(&valid_document(), &patch).unwrap_err();
-    assert_eq!(errors.0[0].kind, ValidationErrorKind::ChangedAndRemoved("s".into()));
+    assert_eq!(errors.0[0].kind, ValidationErrorKind::UpsertedAndRemoved("s".into()));
 }
 
 #[test]
--- a/crates/router/configuration/tests/validation.rs
+++ b/crates/router/configuration/tests/validation.rs
@@ -12,18 +12,21 @@
     let read = Configuration::read(&valid_document()).unwrap();
     assert_eq!((read.generation, read.routes.len(), read.services.len(), read.tenants.len()), (4, 2, 2, 2));
     assert_eq!(read.routes[1].backends.len(), 2);
-    assert!(read.follows(3).is_ok());
-    assert_eq!(read.follows(4).unwrap_err().0[0].kind, ValidationErrorKind::OldGeneration(4));
+    assert!(read.check_generation_above(3).is_ok());
+    assert_eq!(
+        read.check_generation_above(4).unwrap_err().0[0].kind,
+        ValidationErrorKind::StaleGeneration(4)
+    );
 }
 
 #[rstest]
 #[case::unknown_service("/routes/0/backend", json!("u"), "routes[0].backend", ValidationErrorKind::UnknownService("u".into()))]
 #[case::unknown_split("/routes/1/traffic-split/1/backend", json!("u"), "routes[1].traffic-split[1].backend", ValidationErrorKind::UnknownService("u".into()))]
-#[case::no_weight("/routes/1/traffic-split", json!([{ "backend": "s", "weight": 0 }]), "routes[1].traffic-split", ValidationErrorKind::NoWeight)]
+#[case::no_weight("/routes/1/traffic-split", json!([{ "backend": "s", "weight": 0 }]), "routes[1].traffic-split", ValidationErrorKind::ZeroTotalWeight)]
 #[case::no_timeout("/routes/0/timeout-ms", json!(0), "routes[0].timeout-ms", ValidationErrorKind::OutOfRange("from 1 up"))]
 #[case::same_match("/routes/1/path-prefix", json!("/a/"), "routes[1]", ValidationErrorKind::DuplicateMatch("a".into()))]
 #[case::same_name("/routes/1/name", json!("a"), "routes[1]", ValidationErrorKind::DuplicateName("a".into()))]
-#[case::shared_key("/tenants/1/api-keys", json!(["k2"]), "tenants[1].api-keys[0]", ValidationErrorKind::SharedKey("x".into()))]
+#[case::shared_key("/tenants/1/api-keys", json!(["k2"]), "tenants[1].api-keys[0]", ValidationErrorKind::DuplicateApiKey("x".into()))]
 #[case::no_list("/routes", json!({}), "routes", ValidationErrorKind::WrongType("a list"))]
 #[case::no_number("/generation", json!("four"), "generation", ValidationErrorKind::WrongType("a whole number from 0 up"))]
 #[case::out_of_range("/generation", json!(1e30), "generation", ValidationErrorKind::WrongType("a whole number from 0 up"))]
--- a/crates/router/control-plane/src/configuration_change.rs
+++ b/crates/router/control-plane/src/configuration_change.rs
@@ -131,7 +131,7 @@
             }
         };
         let configuration = Configuration::read(&document).map_err(Rejection::Invalid)?;
-        configuration.follows(state.generation).map_err(Rejection::Invalid)?;
+        configuration.check_generation_above(state.generation).map_err(Rejection::Invalid)?;
         Ok(Applied { generation: configuration.generation, document: document.to_string().into() })
     }
 }
--- a/crates/router/control-plane/src/coordinator/operator_calls.rs
+++ b/crates/router/control-plane/src/coordinator/operator_calls.rs
@@ -281,7 +281,7 @@
 
 /// A confirmed read of a service's roll-out.
 fn read_rollout(committed: &ReplicatedState, service: &str) -> OperatorOutcome {
-    let rollouts = committed.rollouts.of(service);
+    let rollouts = committed.rollouts.get(service);
     let rollout = rollouts.and_then(|rollouts| rollouts.all().next()).ok_or(OperatorError::NoRollout)?;
     Ok(OperatorReply::Rollout(rollout.clone()))
 }
--- a/crates/router/control-plane/src/coordinator/version_recorder.rs
+++ b/crates/router/control-plane/src/coordinator/version_recorder.rs
@@ -36,7 +36,7 @@
     /// The versions to be in service: as the configuration sets them, else as recorded, else as most endpoints have them.
     fn versions(&self, recorded: &ServiceVersions, registry: &Registry) -> ServiceVersions {
         let version = |(service, set): (&String, &Option<String>)| {
-            let known = set.clone().or_else(|| recorded.of(service).map(str::to_owned));
+            let known = set.clone().or_else(|| recorded.get(service).map(str::to_owned));
             let version = known.or_else(|| most_common_version(registry, service))?;
             Some((service.clone(), version))
         };
--- a/crates/router/control-plane/src/replication/state_delta.rs
+++ b/crates/router/control-plane/src/replication/state_delta.rs
@@ -46,7 +46,7 @@
             base: base.version,
             version: self.version,
             generation: self.generation,
-            document: DocumentDelta::if_short(base_document, document)?,
+            document: DocumentDelta::between_if_worth_sending(base_document, document)?,
             applied_change,
         })
     }
@@ -58,7 +58,7 @@
     /// Returns a [`DeltaError`] where the delta is none from this state.
     pub fn apply_delta(&self, delta: &StateDelta) -> Result<ReplicatedState, DeltaError> {
         let base = self.document.as_ref().filter(|_| self.version == delta.base);
-        let document = delta.document.apply(base.ok_or(DeltaError::OtherBase)?)?;
+        let document = delta.document.apply(base.ok_or(DeltaError::BaseMismatch)?)?;
         let change = delta.applied_change.clone();
         let mut state = self.after(delta.version.term, delta.generation, document.into(), change);
         state.version = delta.version;
--- a/crates/router/control-plane/src/rollout/controller.rs
+++ b/crates/router/control-plane/src/rollout/controller.rs
@@ -93,7 +93,7 @@
     /// Takes the committed records.
     pub fn observe_committed(&mut self, now: Duration, rollouts: &Rollouts) {
         self.tracked.retain(|id, _| rollouts.find(*id).is_some());
-        for rollout in rollouts.services().flat_map(|(_, of_service)| of_service.all()) {
+        for rollout in rollouts.iter().flat_map(|(_, of_service)| of_service.all()) {
             let tracked = self.tracked.entry(rollout.id).or_insert_with(|| Tracked {
                 evidence: Evidence::new(now, Duration::from_millis(rollout.age_ms)),
                 phase: rollout.phase,
@@ -136,7 +136,7 @@
         rollouts: &Rollouts,
         exposure: ExposureBound,
     ) -> Vec<ShareGrant> {
-        let current = rollouts.services().filter_map(|(_, of_service)| of_service.current.as_ref());
+        let current = rollouts.iter().filter_map(|(_, of_service)| of_service.current.as_ref());
         let grant = |rollout: &Rollout| {
             let tracked = self.tracked.get(&rollout.id)?;
             let share = match rollout.phase {
@@ -176,12 +176,12 @@
         self.begin_load_tests(now, &state.rollouts, registry, exposure);
         let mut decision =
             Decision { rollouts: state.rollouts.clone(), service_versions: state.service_versions.clone() };
-        for (service, of_service) in state.rollouts.services() {
+        for (service, of_service) in state.rollouts.iter() {
             if let Some(next) = self.next_of_service(now, service, of_service, state, registry) {
                 if let Some(version) = version_in_service(&next) {
                     decision.service_versions.set(service, &version);
                 }
-                *decision.rollouts.of_mut(service) = next;
+                *decision.rollouts.get_or_insert_default(service) = next;
                 // One at a time: the others follow with the next decision.
                 return Some(decision);
             }
@@ -197,7 +197,7 @@
         registry: &Registry,
         exposure: ExposureBound,
     ) {
-        let current = rollouts.services().filter_map(|(_, of_service)| of_service.current.as_ref());
+        let current = rollouts.iter().filter_map(|(_, of_service)| of_service.current.as_ref());
         for rollout in current.filter(|rollout| rollout.phase == RolloutPhase::Canary) {
             let Some(tracked) = self.tracked.get_mut(&rollout.id) else { continue };
             let is_due = tracked.evidence.age(now) >= Schedule::of(rollout).load_test_at;
@@ -234,7 +234,7 @@
             None => {
                 let mut begun = next.waiting.remove(0);
                 begun.age_ms = as_millis(self.age(now, begun.id));
-                begun.base_version = state.service_versions.of(service).map(str::to_owned);
+                begun.base_version = state.service_versions.get(service).map(str::to_owned);
                 begun.phase = RolloutPhase::Canary;
                 if begun.base_version.as_ref() == Some(&begun.order.target_version) {
                     begun.phase = RolloutPhase::Completed;
--- a/crates/router/control-plane/src/rollout/order.rs
+++ b/crates/router/control-plane/src/rollout/order.rs
@@ -45,7 +45,7 @@
     state: &ReplicatedState,
     age_of: impl Fn(u64) -> Duration,
 ) -> OrderVerdict {
-    let of_service = state.rollouts.of(&order.service);
+    let of_service = state.rollouts.get(&order.service);
     let is_same = |rollout: &&Rollout| {
         rollout.order == *order
             && (!rollout.phase.is_final() || age_of(rollout.id) < Duration::from_millis(order.deadline_ms))
@@ -59,7 +59,7 @@
     let mut rollouts = state.rollouts.clone();
     let configured = configured_services(state);
     rollouts.retain_services(|service| configured.iter().any(|(name, _)| name == service));
-    rollouts.of_mut(&order.service).waiting.push(Rollout {
+    rollouts.get_or_insert_default(&order.service).waiting.push(Rollout {
         id: state.version.index + 1,
         order: order.clone(),
         base_version: None,
@@ -81,7 +81,7 @@
     match service {
         None => Err(OrderRejection::UnknownService(name())),
         Some((_, Some(_))) => Err(OrderRejection::VersionSetByConfiguration(name())),
-        Some(_) if of_service.is_some_and(|rollouts| !rollouts.has_room()) => {
+        Some(_) if of_service.is_some_and(|rollouts| !rollouts.has_queue_capacity()) => {
             Err(OrderRejection::TooManyWaiting(name()))
         }
         Some(_) => Ok(()),
--- a/crates/router/control-plane/tests/rollout.rs
+++ b/crates/router/control-plane/tests/rollout.rs
@@ -162,7 +162,7 @@
 fn the_same_order_again_is_the_one_of_before_until_its_deadline_is_over() {
     let mut state = accept(&configured(&json!({ "name": "s" })), &order("v2"));
     assert_eq!(adjudicate(&order("v2"), &state, |_| ms(9)), OrderVerdict::AlreadyAccepted);
-    let of_service = state.rollouts.of_mut("s");
+    let of_service = state.rollouts.get_or_insert_default("s");
     let mut ended = of_service.waiting.remove(0);
     ended.phase = RolloutPhase::RolledBack;
     of_service.current = Some(ended);
@@ -176,7 +176,7 @@
     for number in 2..6 {
         state = accept(&state, &order(&format!("v{number}")));
     }
-    let waiting = &state.rollouts.of("s").unwrap().waiting;
+    let waiting = &state.rollouts.get("s").unwrap().waiting;
     assert_eq!(waiting.iter().map(|one| one.id).collect::<Vec<_>>(), [1, 2, 3, 4]);
     let rejection = OrderRejection::TooManyWaiting("s".to_owned());
     assert_eq!(adjudicate(&order("v6"), &state, |_| ms(0)), OrderVerdict::Reject(rejection));
--- a/crates/router/control-plane/tests/state_delta.rs
+++ b/crates/router/control-plane/tests/state_delta.rs
@@ -55,10 +55,10 @@
 fn a_delta_applies_to_its_base_only() {
     let base = state(3);
     let delta = delta(&base);
-    assert_eq!(state(2).apply_delta(&delta), Err(DeltaError::OtherBase));
-    assert_eq!(next(&base).apply_delta(&delta), Err(DeltaError::OtherBase));
+    assert_eq!(state(2).apply_delta(&delta), Err(DeltaError::BaseMismatch));
+    assert_eq!(next(&base).apply_delta(&delta), Err(DeltaError::BaseMismatch));
     let other_term = ReplicatedState { version: StateVersion { term: 2, index: 3 }, ..base };
-    assert_eq!(other_term.apply_delta(&delta), Err(DeltaError::OtherBase));
+    assert_eq!(other_term.apply_delta(&delta), Err(DeltaError::BaseMismatch));
 }
 
 #[test]
--- a/crates/router/data-plane/src/balancer.rs
+++ b/crates/router/data-plane/src/balancer.rs
@@ -34,7 +34,7 @@
 
 /// How a request to an endpoint ended, as far as it matters for the selection of endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CallEnd {
+pub enum RequestOutcome {
     /// The response arrived completely.
     Completed,
     /// The endpoint rejected the request without running it.
@@ -57,7 +57,7 @@
     /// The prompt, where requests with the same prefixes go to the same endpoints; `None` selects by weight alone.
     pub prompt: Option<Prompt>,
     /// Latency target: the time within which a response has its full value.
-    pub target: Duration,
+    pub latency_target: Duration,
     /// Instance ids of endpoints that earlier attempts of the request went to; these are not selected.
     pub attempted: &'a [Arc<str>],
 }
@@ -132,7 +132,7 @@
     }
 
     /// Whether any endpoint of any service is ready.
-    pub fn has_ready(&self) -> bool {
+    pub fn has_ready_endpoint(&self) -> bool {
         self.endpoints.values().any(|endpoint| endpoint.state() == EndpointState::Ready)
     }
 
@@ -155,7 +155,7 @@
             }
         }
         match &request.prompt {
-            Some(prompt) => self.pick_by_prefill(now, &eligible, prompt, request.target),
+            Some(prompt) => self.pick_by_prefill(now, &eligible, prompt, request.latency_target),
             None => {
                 let id = round_robin::pick_by_weight(&mut self.endpoints, &eligible)?;
                 self.picked(&id, 0)
@@ -261,11 +261,11 @@
 
     /// A request that was sent has ended; `has_response` where the head of its response had arrived. A request that the
     /// client abandons counts as a failure where the endpoint had been silent since.
-    pub fn request_ended(&mut self, now: Duration, pick: &Pick, has_response: bool, end: CallEnd) {
+    pub fn request_ended(&mut self, now: Duration, pick: &Pick, has_response: bool, end: RequestOutcome) {
         let Some(endpoint) = self.endpoints.get_mut(&pick.id) else { return };
         endpoint.request_ended(has_response, pick.prefill_tokens);
         let is_silent = !has_response && endpoint.is_silent_since_sending();
-        if end == CallEnd::Failed || (end == CallEnd::Abandoned && is_silent) {
+        if end == RequestOutcome::Failed || (end == RequestOutcome::Abandoned && is_silent) {
             endpoint.fail(now);
         }
     }
--- a/crates/router/data-plane/src/balancer/load_report.rs
+++ b/crates/router/data-plane/src/balancer/load_report.rs
@@ -15,7 +15,7 @@
 
 impl LoadReport {
     /// Parses `RUNNING,WAITING,SLOTS`; further fields are ignored. `None` where a field is missing or no finite number.
-    pub fn read(text: &str) -> Option<Self> {
+    pub fn parse(text: &str) -> Option<Self> {
         let mut numbers = text.split(',').map(|n| n.trim().parse::<f64>().ok().filter(|n| n.is_finite()));
         let running = numbers.next()??;
         let waiting = numbers.next()??;
--- a/crates/router/data-plane/src/prompt.rs
+++ b/crates/router/data-plane/src/prompt.rs
@@ -40,7 +40,7 @@
     /// # Errors
     ///
     /// Returns [`PromptError::MalformedTokenUsage`] where the size is there and can't be read.
-    pub fn read(token_usage: Option<&[u8]>, prefix_hash: Option<&str>) -> Result<Self, PromptError> {
+    pub fn from_headers(token_usage: Option<&[u8]>, prefix_hash: Option<&str>) -> Result<Self, PromptError> {
         let (input_tokens, output_tokens) = token_usage.map_or(Ok((0, 0)), parse_token_usage)?;
         let mut prompt = Prompt { input_tokens, output_tokens, ..Prompt::default() };
         let segments = prefix_hash.map(parse_segments).unwrap_or_default();
--- a/crates/router/data-plane/src/rollout_shares.rs
+++ b/crates/router/data-plane/src/rollout_shares.rs
@@ -64,7 +64,7 @@
     /// The new version.
     pub version: String,
     /// Share of its endpoints that get requests, 0 to 1; one at least.
-    pub endpoints: f64,
+    pub endpoint_share: f64,
     /// Whether it is part of a load test: its endpoint is busier than usual.
     pub is_load_test: bool,
 }
@@ -128,7 +128,7 @@
 
     /// Takes the committed roll-outs. What was counted of those that run on is kept, and so is a lease within one phase.
     pub fn configure(&mut self, now: Duration, rollouts: &Rollouts) {
-        let active = rollouts.services().flat_map(|(_, of_service)| of_service.all());
+        let active = rollouts.iter().flat_map(|(_, of_service)| of_service.all());
         let active: Vec<u64> =
             active.filter(|rollout| !rollout.phase.is_final()).map(|rollout| rollout.id).collect();
         self.known_since.retain(|id, _| active.contains(id));
@@ -136,7 +136,7 @@
             self.known_since.entry(id).or_insert(now);
         }
         let mut previous = std::mem::take(&mut self.running);
-        for (service, of_service) in rollouts.services() {
+        for (service, of_service) in rollouts.iter() {
             let Some(current) = of_service.current.as_ref().filter(|one| !one.phase.is_final()) else {
                 continue;
             };
@@ -155,7 +155,7 @@
         let running = self.running.get_mut(service)?;
         let lease = running.lease.filter(|lease| now < lease.until)?;
         if let Some(version) = running.next_of_load_test() {
-            return Some(CanaryChoice { version, endpoints: 0.0, is_load_test: true });
+            return Some(CanaryChoice { version, endpoint_share: 0.0, is_load_test: true });
         }
         running.credit += lease.requests;
         if running.credit < 1.0 {
@@ -163,7 +163,7 @@
         }
         running.credit -= 1.0;
         let version = running.target_version.clone();
-        Some(CanaryChoice { version, endpoints: lease.endpoints, is_load_test: false })
+        Some(CanaryChoice { version, endpoint_share: lease.endpoints, is_load_test: false })
     }
 
     /// Whether a request that was chosen for a new version may still be sent there.
--- a/crates/router/data-plane/tests/balancer.rs
+++ b/crates/router/data-plane/tests/balancer.rs
@@ -1,6 +1,6 @@
 //! Selection of endpoints: weights by load, prefix affinity, zones, stalled and failing endpoints.
 
-use passrelay_data_plane::balancer::{Balancer, CallEnd, LoadReport, Pick, PickRequest};
+use passrelay_data_plane::balancer::{Balancer, LoadReport, Pick, PickRequest, RequestOutcome};
 use passrelay_data_plane::prompt::Prompt;
 use passrelay_dissemination::{EndpointLoad, EndpointRecord, EndpointState};
 use rstest::rstest;
@@ -37,7 +37,14 @@
 }
 
 fn request(prompt: Option<Prompt>) -> PickRequest<'static> {
-    PickRequest { service: "s", version: None, endpoint_share: None, prompt, target: ms(500), attempted: &[] }
+    PickRequest {
+        service: "s",
+        version: None,
+        endpoint_share: None,
+        prompt,
+        latency_target: ms(500),
+        attempted: &[],
+    }
 }
 
 fn pick(balancer: &mut Balancer, now: Duration, prompt: Option<Prompt>) -> Pick {
@@ -52,7 +59,7 @@
 /// A response head without a load report arrives, and the response is complete.
 fn complete(balancer: &mut Balancer, now: Duration, pick: &Pick, is_error: bool) {
     balancer.response_head_received(now, pick, None, is_error);
-    balancer.request_ended(now, pick, true, CallEnd::Completed);
+    balancer.request_ended(now, pick, true, RequestOutcome::Completed);
 }
 
 /// A prompt of which 1 000 tokens are not in the shared prefix.
@@ -76,7 +83,7 @@
     #[case] expected: Option<(f64, f64, f64)>,
 ) {
     let expected = expected.map(|(running, waiting, slots)| LoadReport { running, waiting, slots });
-    assert_eq!(LoadReport::read(header), expected);
+    assert_eq!(LoadReport::parse(header), expected);
 }
 
 #[test]
@@ -91,7 +98,7 @@
         let running = if &*pick.id == "i-0" { 6.0 } else { 0.0 };
         let report = LoadReport { running, waiting: 0.0, slots: 8.0 };
         balancer.response_head_received(now, &pick, Some(report), false);
-        balancer.request_ended(now, &pick, true, CallEnd::Completed);
+        balancer.request_ended(now, &pick, true, RequestOutcome::Completed);
     }
     assert!(counts["i-1"] > counts["i-0"], "{counts:?}");
     assert!(counts["i-0"] > 10, "a loaded endpoint still gets requests: {counts:?}");
@@ -108,7 +115,7 @@
         balancer.request_sent(ms(0), &pick, None);
         let idle = LoadReport { running: 0.0, waiting: 0.0, slots: 8.0 };
         balancer.response_head_received(ms(0), &pick, Some(idle), false);
-        balancer.request_ended(ms(0), &pick, true, CallEnd::Completed);
+        balancer.request_ended(ms(0), &pick, true, RequestOutcome::Completed);
     }
     let ids = picked_ids(&mut balancer, ms(300), 110);
     assert_eq!(ids.iter().filter(|id| &***id == "i-1").count(), 10, "a tenth of the weight");
@@ -206,7 +213,7 @@
         version: None,
         endpoint_share: None,
         prompt: None,
-        target: ms(500),
+        latency_target: ms(500),
         attempted,
     };
     for index in 0..10 {
@@ -286,7 +293,7 @@
         seen.insert(pick.id.to_string());
         balancer.request_sent(ms(index), &pick, prompt.as_ref());
         // Each fails, so that in the end all of the version are ejected.
-        balancer.request_ended(ms(index), &pick, false, CallEnd::Failed);
+        balancer.request_ended(ms(index), &pick, false, RequestOutcome::Failed);
     }
     assert_eq!(seen, HashSet::from(["i-0", "i-1", "i-4"].map(str::to_owned)));
     assert!(balancer.request_counts()["s"]["v1"] > 0 && !balancer.request_counts()["s"].contains_key("v2"));
--- a/crates/router/data-plane/tests/decision_trace/balancer.rs
+++ b/crates/router/data-plane/tests/decision_trace/balancer.rs
@@ -1,7 +1,7 @@
 //! Picks, outcomes, load reports and changes of endpoints against `Balancer`.
 
 use crate::support::{Digest, Draws};
-use passrelay_data_plane::balancer::{Balancer, CallEnd, LoadReport, Pick, PickRequest};
+use passrelay_data_plane::balancer::{Balancer, LoadReport, Pick, PickRequest, RequestOutcome};
 use passrelay_data_plane::prompt::Prompt;
 use passrelay_dissemination::{EndpointLoad, EndpointRecord, EndpointState};
 use rstest::rstest;
@@ -105,7 +105,7 @@
             1..=4 => "embed",
             _ => "chat",
         };
-        let target = Duration::from_millis(200 + self.draws.below(5_000));
+        let latency_target = Duration::from_millis(200 + self.draws.below(5_000));
         let attempted: Vec<Arc<str>> =
             (0..self.draws.below(4)).map(|_| format!("i-{}", self.draws.below(14)).into()).collect();
         let request = PickRequest {
@@ -113,7 +113,7 @@
             version: None,
             endpoint_share: None,
             prompt,
-            target,
+            latency_target,
             attempted: &attempted,
         };
         let Some(pick) = self.balancer.pick(self.now, &request) else {
@@ -155,10 +155,10 @@
         } else {
             let call = self.calls.swap_remove(index);
             let end = match self.draws.below(20) {
-                0 => CallEnd::Abandoned,
-                1 => CallEnd::Rejected,
-                _ if fails => CallEnd::Failed,
-                _ => CallEnd::Completed,
+                0 => RequestOutcome::Abandoned,
+                1 => RequestOutcome::Rejected,
+                _ if fails => RequestOutcome::Failed,
+                _ => RequestOutcome::Completed,
             };
             self.balancer.request_ended(self.now, &call.pick, call.is_answered, end);
         }
@@ -204,7 +204,7 @@
         }
         let id = format!("i-{}", self.draws.below(20));
         self.digest.number(u64::from(self.balancer.may_send(&id)));
-        self.digest.number(u64::from(self.balancer.has_ready()));
+        self.digest.number(u64::from(self.balancer.has_ready_endpoint()));
         self.digest.number(self.balancer.tracked_prefixes() as u64);
     }
 }
--- a/crates/router/data-plane/tests/prompt.rs
+++ b/crates/router/data-plane/tests/prompt.rs
@@ -16,7 +16,7 @@
     #[case] shared_prefix: Option<u64>,
     #[case] shared_prefix_tokens: u64,
 ) {
-    let prompt = Prompt::read(Some(token_usage.as_bytes()), Some(prefix_hash)).unwrap();
+    let prompt = Prompt::from_headers(Some(token_usage.as_bytes()), Some(prefix_hash)).unwrap();
     assert_eq!(
         (prompt.input_tokens, prompt.shared_prefix, prompt.shared_prefix_tokens),
         (input_tokens, shared_prefix, shared_prefix_tokens)
@@ -25,7 +25,7 @@
 
 #[test]
 fn absent_headers_declare_nothing() {
-    let prompt = Prompt::read(None, None).unwrap();
+    let prompt = Prompt::from_headers(None, None).unwrap();
     assert_eq!((prompt, prompt.total_tokens()), (Prompt::default(), None));
 }
 
@@ -42,13 +42,13 @@
 #[case::exponent("1e3,80")]
 #[case::not_ascii("\u{663}\u{664},80")]
 fn malformed_sizes_are_rejected(#[case] token_usage: &str) {
-    let error = Prompt::read(Some(token_usage.as_bytes()), None).unwrap_err();
+    let error = Prompt::from_headers(Some(token_usage.as_bytes()), None).unwrap_err();
     assert_eq!(error, PromptError::MalformedTokenUsage);
 }
 
 #[test]
 fn sizes_that_are_no_text_are_rejected() {
-    assert_eq!(Prompt::read(Some(b"1\xff,2"), None), Err(PromptError::MalformedTokenUsage));
+    assert_eq!(Prompt::from_headers(Some(b"1\xff,2"), None), Err(PromptError::MalformedTokenUsage));
 }
 
 // Guards against numbers that wrap around: the largest one and 1 made 0 tokens, which counted as not declared.
@@ -58,21 +58,21 @@
 #[case::many_digits("99999999999999999999999999999999999999999999,0")]
 #[case::output_alone("0,99999999999999999999")]
 fn huge_sizes_count_as_the_largest(#[case] token_usage: &str) {
-    let prompt = Prompt::read(Some(token_usage.as_bytes()), None).unwrap();
+    let prompt = Prompt::from_headers(Some(token_usage.as_bytes()), None).unwrap();
     assert!(prompt.total_tokens().unwrap() >= MAX_DECLARED_TOKENS);
 }
 
 #[test]
 fn huge_prefixes_do_not_wrap() {
     let segments = "1:18446744073709551615,2:18446744073709551615,3:1";
-    let prompt = Prompt::read(None, Some(segments)).unwrap();
+    let prompt = Prompt::from_headers(None, Some(segments)).unwrap();
     assert_eq!(prompt.shared_prefix_tokens, 2 * MAX_DECLARED_TOKENS);
 }
 
 proptest! {
     #[test]
     fn any_bytes_are_read_or_rejected(token_usage: Vec<u8>, prefix_hash: String) {
-        if let Ok(prompt) = Prompt::read(Some(&token_usage), Some(&prefix_hash)) {
+        if let Ok(prompt) = Prompt::from_headers(Some(&token_usage), Some(&prefix_hash)) {
             prop_assert!(prompt.input_tokens <= MAX_DECLARED_TOKENS);
             prop_assert!(prompt.output_tokens <= MAX_DECLARED_TOKENS);
         }
@@ -82,7 +82,7 @@
     #[test]
     fn sizes_count_what_they_say_up_to_the_bound(input: u128, output: u128) {
         let bound = u128::from(MAX_DECLARED_TOKENS);
-        let prompt = Prompt::read(Some(format!("{input},{output}").as_bytes()), None).unwrap();
+        let prompt = Prompt::from_headers(Some(format!("{input},{output}").as_bytes()), None).unwrap();
         let expected = input.min(bound) + output.min(bound);
         prop_assert_eq!(prompt.total_tokens().map_or(0, u128::from), expected);
     }
@@ -92,7 +92,7 @@
     fn sums_of_sizes_do_not_wrap(sizes in prop::collection::vec((any::<u64>(), any::<u64>()), 0..400)) {
         let mut sum = 0_u64;
         for (input, output) in sizes {
-            let prompt = Prompt::read(Some(format!("{input},{output}").as_bytes()), None).unwrap();
+            let prompt = Prompt::from_headers(Some(format!("{input},{output}").as_bytes()), None).unwrap();
             sum = sum.checked_add(prompt.total_tokens().unwrap_or(0)).unwrap();
         }
         prop_assert!(sum <= 800 * MAX_DECLARED_TOKENS);
--- a/crates/router/data-plane/tests/rollout_shares.rs
+++ b/crates/router/data-plane/tests/rollout_shares.rs
@@ -15,7 +15,7 @@
     let order =
         RolloutOrder { service: "s".to_owned(), target_version: "v2".to_owned(), deadline_ms: 12_000 };
     let mut rollouts = Rollouts::default();
-    rollouts.of_mut("s").current = Some(Rollout {
+    rollouts.get_or_insert_default("s").current = Some(Rollout {
         id: ID,
         order,
         base_version: Some("v1".to_owned()),
--- a/crates/router/dissemination/src/gossip/configuration.rs
+++ b/crates/router/dissemination/src/gossip/configuration.rs
@@ -98,7 +98,7 @@
     fn deltas_since(&self, index: u64) -> Vec<Arc<ConfigurationDelta>> {
         let deltas = self.deltas.since(&index);
         let documents = deltas.iter().map(|delta| &delta.document);
-        if DocumentDelta::are_short(documents, self.document_length()) {
+        if DocumentDelta::are_worth_sending(documents, self.document_length()) {
             deltas
         } else {
             Vec::new()
@@ -139,12 +139,12 @@
         &self,
         deltas: &[Arc<ConfigurationDelta>],
     ) -> Result<Option<CommittedConfiguration>, DeltaError> {
-        let Some(current) = &self.current else { return Err(DeltaError::OtherBase) };
+        let Some(current) = &self.current else { return Err(DeltaError::BaseMismatch) };
         let mut result: Option<CommittedConfiguration> = None;
         for delta in deltas.iter().filter(|delta| delta.index > current.index) {
             let base = result.as_ref().unwrap_or(current);
             if delta.base_index != base.index {
-                return Err(DeltaError::OtherBase);
+                return Err(DeltaError::BaseMismatch);
             }
             let document = delta.document.apply(&base.document)?.into();
             let (index, generation) = (delta.index, delta.generation);
@@ -167,7 +167,7 @@
         base_index: base.index,
         index: configuration.index,
         generation: configuration.generation,
-        document: DocumentDelta::if_short(&base.document, &configuration.document)?,
+        document: DocumentDelta::between_if_worth_sending(&base.document, &configuration.document)?,
         service_versions: configuration.service_versions.clone(),
         rollouts: configuration.rollouts.clone(),
     })
--- a/crates/router/node/src/data_plane.rs
+++ b/crates/router/node/src/data_plane.rs
@@ -77,7 +77,7 @@
     /// Logs the roll-outs whose phase is another than in the configuration before.
     fn log_rollouts(&self, committed: &CommittedConfiguration) {
         let before = self.configuration.snapshot();
-        for (service, of_service) in committed.rollouts.services() {
+        for (service, of_service) in committed.rollouts.iter() {
             for rollout in of_service.all() {
                 let known = before.as_ref().and_then(|snapshot| snapshot.rollouts.find(rollout.id));
                 if known.map(|known| known.phase) != Some(rollout.phase) {
--- a/crates/router/node/src/held_back_versions.rs
+++ b/crates/router/node/src/held_back_versions.rs
@@ -56,7 +56,7 @@
 ) -> BTreeMap<ServiceVersion, usize> {
     let mut counts = BTreeMap::new();
     for record in records.filter(|record| record.state == EndpointState::Ready) {
-        let in_service = versions.of(&record.service);
+        let in_service = versions.get(&record.service);
         if record.version.is_empty() || in_service.is_none_or(|version| version == record.version) {
             continue;
         }
--- a/crates/router/node/src/readiness.rs
+++ b/crates/router/node/src/readiness.rs
@@ -26,7 +26,7 @@
     /// Whether requests can be forwarded: a current configuration and ready endpoints are known.
     pub fn can_serve(&self) -> bool {
         self.data_plane.configuration.is_present()
-            && self.data_plane.balancer.borrow().has_ready()
+            && self.data_plane.balancer.borrow().has_ready_endpoint()
             && self.freshness.is_fresh()
     }
 }
--- a/crates/router/node/src/request/attempts.rs
+++ b/crates/router/node/src/request/attempts.rs
@@ -16,7 +16,7 @@
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 use hyper::{Response, StatusCode};
-use passrelay_data_plane::balancer::{CallEnd, LoadReport, Pick, PickRequest};
+use passrelay_data_plane::balancer::{LoadReport, Pick, PickRequest, RequestOutcome};
 use passrelay_data_plane::rollout_shares::{CanaryChoice, RequestFeatures};
 use smol::Timer;
 use std::rc::Rc;
@@ -217,15 +217,15 @@
         if self.history.attempts == 0 {
             let now = self.context.now();
             let choice = self.context.data_plane.rollout_shares.borrow_mut().choose(now, service);
-            if let Some(CanaryChoice { version, endpoints, is_load_test }) = choice {
+            if let Some(CanaryChoice { version, endpoint_share, is_load_test }) = choice {
                 let choice = if is_load_test { VersionChoice::LoadTest } else { VersionChoice::Canary };
-                if let Some(pick) = self.pick(admission, service, Some(&version), Some(endpoints)) {
+                if let Some(pick) = self.pick(admission, service, Some(&version), Some(endpoint_share)) {
                     return Some(Selected { pick, version, choice });
                 }
             }
         }
         // An endpoint registers by itself, so its version counts only if it is the one in service.
-        let version = admission.snapshot.service_versions.of(service);
+        let version = admission.snapshot.service_versions.get(service);
         let pick = self.pick(admission, service, version, None)?;
         let version = version.unwrap_or_default().to_owned();
         Some(Selected { pick, version, choice: VersionChoice::InService })
@@ -239,9 +239,9 @@
         endpoint_share: Option<f64>,
     ) -> Option<Pick> {
         let prompt = Some(self.inbound.prompt).filter(|_| admission.route.session_affinity);
-        let target = Duration::from_millis(admission.route.target_latency_ms);
+        let latency_target = Duration::from_millis(admission.route.target_latency_ms);
         let attempted = &self.attempted;
-        let request = PickRequest { service, version, endpoint_share, prompt, target, attempted };
+        let request = PickRequest { service, version, endpoint_share, prompt, latency_target, attempted };
         self.context.data_plane.balancer.borrow_mut().pick(self.context.now(), &request)
     }
 
@@ -257,14 +257,18 @@
             Some(Err(SendError::NotSent)) => {
                 // A reused connection may just have been closed by the endpoint, which says nothing about its
                 // health.
-                call.end(if connection.is_reused { CallEnd::Rejected } else { CallEnd::Failed });
+                call.end(if connection.is_reused {
+                    RequestOutcome::Rejected
+                } else {
+                    RequestOutcome::Failed
+                });
                 if connection.is_reused {
                     self.attempted.pop();
                 }
                 Outcome::NotExecuted
             }
             Some(Err(SendError::Broken)) => {
-                call.end(CallEnd::Failed);
+                call.end(RequestOutcome::Failed);
                 Outcome::Unknown
             }
             Some(Ok(response)) => self.judge_response(response, connection, call),
@@ -279,18 +283,18 @@
     ) -> Outcome {
         if response.headers().get(&REQUEST_ID) != self.inbound.headers.get(&REQUEST_ID) {
             // The response to another request.
-            call.end(CallEnd::Failed);
+            call.end(RequestOutcome::Failed);
             return Outcome::Unknown;
         }
         let load = response.headers().get(&INSTANCE_LOAD).and_then(|value| value.to_str().ok());
-        let report = load.and_then(LoadReport::read);
+        let report = load.and_then(LoadReport::parse);
         let misdirected = response.status() == StatusCode::MISDIRECTED_REQUEST;
         let executed = !misdirected && !response.headers().contains_key(&NOT_EXECUTED);
         call.record_response(report, executed && response.status().is_server_error());
         if executed {
             return Outcome::Answered(Box::new(Answered { response, connection, call }));
         }
-        call.end(if misdirected { CallEnd::Failed } else { CallEnd::Rejected });
+        call.end(if misdirected { RequestOutcome::Failed } else { RequestOutcome::Rejected });
         self.history.rejected += 1;
         let context = self.context.clone();
         self.context.spawner.spawn_bounded(drain(context, response, connection));
--- a/crates/router/node/src/request/endpoint_call.rs
+++ b/crates/router/node/src/request/endpoint_call.rs
@@ -1,7 +1,7 @@
 //! One call to an endpoint in the balancer's accounts.
 
 use crate::request_context::RequestContext;
-use passrelay_data_plane::balancer::{CallEnd, LoadReport, Pick};
+use passrelay_data_plane::balancer::{LoadReport, Pick, RequestOutcome};
 use passrelay_data_plane::prompt::Prompt;
 use passrelay_data_plane::rollout_shares::ObservedRequest;
 use passrelay_dissemination::Measure;
@@ -63,7 +63,7 @@
     }
 
     /// The call is over. Further calls have no effect.
-    pub fn end(&self, end: CallEnd) {
+    pub fn end(&self, end: RequestOutcome) {
         if self.in_flight.replace(false) {
             let now = self.context.now();
             let mut balancer = self.context.data_plane.balancer.borrow_mut();
@@ -88,19 +88,21 @@
     }
 
     /// Counts the outcome in the roll-out of the service; a request that was rejected without running has none.
-    fn record_outcome(&self, end: CallEnd) {
-        let Some(observed) = self.observed.as_ref().filter(|_| end != CallEnd::Rejected) else { return };
+    fn record_outcome(&self, end: RequestOutcome) {
+        let Some(observed) = self.observed.as_ref().filter(|_| end != RequestOutcome::Rejected) else {
+            return;
+        };
         self.record_first_byte();
-        if end == CallEnd::Completed {
+        if end == RequestOutcome::Completed {
             self.record_latency(Measure::Complete);
         }
-        let failed = self.is_error.get() || end == CallEnd::Failed;
+        let failed = self.is_error.get() || end == RequestOutcome::Failed;
         self.context.data_plane.rollout_shares.borrow_mut().record_end(observed, failed);
     }
 }
 
 impl Drop for EndpointCall {
     fn drop(&mut self) {
-        self.end(CallEnd::Abandoned);
+        self.end(RequestOutcome::Abandoned);
     }
 }
--- a/crates/router/node/src/request/inbound.rs
+++ b/crates/router/node/src/request/inbound.rs
@@ -51,7 +51,7 @@
         let key = bearer.map(|key| key.trim().to_owned());
         let timeout = parse_timeout(text(&DEADLINE))?;
         let token_usage = parts.headers.get(&TOKEN_USAGE).map(HeaderValue::as_bytes);
-        let prompt = Prompt::read(token_usage, text(&PREFIX_HASH))?;
+        let prompt = Prompt::from_headers(token_usage, text(&PREFIX_HASH))?;
         let path_and_query = parts.uri.path_and_query().map_or("/", |path| path.as_str());
         Ok(InboundRequest {
             uri: path_and_query.parse().map_err(|_| Failure::BadRequest)?,
--- a/crates/router/node/src/request/relay_body.rs
+++ b/crates/router/node/src/request/relay_body.rs
@@ -15,7 +15,7 @@
 use hyper::body::{Body as _, Frame, Incoming};
 use hyper::header::CONTENT_LENGTH;
 use hyper::{Response, StatusCode};
-use passrelay_data_plane::balancer::CallEnd;
+use passrelay_data_plane::balancer::RequestOutcome;
 use smol::stream;
 use smol::Timer;
 
@@ -91,7 +91,7 @@
                     }
                 }
                 Received::Broken => {
-                    self.call.end(CallEnd::Failed);
+                    self.call.end(RequestOutcome::Failed);
                     if !self.resume().await {
                         self.ended = true;
                         return Some(Err(BodyError::BrokeOff));
@@ -134,7 +134,7 @@
     /// The response is complete.
     fn finish(&mut self) {
         self.ended = true;
-        self.call.end(CallEnd::Completed);
+        self.call.end(RequestOutcome::Completed);
         if let Some(connection) = self.connection.take() {
             let context = self.attempts.context();
             context.upstream.put(context.now(), connection);
--- a/crates/testing/cluster-simulation/tests/rollouts.rs
+++ b/crates/testing/cluster-simulation/tests/rollouts.rs
@@ -205,7 +205,7 @@
                         *known = SidecarState::new(incarnation);
                     }
                     known.shares.configure(now, &configuration.rollouts);
-                    known.target_in_service = configuration.service_versions.of(SERVICE) == Some("v2");
+                    known.target_in_service = configuration.service_versions.get(SERVICE) == Some("v2");
                 }
                 Observation::SharesGranted { machine, incarnation, grant } => {
                     let RolloutMessage::Grant { request_id, shares } = grant else { continue };
@@ -278,10 +278,10 @@
     fn assert_agreed(&self, phase: RolloutPhase, version: &str, what: &str) {
         for machine in (0..self.cluster.len()).filter(|machine| self.cluster.runs(*machine)) {
             let status = self.cluster.process(machine).expect("a process").status(Duration::ZERO);
-            let current = status.rollouts.of(SERVICE).and_then(|rollouts| rollouts.current.clone());
+            let current = status.rollouts.get(SERVICE).and_then(|rollouts| rollouts.current.clone());
             let found = current.as_ref().map(|one| one.phase);
             assert_eq!(found, Some(phase), "{what}, machine {machine}: {current:?}");
-            assert_eq!(status.service_versions.of(SERVICE), Some(version), "{what}, machine {machine}");
+            assert_eq!(status.service_versions.get(SERVICE), Some(version), "{what}, machine {machine}");
         }
     }
 }
--- a/crates/testing/cluster-simulation/tests/service_versions.rs
+++ b/crates/testing/cluster-simulation/tests/service_versions.rs
@@ -103,7 +103,7 @@
     fn versions(&self) -> Vec<Option<String>> {
         let processes = (0..self.cluster.len()).filter_map(|machine| self.cluster.process(machine));
         let version = |process: &passrelay_control_plane::Coordinator| {
-            process.status(Duration::ZERO).service_versions.of(SERVICE).map(str::to_owned)
+            process.status(Duration::ZERO).service_versions.get(SERVICE).map(str::to_owned)
         };
         processes.map(version).collect()
     }
