--- a/crates/sidecar/load-balancing/benches/pick.rs
+++ b/crates/sidecar/load-balancing/benches/pick.rs
@@ -15,21 +15,30 @@
 
 impl Bench {
     fn new(nodes: u64) -> Bench {
-        let class = |effect| Class { latency_target: 2.5, effect, ..Class::default() };
-        let classes =
-            vec![class(Effect::Safe), class(Effect::Unsafe), class(Effect::Unsafe), class(Effect::Unsafe)];
-        let settings =
-            Settings { classes, cancel: true, duplicates: true, max_attempts: 4, ..Settings::default() };
+        let class = |idempotency| Class { latency_target: 2.5, idempotency, ..Class::default() };
+        let classes = vec![
+            class(Idempotency::Idempotent),
+            class(Idempotency::NonIdempotent),
+            class(Idempotency::NonIdempotent),
+            class(Idempotency::NonIdempotent),
+        ];
+        let settings = Settings {
+            classes,
+            allow_cancel: true,
+            allow_concurrent_attempts: true,
+            max_attempts: 4,
+            ..Settings::default()
+        };
         let balancer = Balancer::new(settings, 7, 0.0).expect("the settings make sense");
         let mut bench = Bench { balancer, now: 0.0, next: 0, actions: Vec::new() };
-        let entry = |n| Entry {
+        let entry = |n| EndpointEntry {
             upstream: UpstreamId(n),
             zone: ZoneId(0),
             cell: 0,
-            condition: Condition::Running,
+            state: EndpointState::Running,
             started: None,
         };
-        bench.handle(Event::FullList((0..nodes).map(entry).collect()));
+        bench.handle(Event::EndpointList((0..nodes).map(entry).collect()));
         // Every node has served every class.
         for _ in 0..nodes * 6 {
             bench.request(5.0);
@@ -42,10 +51,17 @@
         self.balancer.handle(self.now, event, &mut self.actions);
     }
 
-    fn arrive(&mut self, ttl: f64) -> Option<(RequestId, UpstreamId)> {
+    fn arrive(&mut self, client_timeout: f64) -> Option<(RequestId, UpstreamId)> {
         self.next += 1;
         let (id, class) = (RequestId(self.next), ClassId((self.next % 4) as usize));
-        self.handle(Event::Request { id, class, tenant: None, ttl, work_hint: None, repeat: false });
+        self.handle(Event::Request {
+            id,
+            class,
+            tenant: None,
+            client_timeout,
+            work_hint: None,
+            repeat: false,
+        });
         self.actions.iter().find_map(|a| match a {
             Action::Send { id, upstream, .. } => Some((*id, *upstream)),
             _ => None,
@@ -53,12 +69,12 @@
     }
 
     /// One request and its outcome.
-    fn request(&mut self, ttl: f64) {
+    fn request(&mut self, client_timeout: f64) {
         self.now += 0.0005;
-        let Some((id, upstream)) = self.arrive(ttl) else { return };
+        let Some((id, upstream)) = self.arrive(client_timeout) else { return };
         self.now += 0.0005;
-        let report = Some(Report { cpu: Some(0.4), rps: Some(90.0), ..Report::default() });
-        let (attempt, ending) = (0, Ending::Delivered);
+        let report = Some(LoadReport { cpu: Some(0.4), rps: Some(90.0), ..LoadReport::default() });
+        let (attempt, ending) = (0, Ending::Served);
         self.handle(Event::Outcome(Outcome {
             id,
             attempt,
--- a/crates/sidecar/load-balancing/src/api.rs
+++ b/crates/sidecar/load-balancing/src/api.rs
@@ -7,6 +7,6 @@
 mod ids;
 mod settings;
 
-pub use events::{Action, Condition, Ending, Entry, Event, Outcome, Report};
+pub use events::{Action, Ending, EndpointEntry, EndpointState, Event, LoadReport, Outcome};
 pub use ids::{ClassId, RequestId, TenantId, UpstreamId, ZoneId};
-pub use settings::{Class, DedupScope, Effect, Settings, SettingsError, Tenant};
+pub use settings::{Class, DedupScope, Idempotency, Settings, SettingsError, Tenant};
--- a/crates/sidecar/load-balancing/src/api/events.rs
+++ b/crates/sidecar/load-balancing/src/api/events.rs
@@ -4,15 +4,15 @@
 
 /// A load report; a field that was not reported is `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Report {
+pub struct LoadReport {
     /// Requests at the upstream, in work and queued.
-    pub active: Option<f64>,
+    pub in_flight: Option<f64>,
     /// Requests in its queue.
-    pub waiting: Option<f64>,
+    pub queued: Option<f64>,
     /// Part of the CPU in use, 0 to 1.
     pub cpu: Option<f64>,
     /// Recent service time in milliseconds.
-    pub avg_ms: Option<f64>,
+    pub service_time_ms: Option<f64>,
     /// Requests served a second.
     pub rps: Option<f64>,
     /// Errors a second.
@@ -21,7 +21,7 @@
 
 /// State of an upstream in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Condition {
+pub enum EndpointState {
     /// Running.
     Running,
     /// Completes its requests; no new ones may be sent.
@@ -32,7 +32,7 @@
 
 /// One entry of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Entry {
+pub struct EndpointEntry {
     /// The upstream.
     pub upstream: UpstreamId,
     /// Its zone.
@@ -40,7 +40,7 @@
     /// Its cell; upstreams of a cell share their deduplication keys.
     pub cell: u64,
     /// Its state.
-    pub condition: Condition,
+    pub state: EndpointState,
     /// When it last started, if that was not long ago.
     pub started: Option<f64>,
 }
@@ -49,27 +49,27 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
     /// Served.
-    Delivered,
+    Served,
     /// An error from the upstream; it may have run.
-    AppError,
+    UpstreamError,
     /// Rejected by the upstream before it ran.
     Shed,
     /// No answer in time; it may have run.
-    Expired,
+    TimedOut,
     /// No connection; it never ran.
-    DialFailed,
+    ConnectFailed,
     /// The connection broke; it may have run.
-    Dropped,
+    ConnectionLost,
     /// Cancelled; it may have run.
-    Revoked,
+    Cancelled,
     /// Never sent; it never ran.
-    Unused,
+    NotSent,
 }
 
 impl Ending {
     /// True when the attempt is known not to have run.
     pub fn never_ran(self) -> bool {
-        matches!(self, Ending::Shed | Ending::DialFailed | Ending::Unused)
+        matches!(self, Ending::Shed | Ending::ConnectFailed | Ending::NotSent)
     }
 }
 
@@ -89,18 +89,18 @@
     /// The request has its final answer and nothing more is owed.
     pub last: bool,
     /// The load report of the answer.
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
 }
 
 /// An event that the caller reports.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The full endpoint list; an absent upstream has been removed.
-    FullList(Vec<Entry>),
+    EndpointList(Vec<EndpointEntry>),
     /// Changed entries of the endpoint list.
-    ListChanges(Vec<Entry>),
+    EndpointChanges(Vec<EndpointEntry>),
     /// A call for the endpoint list failed or the subscription broke.
-    ListFailed,
+    EndpointListFailed,
     /// A request arrived and is owed one final answer.
     Request {
         /// Its id.
@@ -110,14 +110,14 @@
         /// Its tenant, if any.
         tenant: Option<TenantId>,
         /// Seconds until the client gives up.
-        ttl: f64,
+        client_timeout: f64,
         /// Its expected work in seconds, if known.
         work_hint: Option<f64>,
         /// The client marked it as a repeat.
         repeat: bool,
     },
     /// The response stream to the client has begun: the request can't be retried any more.
-    StreamBegan {
+    ResponseStarted {
         /// The request.
         id: RequestId,
         /// Number of the attempt.
@@ -130,7 +130,7 @@
     /// A wake-up asked for with [`Action::Wake`].
     Wake(u64),
     /// The result of [`Action::HealthCheck`].
-    HealthChecked {
+    HealthCheckEnded {
         /// The upstream.
         upstream: UpstreamId,
         /// How the health check ended.
@@ -138,7 +138,7 @@
         /// Seconds since it was sent.
         elapsed: f64,
         /// The load report of its answer.
-        report: Option<Report>,
+        report: Option<LoadReport>,
     },
 }
 
--- a/crates/sidecar/load-balancing/src/api/settings.rs
+++ b/crates/sidecar/load-balancing/src/api/settings.rs
@@ -16,9 +16,9 @@
 
 /// What may follow an attempt that may have run.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Idempotent: running twice is harmless.
-    Safe,
+    Idempotent,
     /// Repeats are dropped within a scope for a time.
     Keyed {
         /// Which upstreams drop repeats.
@@ -27,16 +27,16 @@
         window: f64,
     },
     /// Must never run twice.
-    Unsafe,
+    NonIdempotent,
 }
 
-impl Effect {
+impl Idempotency {
     /// Whether another attempt may start this many seconds after the first one that may have run.
     pub fn allows_repeat(self, after: f64) -> bool {
         match self {
-            Effect::Safe => true,
-            Effect::Keyed { window, .. } => after < window,
-            Effect::Unsafe => false,
+            Idempotency::Idempotent => true,
+            Idempotency::Keyed { window, .. } => after < window,
+            Idempotency::NonIdempotent => false,
         }
     }
 }
@@ -53,7 +53,7 @@
     /// Part of the value that an answer after the latency target still earns.
     pub late_value: f64,
     /// Whether a request may run again.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
 }
 
 impl Default for Class {
@@ -63,7 +63,7 @@
             latency_target_per_work: 0.0,
             value: 1.0,
             late_value: 0.0,
-            effect: Effect::Safe,
+            idempotency: Idempotency::Idempotent,
         }
     }
 }
@@ -107,15 +107,15 @@
     /// ... and how many of these are queued, so that a spare worker shows; false by default.
     pub reports_queue: bool,
     /// Health checks are allowed; false by default.
-    pub health_checks: bool,
+    pub allow_health_checks: bool,
     /// Cancelling an attempt is allowed; false by default.
-    pub cancel: bool,
+    pub allow_cancel: bool,
     /// Two attempts of one request may be in flight together; false by default.
-    pub duplicates: bool,
+    pub allow_concurrent_attempts: bool,
     /// Maximum number of attempts of one request; 3 by default.
     pub max_attempts: u32,
     /// Rejections carry a time to retry after; false by default.
-    pub retry_after: bool,
+    pub send_retry_after: bool,
     /// The longest such time that clients honour, in seconds; 0 by default.
     pub max_retry_after: f64,
     /// Time-out for a connection, in seconds; 0.25 by default.
@@ -151,11 +151,11 @@
             reports_in_answers: true,
             reports_concurrency: false,
             reports_queue: false,
-            health_checks: false,
-            cancel: false,
-            duplicates: false,
+            allow_health_checks: false,
+            allow_cancel: false,
+            allow_concurrent_attempts: false,
             max_attempts: 3,
-            retry_after: false,
+            send_retry_after: false,
             max_retry_after: 0.0,
             connect_timeout: 0.25,
             drain_grace: 1.0,
@@ -239,7 +239,8 @@
         if numbers.iter().any(|value| !value.is_finite() || *value < 0.0) {
             return invalid("classes", "aims, gains and late values must be finite and not negative");
         }
-        if matches!(self.effect, Effect::Keyed { window, .. } if !window.is_finite() || window < 0.0) {
+        if matches!(self.idempotency, Idempotency::Keyed { window, .. } if !window.is_finite() || window < 0.0)
+        {
             return invalid("classes", "a repeat window must be finite and not negative");
         }
         Ok(())
--- a/crates/sidecar/load-balancing/src/dispatcher.rs
+++ b/crates/sidecar/load-balancing/src/dispatcher.rs
@@ -14,8 +14,8 @@
 pub use transport::{Answer, Timer, Transport};
 
 use crate::api::{
-    Action, ClassId, Condition, Effect, Ending, Entry, Event, Report, RequestId, Settings, SettingsError,
-    TenantId, UpstreamId,
+    Action, ClassId, Ending, EndpointEntry, EndpointState, Event, Idempotency, LoadReport, RequestId,
+    Settings, SettingsError, TenantId, UpstreamId,
 };
 use crate::state::Balancer;
 use attempts::AttemptEnd;
@@ -33,9 +33,9 @@
     /// Its tenant, if any.
     pub tenant: Option<TenantId>,
     /// Seconds until the client gives up.
-    pub budget: f64,
+    pub client_timeout: f64,
     /// The work that the client expects of it, in seconds, if known.
-    pub work: Option<f64>,
+    pub work_hint: Option<f64>,
     /// The client marked it as a repeat.
     pub repeat: bool,
 }
@@ -80,7 +80,7 @@
     /// Seconds after which a rejected client may retry, if that is sent.
     retry_after: Option<f64>,
     /// By class, what it allows after an attempt that may have run.
-    effects: Vec<Effect>,
+    effects: Vec<Idempotency>,
     /// Reused for each event; empty between events.
     actions: Vec<Action>,
     /// Events that resulted from actions; empty between calls.
@@ -125,20 +125,20 @@
     /// # Errors
     ///
     /// Returns [`SettingsError`] when the decider can't apply them; nothing is changed then.
-    pub fn retune(&mut self, settings: &Settings) -> Result<(), SettingsError> {
-        self.decider.retune(settings)?;
+    pub fn update_settings(&mut self, settings: &Settings) -> Result<(), SettingsError> {
+        self.decider.update_settings(settings)?;
         self.apply_settings(settings);
         Ok(())
     }
 
     fn apply_settings(&mut self, settings: &Settings) {
         self.max_attempts = settings.max_attempts as usize;
-        self.retry_after = settings.retry_after.then_some(settings.max_retry_after);
-        self.effects = settings.classes.iter().map(|class| class.effect).collect();
+        self.retry_after = settings.send_retry_after.then_some(settings.max_retry_after);
+        self.effects = settings.classes.iter().map(|class| class.idempotency).collect();
     }
 
     /// Whether there is a node that may be sent new attempts.
-    pub fn is_ready(&self) -> bool {
+    pub fn has_running_upstream(&self) -> bool {
         !self.open.is_empty()
     }
 
@@ -158,28 +158,34 @@
         self.retry_after
     }
 
-    /// Assigns the id of the next request, for a transport that needs it before [`Dispatcher::arrive`].
-    pub fn next_id(&mut self) -> RequestId {
+    /// Assigns the id of the next request, for a transport that needs it before [`Dispatcher::request_arrived`].
+    pub fn assign_id(&mut self) -> RequestId {
         self.next_id += 1;
         RequestId(self.next_id)
     }
 
     /// A request arrives; its deadline counts from now.
-    pub fn arrive(&mut self, now: f64, id: RequestId, arrival: Arrival, transport: &mut dyn Transport) {
-        let Arrival { class, tenant, budget, work, repeat } = arrival;
-        let deadline = now + budget;
+    pub fn request_arrived(
+        &mut self,
+        now: f64,
+        id: RequestId,
+        arrival: Arrival,
+        transport: &mut dyn Transport,
+    ) {
+        let Arrival { class, tenant, client_timeout, work_hint, repeat } = arrival;
+        let deadline = now + client_timeout;
         self.counts.arrived += 1;
         let request = Request {
             deadline,
             answered: false,
             max_attempts: self.max_attempts,
-            effect: self.effects.get(class.0).copied().unwrap_or(Effect::Unsafe),
+            idempotency: self.effects.get(class.0).copied().unwrap_or(Idempotency::NonIdempotent),
             attempts: Vec::new(),
         };
         self.requests.insert(id, request);
         // One tick early: the answer after an expired attempt has to arrive in time.
         transport.set_timer(deadline - self.tick, Timer::Deadline(id));
-        let event = Event::Request { id, class, tenant, ttl: budget, work_hint: work, repeat };
+        let event = Event::Request { id, class, tenant, client_timeout, work_hint, repeat };
         self.feed(event, &mut Context { now, transport });
     }
 
@@ -193,13 +199,13 @@
     }
 
     /// An attempt has ended. Further outcomes of the same attempt are ignored.
-    pub fn outcome(
+    pub fn attempt_ended(
         &mut self,
         now: f64,
         id: RequestId,
         attempt: u32,
         ending: Ending,
-        report: Option<Report>,
+        report: Option<LoadReport>,
         transport: &mut dyn Transport,
     ) {
         let end = AttemptEnd { id, attempt, ending, report };
@@ -208,11 +214,11 @@
 
     /// A node has answered that the request itself is invalid. It fails at once, and to the decider its client has
     /// disconnected: the request is not retried, and no node is blamed for it.
-    pub fn reject_invalid(&mut self, now: f64, id: RequestId, attempt: u32, transport: &mut dyn Transport) {
+    pub fn fail_invalid(&mut self, now: f64, id: RequestId, attempt: u32, transport: &mut dyn Transport) {
         let mut context = Context { now, transport };
         self.finish(id, Answer::Invalid, &mut context);
         self.feed(Event::ClientDisconnected(id), &mut context);
-        let end = AttemptEnd { id, attempt, ending: Ending::Revoked, report: None };
+        let end = AttemptEnd { id, attempt, ending: Ending::Cancelled, report: None };
         self.finish_attempt(&end, &mut context);
     }
 
@@ -223,10 +229,10 @@
         upstream: UpstreamId,
         ending: Ending,
         elapsed: f64,
-        report: Option<Report>,
+        report: Option<LoadReport>,
         transport: &mut dyn Transport,
     ) {
-        let event = Event::HealthChecked { upstream, ending, elapsed, report };
+        let event = Event::HealthCheckEnded { upstream, ending, elapsed, report };
         self.feed(event, &mut Context { now, transport });
     }
 
@@ -235,7 +241,7 @@
         &mut self,
         now: f64,
         full: bool,
-        entries: Vec<Entry>,
+        entries: Vec<EndpointEntry>,
         transport: &mut dyn Transport,
     ) {
         if full {
@@ -243,19 +249,19 @@
             self.open.clear();
         }
         for entry in &entries {
-            if entry.condition == Condition::Running {
+            if entry.state == EndpointState::Running {
                 self.open.insert(entry.upstream);
             } else {
                 self.open.remove(&entry.upstream);
             }
         }
-        let event = if full { Event::FullList(entries) } else { Event::ListChanges(entries) };
+        let event = if full { Event::EndpointList(entries) } else { Event::EndpointChanges(entries) };
         self.feed(event, &mut Context { now, transport });
     }
 
     /// A call for the endpoint list has failed.
     pub fn discovery_failed(&mut self, now: f64, transport: &mut dyn Transport) {
-        self.feed(Event::ListFailed, &mut Context { now, transport });
+        self.feed(Event::EndpointListFailed, &mut Context { now, transport });
     }
 
     /// A timer set through [`Transport::set_timer`] has fired.
@@ -286,7 +292,7 @@
         let Some(request) = self.requests.get(&id).filter(|request| !request.answered) else { return };
         let in_flight = request.attempts_in_flight();
         let answer = if request.may_have_run() {
-            Answer::Failed { late: true }
+            Answer::Failed { timed_out: true }
         } else {
             Answer::Rejected { retry_after: self.retry_after }
         };
@@ -321,8 +327,8 @@
                 self.finish(id, Answer::Rejected { retry_after }, context);
             }
             Action::Fail { id } => {
-                let late = self.requests.get(&id).is_some_and(Request::has_expired);
-                self.finish(id, Answer::Failed { late }, context);
+                let timed_out = self.requests.get(&id).is_some_and(Request::has_expired);
+                self.finish(id, Answer::Failed { timed_out }, context);
             }
             Action::Wake { after, token } => {
                 context.transport.set_timer(context.now + after, Timer::Wake(token));
--- a/crates/sidecar/load-balancing/src/dispatcher/attempts.rs
+++ b/crates/sidecar/load-balancing/src/dispatcher/attempts.rs
@@ -2,14 +2,14 @@
 
 use super::request::Attempt;
 use super::{Answer, Context, Decider, Dispatcher, Timer};
-use crate::api::{Ending, Event, Outcome, Report, RequestId, UpstreamId};
+use crate::api::{Ending, Event, LoadReport, Outcome, RequestId, UpstreamId};
 
 /// End of an attempt, as the transport or a timer reports it.
 pub(super) struct AttemptEnd {
     pub id: RequestId,
     pub attempt: u32,
     pub ending: Ending,
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
 }
 
 impl<D: Decider> Dispatcher<D> {
@@ -26,7 +26,7 @@
         // window ...
         let earlier = &request.attempts[..attempt as usize];
         let first_run = earlier.iter().find(|earlier| earlier.may_have_run);
-        if first_run.is_some_and(|run| !request.effect.allows_repeat(now + self.tick - run.sent_at)) {
+        if first_run.is_some_and(|run| !request.idempotency.allows_repeat(now + self.tick - run.sent_at)) {
             return None;
         }
         // ... and no send after the drain limit, which counts from the first byte.
@@ -55,7 +55,7 @@
             ending: None,
         });
         if !allowed || !self.open.contains(&to) {
-            let end = AttemptEnd { id, attempt, ending: Ending::Unused, report: None };
+            let end = AttemptEnd { id, attempt, ending: Ending::NotSent, report: None };
             let event = self.end_attempt(&end, context);
             self.backlog.extend(event);
             return;
@@ -71,7 +71,7 @@
     pub(super) fn cancel(&mut self, id: RequestId, attempt: u32, context: &mut Context<'_>) {
         if self.is_in_flight(id, attempt) {
             context.transport.cancel(id, attempt);
-            let end = AttemptEnd { id, attempt, ending: Ending::Revoked, report: None };
+            let end = AttemptEnd { id, attempt, ending: Ending::Cancelled, report: None };
             let event = self.end_attempt(&end, context);
             self.backlog.extend(event);
         }
@@ -81,7 +81,7 @@
     pub(super) fn expire(&mut self, id: RequestId, attempt: u32, context: &mut Context<'_>) {
         if self.is_in_flight(id, attempt) {
             context.transport.cancel(id, attempt);
-            let end = AttemptEnd { id, attempt, ending: Ending::Expired, report: None };
+            let end = AttemptEnd { id, attempt, ending: Ending::TimedOut, report: None };
             self.finish_attempt(&end, context);
         }
     }
@@ -104,7 +104,7 @@
         sent.ending = Some(ending);
         let upstream = sent.to;
         let elapsed = (context.now - sent.sent_at).max(0.0);
-        if ending != Ending::Delivered {
+        if ending != Ending::Served {
             self.counts.unserved_attempts += 1;
         } else if !request.answered {
             request.answered = true;
--- a/crates/sidecar/load-balancing/src/dispatcher/decider.rs
+++ b/crates/sidecar/load-balancing/src/dispatcher/decider.rs
@@ -9,12 +9,12 @@
     /// Handles one event at time `now` and appends the resulting actions.
     fn handle(&mut self, now: f64, event: Event, actions: &mut Vec<Action>);
 
-    /// Replaces the settings by those of a later generation; see [`Balancer::retune`]. By default they are ignored.
+    /// Replaces the settings by those of a later generation; see [`Balancer::update_settings`]. By default they are ignored.
     ///
     /// # Errors
     ///
     /// Returns [`SettingsError`] when the settings can't be applied; nothing is changed then.
-    fn retune(&mut self, _settings: &Settings) -> Result<(), SettingsError> {
+    fn update_settings(&mut self, _settings: &Settings) -> Result<(), SettingsError> {
         Ok(())
     }
 }
@@ -24,8 +24,8 @@
         Balancer::handle(self, now, event, actions);
     }
 
-    fn retune(&mut self, settings: &Settings) -> Result<(), SettingsError> {
-        Balancer::retune(self, settings.clone())
+    fn update_settings(&mut self, settings: &Settings) -> Result<(), SettingsError> {
+        Balancer::update_settings(self, settings.clone())
     }
 }
 
@@ -34,7 +34,7 @@
         (**self).handle(now, event, actions);
     }
 
-    fn retune(&mut self, settings: &Settings) -> Result<(), SettingsError> {
-        (**self).retune(settings)
+    fn update_settings(&mut self, settings: &Settings) -> Result<(), SettingsError> {
+        (**self).update_settings(settings)
     }
 }
--- a/crates/sidecar/load-balancing/src/dispatcher/request.rs
+++ b/crates/sidecar/load-balancing/src/dispatcher/request.rs
@@ -1,6 +1,6 @@
 //! State of a request between its arrival and the outcome of its last attempt.
 
-use crate::api::{Effect, Ending, UpstreamId};
+use crate::api::{Ending, Idempotency, UpstreamId};
 
 /// A request that is owed one final answer, or has an attempt in flight.
 pub(super) struct Request {
@@ -11,7 +11,7 @@
     /// Maximum number of attempts by the settings of its arrival: a later generation does not change it.
     pub max_attempts: usize,
     /// What its class allowed at its arrival after an attempt that may have run.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// By number of the attempt.
     pub attempts: Vec<Attempt>,
 }
@@ -45,7 +45,7 @@
 
     /// Whether an attempt timed out.
     pub fn has_expired(&self) -> bool {
-        self.attempts.iter().any(|attempt| attempt.ending == Some(Ending::Expired))
+        self.attempts.iter().any(|attempt| attempt.ending == Some(Ending::TimedOut))
     }
 
     /// Numbers of the attempts in flight.
--- a/crates/sidecar/load-balancing/src/dispatcher/transport.rs
+++ b/crates/sidecar/load-balancing/src/dispatcher/transport.rs
@@ -18,7 +18,7 @@
     /// Failed; a retry by the client may run the request again.
     Failed {
         /// It timed out.
-        late: bool,
+        timed_out: bool,
     },
     /// Failed: the request itself is invalid.
     Invalid,
@@ -37,7 +37,7 @@
 
 /// What a protocol does for the dispatcher. No call may call back into the dispatcher.
 pub trait Transport {
-    /// Sends an attempt. Unless it is cancelled, one [`Dispatcher::outcome`](super::Dispatcher::outcome) must follow.
+    /// Sends an attempt. Unless it is cancelled, one [`Dispatcher::attempt_ended`](super::Dispatcher::attempt_ended) must follow.
     fn send(&mut self, id: RequestId, attempt: u32, to: UpstreamId);
     /// Cancels an attempt, whose outcome must not be reported any more.
     fn cancel(&mut self, id: RequestId, attempt: u32);
--- a/crates/sidecar/load-balancing/src/lib.rs
+++ b/crates/sidecar/load-balancing/src/lib.rs
@@ -7,24 +7,24 @@
 //! timers are up to the caller.
 //!
 //! ```
-//! use passrelay_load_balancing::{Action, Balancer, ClassId, Condition, Entry, Event};
+//! use passrelay_load_balancing::{Action, Balancer, ClassId, EndpointEntry, EndpointState, Event};
 //! use passrelay_load_balancing::{RequestId, Settings, UpstreamId, ZoneId};
 //!
 //! let mut balancer = Balancer::new(Settings::default(), 7, 0.0)?;
 //! let mut actions = Vec::new();
-//! let entry = Entry {
+//! let entry = EndpointEntry {
 //!     upstream: UpstreamId(1),
 //!     zone: ZoneId(0),
 //!     cell: 0,
-//!     condition: Condition::Running,
+//!     state: EndpointState::Running,
 //!     started: None,
 //! };
-//! balancer.handle(0.0, Event::FullList(vec![entry]), &mut actions);
+//! balancer.handle(0.0, Event::EndpointList(vec![entry]), &mut actions);
 //! let request = Event::Request {
 //!     id: RequestId(42),
 //!     class: ClassId(0),
 //!     tenant: None,
-//!     ttl: 2.0,
+//!     client_timeout: 2.0,
 //!     work_hint: None,
 //!     repeat: false,
 //! };
@@ -42,7 +42,7 @@
 pub mod weighted_round_robin;
 
 pub use api::{
-    Action, Class, ClassId, Condition, DedupScope, Effect, Ending, Entry, Event, Outcome, Report, RequestId,
-    Settings, SettingsError, Tenant, TenantId, UpstreamId, ZoneId,
+    Action, Class, ClassId, DedupScope, Ending, EndpointEntry, EndpointState, Event, Idempotency, LoadReport,
+    Outcome, RequestId, Settings, SettingsError, Tenant, TenantId, UpstreamId, ZoneId,
 };
 pub use state::Balancer;
--- a/crates/sidecar/load-balancing/src/lifecycle.rs
+++ b/crates/sidecar/load-balancing/src/lifecycle.rs
@@ -24,7 +24,7 @@
 ///
 /// In this order: `listener_closes`, `idle_closes`, `answers_by`, `exits_by`, all before the earliest SIGKILL.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct PlannedEnd {
+pub struct ShutdownSchedule {
     /// No more connections arrive: the listener closes.
     pub listener_closes: f64,
     /// Idle client connections close, and every answer from now on closes its connection.
@@ -35,16 +35,16 @@
     pub exits_by: f64,
 }
 
-impl PlannedEnd {
+impl ShutdownSchedule {
     /// The schedule for classes with these deadlines, in seconds.
-    pub fn of(deadlines: impl Iterator<Item = f64>) -> Self {
+    pub fn for_deadlines(deadlines: impl Iterator<Item = f64>) -> Self {
         let longest = deadlines.fold(0.0, f64::max).min(MAX_DEADLINE_S);
         let kill = longest + KILL_DELAY_S;
         let answers_by = kill - ANSWER_MARGIN_S;
         let idle_closes = (IDLE_FRACTION * kill).min(answers_by);
         let listener_closes = ARRIVALS_END_S.min(idle_closes);
         let exits_by = answers_by + FINAL_READ_TIMEOUT_S;
-        PlannedEnd { listener_closes, idle_closes, answers_by, exits_by }
+        ShutdownSchedule { listener_closes, idle_closes, answers_by, exits_by }
     }
 }
 
@@ -57,7 +57,7 @@
     pub standby_count: u64,
 }
 
-/// Result of a call to [`Lifecycle::standby`] or [`Lifecycle::active`], which are idempotent.
+/// Result of a call to [`Lifecycle::enter_standby`] or [`Lifecycle::leave_standby`], which are idempotent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Transition {
     /// It was in that state already.
@@ -68,7 +68,7 @@
 
 impl Lifecycle {
     /// Enters standby at `now`; a second call keeps the earlier time.
-    pub fn standby(&mut self, now: f64) -> Transition {
+    pub fn enter_standby(&mut self, now: f64) -> Transition {
         if self.standby.is_some() {
             return Transition::Unchanged;
         }
@@ -78,7 +78,7 @@
     }
 
     /// Accepts clients again.
-    pub fn active(&mut self) -> Transition {
+    pub fn leave_standby(&mut self) -> Transition {
         match self.standby.take() {
             Some(_) => Transition::Changed,
             None => Transition::Unchanged,
--- a/crates/sidecar/load-balancing/src/lifecycle/tests.rs
+++ b/crates/sidecar/load-balancing/src/lifecycle/tests.rs
@@ -5,16 +5,16 @@
 fn standby_and_active_are_idempotent_and_revert_each_other() {
     let mut lifecycle = Lifecycle::default();
     assert!(lifecycle.is_ready(true, false));
-    assert_eq!(lifecycle.standby(1.0), Transition::Changed);
-    assert_eq!(lifecycle.standby(2.0), Transition::Unchanged);
+    assert_eq!(lifecycle.enter_standby(1.0), Transition::Changed);
+    assert_eq!(lifecycle.enter_standby(2.0), Transition::Unchanged);
     assert_eq!(lifecycle.standby_since(), Some(1.0));
     assert!(
         !lifecycle.is_ready(true, false)
             && lifecycle.closes_after_answer(false)
             && lifecycle.closes_idle_connections()
     );
-    assert_eq!(lifecycle.active(), Transition::Changed);
-    assert_eq!(lifecycle.active(), Transition::Unchanged);
+    assert_eq!(lifecycle.leave_standby(), Transition::Changed);
+    assert_eq!(lifecycle.leave_standby(), Transition::Unchanged);
     assert!(lifecycle.is_ready(true, false) && !lifecycle.closes_after_answer(false));
     assert!(!lifecycle.is_ready(false, false) && !lifecycle.is_ready(true, true));
     assert_eq!(lifecycle.standby_count, 1);
@@ -25,7 +25,7 @@
 fn graceful_shutdown_ends_before_the_earliest_sigkill_for_all_deadlines() {
     for deadlines in [vec![0.1], vec![0.4, 0.2], vec![1.0, 1.5], vec![2.5, 3.0], vec![6.0, 0.3], vec![]] {
         let longest = deadlines.iter().copied().fold(0.0, f64::max);
-        let end = PlannedEnd::of(deadlines.into_iter());
+        let end = ShutdownSchedule::for_deadlines(deadlines.into_iter());
         let kill = longest.min(3.0) + 0.7;
         assert!(end.listener_closes <= end.idle_closes && end.idle_closes <= end.answers_by, "{end:?}");
         assert!(end.answers_by <= kill - 0.3 && end.exits_by < kill && end.exits_by > end.answers_by);
--- a/crates/sidecar/load-balancing/src/policy.rs
+++ b/crates/sidecar/load-balancing/src/policy.rs
@@ -49,17 +49,17 @@
             self.now = now;
         }
         match event {
-            Event::FullList(entries) => self.replace_endpoints(&entries, actions),
-            Event::ListChanges(entries) => self.update_endpoints(&entries, actions),
-            Event::ListFailed => self.back_off_list(actions),
-            Event::Request { id, class, tenant, ttl, work_hint, .. } => {
-                self.admit(id, class, tenant, ttl, work_hint);
+            Event::EndpointList(entries) => self.replace_endpoints(&entries, actions),
+            Event::EndpointChanges(entries) => self.update_endpoints(&entries, actions),
+            Event::EndpointListFailed => self.back_off_list(actions),
+            Event::Request { id, class, tenant, client_timeout, work_hint, .. } => {
+                self.admit(id, class, tenant, client_timeout, work_hint);
             }
-            Event::StreamBegan { id, .. } => self.requests.complete(id),
+            Event::ResponseStarted { id, .. } => self.requests.complete(id),
             Event::Outcome(outcome) => self.observe_outcome(&outcome, actions),
             Event::ClientDisconnected(id) => self.requests.finish(id),
             Event::Wake(token) => self.wake(token, actions),
-            Event::HealthChecked { upstream, ending, report, .. } => {
+            Event::HealthCheckEnded { upstream, ending, report, .. } => {
                 self.observe_health_check(upstream, ending, report);
             }
         }
--- a/crates/sidecar/load-balancing/src/policy/admission_control.rs
+++ b/crates/sidecar/load-balancing/src/policy/admission_control.rs
@@ -4,7 +4,7 @@
 //! served in time by any upstream is rejected at once, and a pending one when it can no longer be answered in
 //! time.
 
-use crate::api::{Action, ClassId, DedupScope, Effect, RequestId, TenantId};
+use crate::api::{Action, ClassId, DedupScope, Idempotency, RequestId, TenantId};
 use crate::state::{Balancer, PendingRequest, Request};
 
 /// Requests of more than this many times the mean cost of their class may be rejected as infeasible. Others
@@ -26,14 +26,15 @@
         id: RequestId,
         class: ClassId,
         tenant: Option<TenantId>,
-        ttl: f64,
+        client_timeout: f64,
         work_hint: Option<f64>,
     ) {
         let Some(rules) = self.settings.classes.get(class.0).cloned() else { return };
-        let ttl = if ttl.is_finite() { ttl.max(0.0) } else { rules.latency_target };
+        let client_timeout =
+            if client_timeout.is_finite() { client_timeout.max(0.0) } else { rules.latency_target };
         let cost = work_hint.filter(|cost| cost.is_finite() && *cost > 0.0);
         let priority = rules.value * self.quota_priority(tenant);
-        let deadline = self.now + ttl;
+        let deadline = self.now + client_timeout;
         let target = self.now + rules.latency_target + rules.latency_target_per_work * cost.unwrap_or(0.0);
         let answer_by = if rules.late_value > 0.0 { deadline } else { target.min(deadline) };
         let expected_time = self.expected_time(class, cost, answer_by);
@@ -47,7 +48,7 @@
             priority,
             cost,
             expected_time,
-            idempotent: rules.effect == Effect::Safe,
+            idempotent: rules.idempotency == Idempotency::Idempotent,
             attempts: Vec::new(),
             pending: true,
             completed: false,
@@ -101,13 +102,16 @@
     pub(super) fn reject(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id).filter(|request| !request.completed) else { return };
         let ran = request.attempts.iter().any(|attempt| attempt.may_have_run);
-        let effect = self.settings.classes[request.class.0].effect;
-        let repeatable = matches!(effect, Effect::Safe | Effect::Keyed { scope: DedupScope::All, .. });
+        let idempotency = self.settings.classes[request.class.0].idempotency;
+        let repeatable = matches!(
+            idempotency,
+            Idempotency::Idempotent | Idempotency::Keyed { scope: DedupScope::All, .. }
+        );
         actions.push(if !ran || repeatable {
             // The longest time that clients honour: rejected ones that return soon displace those that can
             // still be served in time.
             let retry_after = self.settings.max_retry_after;
-            Action::Reject { id, retry_after: self.settings.retry_after.then_some(retry_after) }
+            Action::Reject { id, retry_after: self.settings.send_retry_after.then_some(retry_after) }
         } else {
             Action::Fail { id }
         });
--- a/crates/sidecar/load-balancing/src/policy/dispatch.rs
+++ b/crates/sidecar/load-balancing/src/policy/dispatch.rs
@@ -1,7 +1,7 @@
 //! Dispatch: sends pending requests by priority, rejects those that can't be answered in time, and checks
 //! every send.
 
-use crate::api::{Action, Condition, RequestId, UpstreamId};
+use crate::api::{Action, EndpointState, RequestId, UpstreamId};
 use crate::state::{Attempt, Balancer, InFlightAttempt, PendingRequest};
 
 use super::outlier::Survey;
@@ -48,7 +48,7 @@
     /// Sends pending requests, highest priority first, and rejects those that can no longer be answered in
     /// time.
     pub(super) fn dispatch(&mut self, actions: &mut Vec<Action>) {
-        let may_hedge = self.settings.cancel && self.requests.has_open_idempotent();
+        let may_hedge = self.settings.allow_cancel && self.requests.has_open_idempotent();
         if self.requests.pending().is_empty() && !may_hedge {
             return;
         }
@@ -139,7 +139,7 @@
     /// attempts and time.
     fn send(&mut self, id: RequestId, to: UpstreamId, actions: &mut Vec<Action>) -> bool {
         let Some(upstream) = self.upstreams.get(&to) else { return false };
-        let draining = upstream.entry.condition != Condition::Running;
+        let draining = upstream.entry.state != EndpointState::Running;
         if draining || !self.may_send_again(id) {
             return false;
         }
@@ -168,11 +168,12 @@
     /// Whether a request may have another attempt now, wherever it goes.
     fn may_send_again(&self, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
-        let effect = self.settings.classes[request.class.0].effect;
+        let idempotency = self.settings.classes[request.class.0].idempotency;
         let first_run = request.attempts.iter().find(|attempt| attempt.may_have_run);
-        let repeat_allowed = first_run.is_none_or(|attempt| effect.allows_repeat(self.now - attempt.sent_at));
+        let repeat_allowed =
+            first_run.is_none_or(|attempt| idempotency.allows_repeat(self.now - attempt.sent_at));
         let none_in_flight = request.attempts.iter().all(|attempt| !attempt.in_flight);
-        let concurrency_allowed = self.settings.duplicates || none_in_flight;
+        let concurrency_allowed = self.settings.allow_concurrent_attempts || none_in_flight;
         let attempts_left = (request.attempts.len() as u32) < self.settings.max_attempts;
         let in_time = self.now < request.deadline;
         !request.completed && repeat_allowed && concurrency_allowed && attempts_left && in_time
--- a/crates/sidecar/load-balancing/src/policy/endpoints.rs
+++ b/crates/sidecar/load-balancing/src/policy/endpoints.rs
@@ -4,7 +4,7 @@
 //! date, and each instance pays for every failing one and opens a connection to each. So each prefers a
 //! subset, which overlaps with the subsets of others.
 
-use crate::api::{Action, Condition, Entry};
+use crate::api::{Action, EndpointEntry, EndpointState};
 use crate::state::{Balancer, Upstream};
 
 use super::load_factor::DEFAULT_LOAD_FACTOR;
@@ -19,9 +19,9 @@
 
 impl Balancer {
     /// Applies a full endpoint list: absent upstreams are removed.
-    pub(super) fn replace_endpoints(&mut self, entries: &[Entry], actions: &mut Vec<Action>) {
+    pub(super) fn replace_endpoints(&mut self, entries: &[EndpointEntry], actions: &mut Vec<Action>) {
         for upstream in self.upstreams.values_mut() {
-            upstream.entry.condition = Condition::Removed;
+            upstream.entry.state = EndpointState::Removed;
         }
         self.update_endpoints(entries, actions);
     }
@@ -37,7 +37,7 @@
     }
 
     /// Applies changed entries of the endpoint list.
-    pub(super) fn update_endpoints(&mut self, entries: &[Entry], actions: &mut Vec<Action>) {
+    pub(super) fn update_endpoints(&mut self, entries: &[EndpointEntry], actions: &mut Vec<Action>) {
         if self.settings.list_by_subscription && self.upstreams.is_empty() && self.list_failures == 0 {
             actions.push(Action::Subscribe);
         }
@@ -47,7 +47,7 @@
         }
         // An upstream that was removed stays until the outcomes of its attempts have arrived.
         self.upstreams.retain(|_, upstream| {
-            upstream.entry.condition != Condition::Removed || !upstream.in_flight.is_empty()
+            upstream.entry.state != EndpointState::Removed || !upstream.in_flight.is_empty()
         });
         self.select_subset();
         if self.concurrency_limit.limit <= 0.0 {
@@ -55,7 +55,7 @@
         }
     }
 
-    fn update_endpoint(&mut self, entry: &Entry) {
+    fn update_endpoint(&mut self, entry: &EndpointEntry) {
         let known = self.upstreams.get_mut(&entry.upstream);
         let restarted =
             |upstream: &Upstream| upstream.entry.started != entry.started && entry.started.is_some();
@@ -66,7 +66,7 @@
     }
 
     /// Starts without observations for a new or restarted upstream; attempts in flight to it stay counted.
-    fn start_upstream(&mut self, entry: &Entry) {
+    fn start_upstream(&mut self, entry: &EndpointEntry) {
         // Random offsets, so that instances do not move in step.
         let classes = self.settings.classes.iter();
         let current_weights = classes.map(|_| self.rng.next() * DEFAULT_LOAD_FACTOR).collect();
@@ -82,7 +82,7 @@
 
     /// Marks the upstreams that this instance prefers: a window over the running ones, offset by its rank.
     fn select_subset(&mut self) {
-        let running = |upstream: &&mut Upstream| upstream.entry.condition == Condition::Running;
+        let running = |upstream: &&mut Upstream| upstream.entry.state == EndpointState::Running;
         let running: Vec<_> = self.upstreams.values_mut().filter(running).collect();
         let count = running.len() as f64;
         let per_instance = count / self.settings.instances as f64;
--- a/crates/sidecar/load-balancing/src/policy/health_check.rs
+++ b/crates/sidecar/load-balancing/src/policy/health_check.rs
@@ -3,7 +3,7 @@
 //! With many instances, load reports are out of date when they are used. Where a health check is cheap and
 //! its report shows a spare worker, one confirms a selection before the request is sent.
 
-use crate::api::{Action, ClassId, Ending, Report, UpstreamId};
+use crate::api::{Action, ClassId, Ending, LoadReport, UpstreamId};
 use crate::state::{Balancer, Upstream, HEALTH_CHECK_BUDGET_PER_REQUEST};
 
 use super::load_factor::REFRESH_INTERVAL_MEDIANS;
@@ -20,10 +20,15 @@
 
 impl Balancer {
     /// Records the result of a health check.
-    pub(super) fn observe_health_check(&mut self, id: UpstreamId, ending: Ending, report: Option<Report>) {
+    pub(super) fn observe_health_check(
+        &mut self,
+        id: UpstreamId,
+        ending: Ending,
+        report: Option<LoadReport>,
+    ) {
         let Some(upstream) = self.upstreams.get_mut(&id) else { return };
         upstream.health_check_sent_at = None;
-        if ending == Ending::Delivered {
+        if ending == Ending::Served {
             self.observe_report(id, report);
         } else {
             self.record_failure(id);
@@ -33,7 +38,7 @@
     /// Whether selections are confirmed by a health check: they are cheap and show spare workers.
     pub(super) fn confirms_selections(&self) -> bool {
         let affordable = 2.0 * self.settings.price_health_check <= HEALTH_CHECK_BUDGET_PER_REQUEST;
-        self.settings.health_checks && affordable && self.settings.reports_queue
+        self.settings.allow_health_checks && affordable && self.settings.reports_queue
     }
 
     /// Whether a recent report shows a spare worker.
--- a/crates/sidecar/load-balancing/src/policy/hedging.rs
+++ b/crates/sidecar/load-balancing/src/policy/hedging.rs
@@ -13,7 +13,7 @@
     /// Cancels attempts of idempotent requests that are in flight to ejected upstreams.
     pub(super) fn cancel_stalled_attempts(&mut self, actions: &mut Vec<Action>) {
         // Each hedge needs a retry token, which is paid when the outcome arrives.
-        let mut tokens = if self.settings.cancel { self.retry_budget.tokens() } else { 0.0 };
+        let mut tokens = if self.settings.allow_cancel { self.retry_budget.tokens() } else { 0.0 };
         if tokens < 1.0 {
             return;
         }
--- a/crates/sidecar/load-balancing/src/policy/load_factor.rs
+++ b/crates/sidecar/load-balancing/src/policy/load_factor.rs
@@ -4,7 +4,7 @@
 //! A load factor lies between 0 and 100 before its exponent applies. It is refreshed by time and by attempts,
 //! not for each event.
 
-use crate::api::{Report, UpstreamId};
+use crate::api::{LoadReport, UpstreamId};
 use crate::state::{Balancer, ObservedReport, Upstream};
 
 /// Load factor before the first report: half of the scale.
@@ -27,9 +27,9 @@
 
 impl Balancer {
     /// Stores the latest report; it changes the load factor at the next refresh.
-    pub(super) fn observe_report(&mut self, id: UpstreamId, report: Option<Report>) {
+    pub(super) fn observe_report(&mut self, id: UpstreamId, report: Option<LoadReport>) {
         let (Some(upstream), Some(report)) = (self.upstreams.get_mut(&id), report) else { return };
-        if let (Some(active), Some(waiting)) = (report.active, report.waiting) {
+        if let (Some(active), Some(waiting)) = (report.in_flight, report.queued) {
             if waiting >= 1.0 && active.is_finite() && waiting.is_finite() {
                 // With a queue, all workers are busy. A slow mean, rounded where it is used.
                 let busy = (active - waiting).max(1.0);
--- a/crates/sidecar/load-balancing/src/policy/outcome.rs
+++ b/crates/sidecar/load-balancing/src/policy/outcome.rs
@@ -36,22 +36,22 @@
     fn observe_upstream_outcome(&mut self, outcome: &Outcome, load: f64, predicted: Option<f64>) {
         let Outcome { id, attempt, upstream: upstream_id, ending, elapsed, .. } = *outcome;
         let Some(upstream) = self.upstreams.get(&upstream_id) else { return };
-        if ending == Ending::Delivered && !self.in_slow_start(upstream) {
+        if ending == Ending::Served && !self.in_slow_start(upstream) {
             self.served_at.push_back(self.now);
         }
         let median = self.response_times.median;
         let now = self.now;
         let Some(upstream) = self.upstreams.get_mut(&upstream_id) else { return };
         upstream.attempt_ended(id, attempt, load);
-        if let (Some(predicted), Ending::Delivered | Ending::Expired) = (predicted, ending) {
+        if let (Some(predicted), Ending::Served | Ending::TimedOut) = (predicted, ending) {
             upstream.observe_service_time_ratio(elapsed / predicted);
         }
-        if matches!(ending, Ending::Delivered | Ending::AppError | Ending::Shed) {
+        if matches!(ending, Ending::Served | Ending::UpstreamError | Ending::Shed) {
             upstream.last_contact = now;
         }
         let no_contact_since_sent = upstream.last_contact < now - elapsed;
         match ending {
-            Ending::Delivered => {
+            Ending::Served => {
                 if upstream.consecutive_failures > 0 {
                     // It may have restarted unnoticed: slow start for one window.
                     upstream.suspect_until = now + self.settings.overload_window;
@@ -60,32 +60,32 @@
                 upstream.broken_connections = 0;
                 upstream.health += (1.0 - upstream.health) * HEALTH_RECOVERY;
             }
-            Ending::Expired if elapsed > STALL_TIMEOUT_MEDIANS * median && no_contact_since_sent => {
+            Ending::TimedOut if elapsed > STALL_TIMEOUT_MEDIANS * median && no_contact_since_sent => {
                 self.record_failure(upstream_id);
             }
             // One broken connection is no broken upstream; one that is down breaks all of them.
-            Ending::Dropped if upstream.broken_connections > 0 && no_contact_since_sent => {
+            Ending::ConnectionLost if upstream.broken_connections > 0 && no_contact_since_sent => {
                 self.record_failure(upstream_id);
             }
-            Ending::Expired | Ending::Dropped => {
-                upstream.broken_connections += u32::from(ending == Ending::Dropped);
+            Ending::TimedOut | Ending::ConnectionLost => {
+                upstream.broken_connections += u32::from(ending == Ending::ConnectionLost);
                 upstream.health = (upstream.health * HEALTH_DECREASE_FACTOR).max(MIN_HEALTH);
             }
-            Ending::DialFailed => self.record_failure(upstream_id),
-            Ending::AppError | Ending::Shed | Ending::Revoked | Ending::Unused => {}
+            Ending::ConnectFailed => self.record_failure(upstream_id),
+            Ending::UpstreamError | Ending::Shed | Ending::Cancelled | Ending::NotSent => {}
         }
     }
 
     /// Updates success and response times of the class.
     fn observe_class_outcome(&mut self, outcome: &Outcome, class: ClassId, cost: Option<f64>) {
         let ending = outcome.ending;
-        let failed = matches!(ending, Ending::AppError | Ending::Dropped | Ending::Shed);
-        if failed || ending == Ending::Delivered {
+        let failed = matches!(ending, Ending::UpstreamError | Ending::ConnectionLost | Ending::Shed);
+        if failed || ending == Ending::Served {
             if let Some(upstream) = self.upstreams.get_mut(&outcome.upstream) {
                 upstream.record_outcome(class, self.now, !failed);
             }
         }
-        if matches!(ending, Ending::Delivered | Ending::Expired) {
+        if matches!(ending, Ending::Served | Ending::TimedOut) {
             if let Some(cost) = cost {
                 self.response_times.observe_by_cost(class, cost, outcome.elapsed);
             }
--- a/crates/sidecar/load-balancing/src/policy/outlier.rs
+++ b/crates/sidecar/load-balancing/src/policy/outlier.rs
@@ -4,7 +4,7 @@
 //! most of a zone fails, all of it is ejected but for trial requests. When nearly all upstreams look
 //! unhealthy, the fault is elsewhere and none is ejected.
 
-use crate::api::{Condition, UpstreamId, ZoneId};
+use crate::api::{EndpointState, UpstreamId, ZoneId};
 use crate::state::{Balancer, Upstream};
 use std::collections::BTreeMap;
 
@@ -101,7 +101,7 @@
             zones.entry(upstream.entry.zone).or_default().add(failing, responsive);
             all.add(failing, responsive);
             unhealthy.push(is_unhealthy);
-            let running = upstream.entry.condition == Condition::Running;
+            let running = upstream.entry.state == EndpointState::Running;
             survey.running += usize::from(running);
             survey.health_checks += usize::from(upstream.health_check_sent_at.is_some());
             warm += usize::from(running && !self.in_slow_start(upstream));
@@ -115,7 +115,7 @@
             let by_zone = upstream.consecutive_failures == 0 && failed_zone;
             upstream.ejected = !panic && (unhealthy || by_zone);
             if !upstream.ejected {
-                survey.usable += usize::from(upstream.entry.condition == Condition::Running);
+                survey.usable += usize::from(upstream.entry.state == EndpointState::Running);
                 survey.in_flight += upstream.in_flight.len();
             }
         }
--- a/crates/sidecar/load-balancing/src/policy/selection.rs
+++ b/crates/sidecar/load-balancing/src/policy/selection.rs
@@ -3,7 +3,7 @@
 //! The upstreams that may be selected now take turns by smooth weighted round robin, weighted by load factor
 //! and success. Every exception to plain turns stands in [`Balancer::selectable`].
 
-use crate::api::{ClassId, Condition, UpstreamId};
+use crate::api::{ClassId, EndpointState, UpstreamId};
 use crate::estimate::OutcomeCounts;
 use crate::state::{Balancer, Request, Upstream};
 use crate::weighted_round_robin::{self, Candidate};
@@ -77,7 +77,7 @@
         // A queue at a server can't be taken back: its workers are filled, the rest is queued here.
         let in_flight = upstream.in_flight.len() as f64;
         let filled = self.workers.is_some_and(|workers| in_flight >= workers.round());
-        let running = upstream.entry.condition == Condition::Running;
+        let running = upstream.entry.state == EndpointState::Running;
         if !running || upstream.ejected || tried || on_trial || filled {
             return false;
         }
--- a/crates/sidecar/load-balancing/src/state.rs
+++ b/crates/sidecar/load-balancing/src/state.rs
@@ -110,7 +110,7 @@
     /// # Errors
     ///
     /// Returns [`SettingsError`] for settings that are invalid or would remove classes.
-    pub fn retune(&mut self, settings: Settings) -> Result<(), SettingsError> {
+    pub fn update_settings(&mut self, settings: Settings) -> Result<(), SettingsError> {
         settings.validate()?;
         let classes = settings.classes.len();
         if classes < self.settings.classes.len() {
--- a/crates/sidecar/load-balancing/src/state/requests.rs
+++ b/crates/sidecar/load-balancing/src/state/requests.rs
@@ -1,13 +1,13 @@
 //! The requests that are owed a final answer or still have an attempt in flight.
 
-use crate::api::{ClassId, Entry, RequestId};
+use crate::api::{ClassId, EndpointEntry, RequestId};
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// One attempt of a request.
 pub struct Attempt {
     /// The upstream's entry at the time of sending; a later change does not move the attempt's zone or cell.
-    pub entry: Entry,
+    pub entry: EndpointEntry,
     pub sent_at: f64,
     /// Until its outcome arrives.
     pub in_flight: bool,
--- a/crates/sidecar/load-balancing/src/state/upstream.rs
+++ b/crates/sidecar/load-balancing/src/state/upstream.rs
@@ -1,6 +1,6 @@
 //! Per-upstream state: endpoint entry, load, outcomes and ejection, as this instance observes them.
 
-use crate::api::{ClassId, Entry, Report, RequestId};
+use crate::api::{ClassId, EndpointEntry, LoadReport, RequestId};
 use crate::estimate::{OutcomeCounts, OutcomeHistory};
 
 /// Smoothing factor of [`Upstream::service_time_ratio`], for each completed attempt.
@@ -22,7 +22,7 @@
 /// A load report with what is needed to correct it later.
 #[derive(Clone, Copy, Debug)]
 pub struct ObservedReport {
-    pub report: Report,
+    pub report: LoadReport,
     /// When it arrived.
     pub received_at: f64,
     /// Own attempts in flight at that moment; the report already counts them.
@@ -31,7 +31,7 @@
 
 /// One server as this instance observes it.
 pub struct Upstream {
-    pub entry: Entry,
+    pub entry: EndpointEntry,
     /// Weight in the smooth weighted round robin, at least 0.
     pub load_factor: f64,
     /// Round robin state by class: one weight for all classes would let a class spend the turns that another
@@ -73,7 +73,7 @@
 
 impl Upstream {
     /// An upstream of which nothing but its endpoint entry is known.
-    pub fn new(entry: Entry, load_factor: f64) -> Self {
+    pub fn new(entry: EndpointEntry, load_factor: f64) -> Self {
         Upstream {
             entry,
             load_factor,
@@ -103,7 +103,7 @@
     /// `None` without a report of active or queued requests.
     pub fn concurrency(&self) -> Option<f64> {
         let observed = self.last_report?;
-        let reported = observed.report.active.or(observed.report.waiting).filter(|v| v.is_finite())?;
+        let reported = observed.report.in_flight.or(observed.report.queued).filter(|v| v.is_finite())?;
         let own = self.in_flight.len() as f64;
         Some((reported + own - observed.in_flight as f64).max(own))
     }
--- a/crates/sidecar/load-balancing/tests/admission_control.rs
+++ b/crates/sidecar/load-balancing/tests/admission_control.rs
@@ -7,7 +7,7 @@
 
 #[test]
 fn without_upstreams_a_request_is_queued_then_rejected_in_time() {
-    let mut harness = Harness::new(settings(Effect::Unsafe), vec![]);
+    let mut harness = Harness::new(settings(Idempotency::NonIdempotent), vec![]);
     let (id, actions) = harness.submit(0.0);
     let wake = actions.iter().find_map(|a| match a {
         Action::Wake { after, .. } => Some(*after),
@@ -19,27 +19,33 @@
 
 #[test]
 fn a_pending_request_is_sent_when_an_upstream_appears() {
-    let mut harness = Harness::new(settings(Effect::Unsafe), vec![]);
+    let mut harness = Harness::new(settings(Idempotency::NonIdempotent), vec![]);
     harness.submit(0.0);
-    let actions = harness.at(0.3, Event::ListChanges(vec![entry(9)]));
+    let actions = harness.at(0.3, Event::EndpointChanges(vec![entry(9)]));
     assert_eq!(sent(&actions), Some(UpstreamId(9)));
 }
 
 #[test]
 fn a_pending_request_is_rejected_when_an_upstream_appears_too_late() {
     // The deadline is before the latency target, no response times are known yet.
-    let mut harness = Harness::new(settings(Effect::Unsafe), vec![]);
+    let mut harness = Harness::new(settings(Idempotency::NonIdempotent), vec![]);
     let id = RequestId(1);
-    let event =
-        Event::Request { id, class: ClassId(0), tenant: None, ttl: 0.5, work_hint: None, repeat: false };
+    let event = Event::Request {
+        id,
+        class: ClassId(0),
+        tenant: None,
+        client_timeout: 0.5,
+        work_hint: None,
+        repeat: false,
+    };
     harness.at(0.0, event);
-    let actions = harness.at(0.5, Event::ListChanges(vec![entry(1)]));
+    let actions = harness.at(0.5, Event::EndpointChanges(vec![entry(1)]));
     assert!(matches!(actions[..], [Action::Reject { .. }]), "{actions:?}");
 }
 
 #[test]
 fn response_times_over_the_latency_target_do_not_reject_at_once() {
-    let mut harness = Harness::new(settings(Effect::Unsafe), vec![entry(1)]);
+    let mut harness = Harness::new(settings(Idempotency::NonIdempotent), vec![entry(1)]);
     // Response times exceed the latency target of one second.
     for n in 0..200 {
         let now = f64::from(n) * 3.0;
@@ -49,7 +55,7 @@
             id,
             attempt: 0,
             upstream: to,
-            ending: Ending::Delivered,
+            ending: Ending::Served,
             elapsed: 1.5,
             last: true,
             report: queue_report(2.0, 1.0),
@@ -65,24 +71,25 @@
 /// opposite: after an upstream was slow for a while, usual requests must not be rejected for ever.
 #[test]
 fn infeasible_requests_are_rejected_at_once_and_usual_ones_always_accepted() {
-    let mut harness = Harness::new(settings(Effect::Unsafe), vec![entry(1), entry(2)]);
+    let mut harness = Harness::new(settings(Idempotency::NonIdempotent), vec![entry(1), entry(2)]);
     let now = observe_service_times(&mut harness, &[0.05, 0.1, 0.15, 0.2], 1.0);
     let (_, actions) = submit_with_cost(&mut harness, now, 5.0);
     assert!(sent(&actions).is_none() && finals(&actions) == 1, "{actions:?}");
     // Half a second of work takes one second, the latency target: hints are rough, so it is sent.
     assert!(sent(&submit_with_cost(&mut harness, now, 0.5).1).is_some());
-    let mut slow = Harness::new(settings(Effect::Unsafe), vec![entry(2), entry(3)]);
+    let mut slow = Harness::new(settings(Idempotency::NonIdempotent), vec![entry(2), entry(3)]);
     let now = observe_service_times(&mut slow, &[0.1], 20.0);
     for n in 0..20 {
         let (id, actions) = submit_with_cost(&mut slow, now + f64::from(n), 0.08);
         let to = sent(&actions).expect("a usual call goes");
-        slow.end(now + f64::from(n), id, 0, to, Ending::Delivered);
+        slow.end(now + f64::from(n), id, 0, to, Ending::Served);
     }
 }
 
 #[test]
 fn a_rejection_carries_the_longest_retry_after_that_is_honoured() {
-    let set = Settings { retry_after: true, max_retry_after: 2.0, ..settings(Effect::Unsafe) };
+    let set =
+        Settings { send_retry_after: true, max_retry_after: 2.0, ..settings(Idempotency::NonIdempotent) };
     let mut harness = Harness::new(set, vec![]);
     let (id, _) = harness.submit(0.0);
     assert_eq!(harness.at(1.0, Event::Wake(0)), [Action::Reject { id, retry_after: Some(2.0) }]);
@@ -92,14 +99,18 @@
 fn a_burst_at_one_of_many_instances_is_within_the_quota() {
     // 12 requests a second over 20 instances are 0.6 at each: two of these three exceeded the quota.
     let tenants = vec![Tenant { quota_per_s: 12.0 }];
-    let set = Settings { instances: 20, tenants, over_quota_value: 0.2, ..settings(Effect::Unsafe) };
+    let set =
+        Settings { instances: 20, tenants, over_quota_value: 0.2, ..settings(Idempotency::NonIdempotent) };
     let mut harness = Harness::new(set, vec![]);
-    let (class, tenant, ttl, work_hint) = (ClassId(0), Some(TenantId(0)), 2.0, None);
+    let (class, tenant, client_timeout, work_hint) = (ClassId(0), Some(TenantId(0)), 2.0, None);
     for n in 1..=9 {
         let id = RequestId(n);
-        harness.at(n as f64 * 0.01, Event::Request { id, class, tenant, ttl, work_hint, repeat: false });
+        harness.at(
+            n as f64 * 0.01,
+            Event::Request { id, class, tenant, client_timeout, work_hint, repeat: false },
+        );
     }
-    let actions = harness.at(0.1, Event::FullList((1..=60).map(entry).collect()));
+    let actions = harness.at(0.1, Event::EndpointList((1..=60).map(entry).collect()));
     let order =
         actions.iter().filter_map(|a| if let Action::Send { id, .. } = a { Some(id.0) } else { None });
     // Of equal priority the newest first; what exceeds the quota comes last.
@@ -108,7 +119,7 @@
 
 #[test]
 fn wake_ups_do_not_multiply() {
-    let mut harness = Harness::new(settings(Effect::Unsafe), vec![]);
+    let mut harness = Harness::new(settings(Idempotency::NonIdempotent), vec![]);
     let mut due: Vec<f64> = Vec::new();
     for n in 0..20 {
         let now = f64::from(n) * 0.001;
--- a/crates/sidecar/load-balancing/tests/common/mod.rs
+++ b/crates/sidecar/load-balancing/tests/common/mod.rs
@@ -3,12 +3,18 @@
 
 use passrelay_load_balancing::*;
 
-pub fn entry(id: u64) -> Entry {
-    Entry { upstream: UpstreamId(id), zone: ZoneId(0), cell: 0, condition: Condition::Running, started: None }
+pub fn entry(id: u64) -> EndpointEntry {
+    EndpointEntry {
+        upstream: UpstreamId(id),
+        zone: ZoneId(0),
+        cell: 0,
+        state: EndpointState::Running,
+        started: None,
+    }
 }
 
-pub fn settings(effect: Effect) -> Settings {
-    Settings { classes: vec![Class { effect, ..Class::default() }], ..Settings::default() }
+pub fn settings(idempotency: Idempotency) -> Settings {
+    Settings { classes: vec![Class { idempotency, ..Class::default() }], ..Settings::default() }
 }
 
 /// A balancer with a clock and a source of request ids.
@@ -19,9 +25,9 @@
 }
 
 impl Harness {
-    pub fn new(settings: Settings, entries: Vec<Entry>) -> Self {
+    pub fn new(settings: Settings, entries: Vec<EndpointEntry>) -> Self {
         let mut harness = Harness { balancer: Balancer::new(settings, 1, 0.0).unwrap(), now: 0.0, next: 0 };
-        harness.at(0.0, Event::FullList(entries));
+        harness.at(0.0, Event::EndpointList(entries));
         harness
     }
 
@@ -36,8 +42,14 @@
     pub fn submit(&mut self, now: f64) -> (RequestId, Vec<Action>) {
         self.next += 1;
         let id = RequestId(self.next);
-        let event =
-            Event::Request { id, class: ClassId(0), tenant: None, ttl: 2.0, work_hint: None, repeat: false };
+        let event = Event::Request {
+            id,
+            class: ClassId(0),
+            tenant: None,
+            client_timeout: 2.0,
+            work_hint: None,
+            repeat: false,
+        };
         let actions = self.at(now, event);
         (id, actions)
     }
@@ -60,9 +72,9 @@
         attempt: u32,
         to: UpstreamId,
         ending: Ending,
-        report: Option<Report>,
+        report: Option<LoadReport>,
     ) -> Vec<Action> {
-        let last = ending == Ending::Delivered;
+        let last = ending == Ending::Served;
         self.at(
             now,
             Event::Outcome(Outcome { id, attempt, upstream: to, ending, elapsed: 0.1, last, report }),
@@ -83,23 +95,23 @@
 }
 
 /// A load report with the CPU alone.
-pub fn cpu_report(value: f64) -> Option<Report> {
-    Some(Report { cpu: Some(value), ..Report::default() })
+pub fn cpu_report(value: f64) -> Option<LoadReport> {
+    Some(LoadReport { cpu: Some(value), ..LoadReport::default() })
 }
 
 /// A load report with requests at the server and in its queue.
-pub fn queue_report(active: f64, waiting: f64) -> Option<Report> {
-    Some(Report { active: Some(active), waiting: Some(waiting), ..Report::default() })
+pub fn queue_report(active: f64, waiting: f64) -> Option<LoadReport> {
+    Some(LoadReport { in_flight: Some(active), queued: Some(waiting), ..LoadReport::default() })
 }
 
 /// Two zones of four upstreams; returns a harness that has served 80 requests of 0.1 s.
-pub fn serve_two_zones(effect: Effect) -> Harness {
-    let zones = (1..=8).map(|n| Entry { zone: ZoneId((n % 2) as usize), ..entry(n) }).collect();
-    let mut harness = Harness::new(Settings { cancel: true, ..settings(effect) }, zones);
+pub fn serve_two_zones(idempotency: Idempotency) -> Harness {
+    let zones = (1..=8).map(|n| EndpointEntry { zone: ZoneId((n % 2) as usize), ..entry(n) }).collect();
+    let mut harness = Harness::new(Settings { allow_cancel: true, ..settings(idempotency) }, zones);
     for n in 0..80 {
         let now = f64::from(n) * 0.1;
         let (id, actions) = harness.submit(now);
-        harness.end(now + 0.1, id, 0, sent(&actions).unwrap(), Ending::Delivered);
+        harness.end(now + 0.1, id, 0, sent(&actions).unwrap(), Ending::Served);
     }
     harness
 }
@@ -112,8 +124,9 @@
 ) -> UpstreamId {
     harness.next += 1;
     let (id, now) = (RequestId(harness.next), harness.now + 0.01);
-    let (class, tenant, ttl, work_hint) = (ClassId(class), None, 2.0, None);
-    let actions = harness.at(now, Event::Request { id, class, tenant, ttl, work_hint, repeat: false });
+    let (class, tenant, client_timeout, work_hint) = (ClassId(class), None, 2.0, None);
+    let actions =
+        harness.at(now, Event::Request { id, class, tenant, client_timeout, work_hint, repeat: false });
     let to = sent(&actions).expect("a node");
     harness.end(now + 0.01, id, 0, to, ending(to));
     to
@@ -122,14 +135,15 @@
 /// Submits a request of class 0 with this work hint.
 pub fn submit_with_cost(harness: &mut Harness, now: f64, work: f64) -> (RequestId, Vec<Action>) {
     harness.next += 1;
-    let (id, class, ttl) = (RequestId(harness.next), ClassId(0), 4.0);
-    let event = Event::Request { id, class, tenant: None, ttl, work_hint: Some(work), repeat: false };
+    let (id, class, client_timeout) = (RequestId(harness.next), ClassId(0), 4.0);
+    let event =
+        Event::Request { id, class, tenant: None, client_timeout, work_hint: Some(work), repeat: false };
     (id, harness.at(now, event))
 }
 
 /// Serves the first attempt of a request at `now`, this long after it was sent.
 pub fn serve(harness: &mut Harness, now: f64, id: RequestId, upstream: UpstreamId, elapsed: f64) {
-    let (ending, last, report) = (Ending::Delivered, true, None);
+    let (ending, last, report) = (Ending::Served, true, None);
     harness.at(now, Event::Outcome(Outcome { id, attempt: 0, upstream, ending, elapsed, last, report }));
 }
 
--- a/crates/sidecar/load-balancing/tests/concurrency_limit.rs
+++ b/crates/sidecar/load-balancing/tests/concurrency_limit.rs
@@ -7,25 +7,25 @@
 
 #[test]
 fn requests_beyond_the_workers_are_queued_here_and_not_at_the_server() {
-    let mut harness = Harness::new(settings(Effect::Unsafe), vec![entry(1)]);
+    let mut harness = Harness::new(settings(Idempotency::NonIdempotent), vec![entry(1)]);
     let (id, actions) = harness.submit(0.0);
     let to = sent(&actions).unwrap();
     // Two requests, one of them queued: the server has one worker.
-    harness.end_with(0.1, id, 0, to, Ending::Delivered, queue_report(2.0, 1.0));
+    harness.end_with(0.1, id, 0, to, Ending::Served, queue_report(2.0, 1.0));
     let (id, actions) = harness.submit(0.2);
     assert_eq!(sent(&actions), Some(to));
     assert_eq!(sent(&harness.submit(0.21).1), None);
-    assert_eq!(sent(&harness.end_with(0.3, id, 0, to, Ending::Delivered, queue_report(0.0, 0.0))), Some(to));
+    assert_eq!(sent(&harness.end_with(0.3, id, 0, to, Ending::Served, queue_report(0.0, 0.0))), Some(to));
 }
 
 #[test]
 fn noise_in_reports_does_not_raise_the_number_of_workers() {
-    let mut harness = Harness::new(settings(Effect::Unsafe), vec![entry(1)]);
+    let mut harness = Harness::new(settings(Idempotency::NonIdempotent), vec![entry(1)]);
     for n in 0..40 {
         let now = f64::from(n);
         let (id, actions) = harness.submit(now);
         let noisy = queue_report(4.0 + f64::from(n % 3) * 0.2, 3.0);
-        harness.end_with(now + 0.1, id, 0, sent(&actions).unwrap(), Ending::Delivered, noisy);
+        harness.end_with(now + 0.1, id, 0, sent(&actions).unwrap(), Ending::Served, noisy);
     }
     assert!(sent(&harness.submit(50.0).1).is_some());
     assert_eq!(sent(&harness.submit(50.01).1), None);
@@ -33,22 +33,22 @@
 
 #[test]
 fn instances_share_the_capacity_and_list_changes_do_not_raise_it() {
-    let set = Settings { instances: 10, ..settings(Effect::Unsafe) };
+    let set = Settings { instances: 10, ..settings(Idempotency::NonIdempotent) };
     let mut harness = Harness::new(set, (1..=10).map(entry).collect());
     let in_flight = (0..40).filter(|_| sent(&harness.submit(0.1).1).is_some()).count();
     assert!((2..=20).contains(&in_flight), "{in_flight}");
-    let actions = harness.at(0.2, Event::ListChanges(vec![entry(1)]));
+    let actions = harness.at(0.2, Event::EndpointChanges(vec![entry(1)]));
     assert_eq!(sent(&actions), None);
 }
 
 #[test]
 fn an_idle_instance_has_capacity_for_a_burst() {
-    let set = Settings { instances: 20, ..settings(Effect::Unsafe) };
+    let set = Settings { instances: 20, ..settings(Idempotency::NonIdempotent) };
     let mut harness = Harness::new(set, (1..=5).map(entry).collect());
     for n in 0..100 {
         let now = f64::from(n);
         let (id, actions) = harness.submit(now);
-        harness.end(now + 0.1, id, 0, sent(&actions).unwrap(), Ending::Delivered);
+        harness.end(now + 0.1, id, 0, sent(&actions).unwrap(), Ending::Served);
     }
     let burst = (0..10).filter(|_| sent(&harness.submit(200.0).1).is_some()).count();
     assert_eq!(burst, 10);
@@ -56,8 +56,8 @@
 
 #[test]
 fn the_limit_scales_down_with_lost_upstreams() {
-    let mut harness = Harness::new(settings(Effect::Unsafe), (1..=4).map(entry).collect());
-    harness.at(0.1, Event::FullList((1..=2).map(entry).collect()));
+    let mut harness = Harness::new(settings(Idempotency::NonIdempotent), (1..=4).map(entry).collect());
+    harness.at(0.1, Event::EndpointList((1..=2).map(entry).collect()));
     let sends = (0..60).filter(|_| sent(&harness.submit(0.2).1).is_some()).count();
     // The initial limit is twelve for each upstream.
     assert!((20..=26).contains(&sends), "{sends}");
@@ -65,22 +65,23 @@
 
 /// One of ten instances for each upstream, with response times of twice the latency target; sends in each tenth of
 /// 400 s, and by class.
-fn overload(classes: Vec<Class>, reports: Option<Report>) -> (Vec<usize>, Vec<usize>) {
+fn overload(classes: Vec<Class>, reports: Option<LoadReport>) -> (Vec<usize>, Vec<usize>) {
     let count = classes.len();
-    let set = Settings { instances: 20, classes, ..settings(Effect::Unsafe) };
+    let set = Settings { instances: 20, classes, ..settings(Idempotency::NonIdempotent) };
     let mut harness = Harness::new(set, vec![entry(1), entry(2)]);
     let (mut out, mut by_tenth, mut by_class) = (Vec::new(), vec![0; 10], vec![0; count]);
     for n in 0..4000u64 {
         let now = n as f64 * 0.1;
         let (id, class) = (RequestId(n), ClassId(n as usize % count));
-        let event = Event::Request { id, class, tenant: None, ttl: 4.0, work_hint: None, repeat: false };
+        let event =
+            Event::Request { id, class, tenant: None, client_timeout: 4.0, work_hint: None, repeat: false };
         let mut actions = harness.at(now, event);
         for (id, upstream, at) in std::mem::take(&mut out) {
             if now - at < 2.0 {
                 out.push((id, upstream, at));
                 continue;
             }
-            let (ending, elapsed) = (Ending::Delivered, 2.0);
+            let (ending, elapsed) = (Ending::Served, 2.0);
             let outcome = Outcome { id, attempt: 0, upstream, ending, elapsed, last: true, report: reports };
             actions.extend(harness.at(now, Event::Outcome(outcome)));
         }
@@ -97,21 +98,24 @@
 
 #[test]
 fn the_limit_of_an_instance_may_lie_below_one_request() {
-    let (tenths, _) = overload(vec![Class { effect: Effect::Unsafe, ..Class::default() }], cpu_report(0.9));
+    let (tenths, _) = overload(
+        vec![Class { idempotency: Idempotency::NonIdempotent, ..Class::default() }],
+        cpu_report(0.9),
+    );
     // Responses take 2 s: one request at all times would be 20 in each tenth of 40 s.
     assert!((1..=15).contains(&tenths[9]), "{tenths:?}");
 }
 
 #[test]
 fn capacity_is_reserved_for_the_highest_value() {
-    let dear = Class { effect: Effect::Unsafe, value: 10.0, ..Class::default() };
+    let dear = Class { idempotency: Idempotency::NonIdempotent, value: 10.0, ..Class::default() };
     let (_, sent) = overload(vec![Class { value: 1.0, ..dear.clone() }, dear], cpu_report(0.9));
     assert!(sent[1] > 3 * sent[0], "{sent:?}");
 }
 
 /// Requests that are sent at once after 100 responses, one by one, with each of these response times.
 fn sends_after(times: &[f64]) -> usize {
-    let mut harness = Harness::new(settings(Effect::Unsafe), vec![entry(1)]);
+    let mut harness = Harness::new(settings(Idempotency::NonIdempotent), vec![entry(1)]);
     for elapsed in times.iter().flat_map(|t| std::iter::repeat_n(*t, 100)) {
         let (id, actions) = harness.submit(harness.now);
         let (to, now) = (sent(&actions).expect("idle"), harness.now + elapsed);
--- a/crates/sidecar/load-balancing/tests/decision_trace/main.rs
+++ b/crates/sidecar/load-balancing/tests/decision_trace/main.rs
@@ -18,21 +18,21 @@
             latency_target_per_work: 1.0,
             value: 1.0,
             late_value: 0.0,
-            effect: Effect::Safe,
+            idempotency: Idempotency::Idempotent,
         },
         Class {
             latency_target: 0.6,
             latency_target_per_work: 0.0,
             value: 4.0,
             late_value: 0.3,
-            effect: Effect::Keyed { scope, window: 0.8 },
+            idempotency: Idempotency::Keyed { scope, window: 0.8 },
         },
         Class {
             latency_target: 2.0,
             latency_target_per_work: 0.5,
             value: 10.0,
             late_value: 0.0,
-            effect: Effect::Unsafe,
+            idempotency: Idempotency::NonIdempotent,
         },
     ]
 }
@@ -50,9 +50,9 @@
         price_cross_zone: 0.01,
         list_by_subscription: true,
         reports_concurrency: true,
-        cancel: true,
-        duplicates: true,
-        retry_after: true,
+        allow_cancel: true,
+        allow_concurrent_attempts: true,
+        send_retry_after: true,
         max_retry_after: 1.5,
         ..Settings::default()
     }
@@ -69,8 +69,8 @@
         price_health_check: 0.002,
         reports_concurrency: true,
         reports_queue: true,
-        health_checks: true,
-        cancel: true,
+        allow_health_checks: true,
+        allow_cancel: true,
         max_attempts: 4,
         ..Settings::default()
     }
@@ -127,7 +127,7 @@
     later.classes.push(Class { latency_target: 1.5, value: 2.0, ..Class::default() });
     later.tenants.push(Tenant { quota_per_s: 5.0 });
     later.max_attempts = 2;
-    simulation.balancer.retune(later).unwrap();
+    simulation.balancer.update_settings(later).unwrap();
     simulation.classes += 1;
     simulation.tenants += 1;
     let digest = simulation.run(0.01);
--- a/crates/sidecar/load-balancing/tests/decision_trace/simulation.rs
+++ b/crates/sidecar/load-balancing/tests/decision_trace/simulation.rs
@@ -70,7 +70,7 @@
     now: f64,
     pub classes: u64,
     pub tenants: u64,
-    entries: Vec<Entry>,
+    entries: Vec<EndpointEntry>,
     next_request: u64,
     next_due: u64,
     /// By time (as bits of a positive float, which sort as the float) and number.
@@ -87,11 +87,11 @@
         let classes = settings.classes.len() as u64;
         let tenants = settings.tenants.len() as u64;
         let balancer = Balancer::new(settings, seed, 0.0).unwrap();
-        let entries = (1..=upstreams).map(|number| Entry {
+        let entries = (1..=upstreams).map(|number| EndpointEntry {
             upstream: UpstreamId(number),
             zone: ZoneId((number % 3) as usize),
             cell: number % 4,
-            condition: Condition::Running,
+            state: EndpointState::Running,
             started: None,
         });
         Simulation {
@@ -139,7 +139,7 @@
                 for due in self.due.values_mut() {
                     if let Due::AttemptEnds { id: of, attempt: number, ending, .. } = due {
                         if (*of, *number) == (id, attempt) {
-                            *ending = Ending::Revoked;
+                            *ending = Ending::Cancelled;
                         }
                     }
                 }
@@ -159,7 +159,7 @@
             }
             Action::HealthCheck(upstream) => {
                 let sent = self.now;
-                let ending = if self.generator.chance(3) { Ending::DialFailed } else { Ending::Delivered };
+                let ending = if self.generator.chance(3) { Ending::ConnectFailed } else { Ending::Served };
                 let after = 0.001 + 0.002 * self.generator.fraction();
                 self.schedule(after, Due::ProbeEnds { upstream, sent, ending });
                 5
@@ -176,37 +176,37 @@
         let lost = upstream.0 % 3 == 1 && (8.0..11.0).contains(&(self.now % 20.0));
         let down = upstream.0 % 5 == 2 && (3.0..5.0).contains(&(self.now % 12.0));
         if lost {
-            return (2.0, Ending::Expired);
+            return (2.0, Ending::TimedOut);
         }
         if down {
-            return (0.002, Ending::DialFailed);
+            return (0.002, Ending::ConnectFailed);
         }
         let ending = match self.generator.below(100) {
-            0..=2 => Ending::AppError,
-            3..=4 => Ending::Dropped,
+            0..=2 => Ending::UpstreamError,
+            3..=4 => Ending::ConnectionLost,
             5..=6 => Ending::Shed,
-            7 => Ending::Expired,
-            8 => Ending::Unused,
-            9 if attempt > 0 => Ending::Revoked,
-            _ => Ending::Delivered,
+            7 => Ending::TimedOut,
+            8 => Ending::NotSent,
+            9 if attempt > 0 => Ending::Cancelled,
+            _ => Ending::Served,
         };
-        (if ending == Ending::Expired { 1.5 } else { time }, ending)
+        (if ending == Ending::TimedOut { 1.5 } else { time }, ending)
     }
 
-    fn report(&mut self) -> Option<Report> {
+    fn report(&mut self) -> Option<LoadReport> {
         let active = self.generator.below(6) as f64;
         let waiting = self.generator.below(3) as f64;
         let cpu = self.generator.fraction();
         let report = match self.generator.below(5) {
             0 => return None,
-            1 => Report { cpu: Some(cpu), ..Report::default() },
-            2 => Report { active: Some(active), cpu: Some(cpu), ..Report::default() },
-            3 => Report { active: Some(active), waiting: Some(waiting), ..Report::default() },
-            _ => Report {
-                active: Some(active + waiting),
-                waiting: Some(waiting),
+            1 => LoadReport { cpu: Some(cpu), ..LoadReport::default() },
+            2 => LoadReport { in_flight: Some(active), cpu: Some(cpu), ..LoadReport::default() },
+            3 => LoadReport { in_flight: Some(active), queued: Some(waiting), ..LoadReport::default() },
+            _ => LoadReport {
+                in_flight: Some(active + waiting),
+                queued: Some(waiting),
                 cpu: Some(cpu),
-                ..Report::default()
+                ..LoadReport::default()
             },
         };
         Some(report)
@@ -219,42 +219,42 @@
         let class = ClassId(self.generator.below(self.classes) as usize);
         let tenant = self.generator.chance(60) && self.tenants > 0;
         let tenant = if tenant { Some(TenantId(self.generator.below(self.tenants) as usize)) } else { None };
-        let ttl =
+        let client_timeout =
             if self.generator.chance(2) { f64::INFINITY } else { 0.2 + 3.0 * self.generator.fraction() };
         let hint = 0.02 + 0.2 * self.generator.fraction();
         let hint = if self.generator.chance(4) { hint * 20.0 } else { hint };
         let work_hint = self.generator.chance(50).then_some(hint);
         let repeat = self.generator.chance(5);
         self.open.push(id);
-        self.handle(Event::Request { id, class, tenant, ttl, work_hint, repeat });
+        self.handle(Event::Request { id, class, tenant, client_timeout, work_hint, repeat });
     }
 
     /// A change of the endpoint list: one drains, goes, comes back or restarts; now and then the full list.
     fn change_list(&mut self) {
         if self.generator.chance(20) {
-            return self.handle(Event::ListFailed);
+            return self.handle(Event::EndpointListFailed);
         }
         let at = self.generator.below(self.entries.len() as u64) as usize;
         let now = self.now;
-        let away = self.entries.iter().filter(|e| e.condition != Condition::Running).count();
+        let away = self.entries.iter().filter(|e| e.state != EndpointState::Running).count();
         let change = if away * 3 > self.entries.len() { 2 } else { self.generator.below(5) };
         let entry = &mut self.entries[at];
         match change {
-            0 => entry.condition = Condition::Draining,
-            1 => entry.condition = Condition::Removed,
-            2 => entry.condition = Condition::Running,
+            0 => entry.state = EndpointState::Draining,
+            1 => entry.state = EndpointState::Removed,
+            2 => entry.state = EndpointState::Running,
             _ => {
-                entry.condition = Condition::Running;
+                entry.state = EndpointState::Running;
                 entry.started = Some(now);
             }
         }
         let entry = *entry;
         if self.generator.chance(30) {
-            let all = self.entries.iter().filter(|e| e.condition != Condition::Removed);
+            let all = self.entries.iter().filter(|e| e.state != EndpointState::Removed);
             let all = all.copied().collect();
-            self.handle(Event::FullList(all));
+            self.handle(Event::EndpointList(all));
         } else {
-            self.handle(Event::ListChanges(vec![entry]));
+            self.handle(Event::EndpointChanges(vec![entry]));
         }
     }
 
@@ -262,7 +262,7 @@
         match due {
             Due::AttemptEnds { id, attempt, upstream, sent, ending } => {
                 let report = self.report();
-                let last = ending == Ending::Delivered;
+                let last = ending == Ending::Served;
                 if last {
                     self.open.retain(|open| *open != id);
                 }
@@ -272,7 +272,7 @@
             Due::ProbeEnds { upstream, sent, ending } => {
                 let report = self.report();
                 let elapsed = self.now - sent;
-                self.handle(Event::HealthChecked { upstream, ending, elapsed, report });
+                self.handle(Event::HealthCheckEnded { upstream, ending, elapsed, report });
             }
             Due::Wake(token) => self.handle(Event::Wake(token)),
         }
@@ -281,7 +281,7 @@
     /// Runs the stream and gives the digest. `gap` is the mean time between what comes from outside.
     pub fn run(&mut self, gap: f64) -> u64 {
         let all = self.entries.clone();
-        self.handle(Event::FullList(all));
+        self.handle(Event::EndpointList(all));
         let mut outside = gap;
         for _ in 0..EVENTS {
             let next = self.due.keys().next().map(|(at, _)| f64::from_bits(*at));
@@ -305,7 +305,7 @@
                 15..=19 => {
                     if let Some(id) = self.open.first().copied() {
                         let attempt = self.attempts.get(&id).copied().unwrap_or(0);
-                        self.handle(Event::StreamBegan { id, attempt });
+                        self.handle(Event::ResponseStarted { id, attempt });
                     }
                 }
                 _ => self.request(),
--- a/crates/sidecar/load-balancing/tests/dispatcher.rs
+++ b/crates/sidecar/load-balancing/tests/dispatcher.rs
@@ -20,9 +20,9 @@
     }
 }
 
-/// The effect of a class whose repeats are dropped within this window.
-fn keyed(window: f64) -> Effect {
-    Effect::Keyed { scope: DedupScope::All, window }
+/// The idempotency of a class whose repeats are dropped within this window.
+fn keyed(window: f64) -> Idempotency {
+    Idempotency::Keyed { scope: DedupScope::All, window }
 }
 
 /// A transport that does nothing.
@@ -37,43 +37,44 @@
     fn set_timer(&mut self, _: f64, _: Timer) {}
 }
 
-/// A dispatcher with one request of a class with this effect, whose first attempt ended this way at 0.1 s.
-fn repeated(effect: Effect, ending: Ending) -> (Dispatcher<Twice>, RequestId) {
-    let mut dispatcher = Dispatcher::with_decider(Twice, &settings(effect));
+/// A dispatcher with one request of a class with this idempotency, whose first attempt ended this way at 0.1 s.
+fn repeated(idempotency: Idempotency, ending: Ending) -> (Dispatcher<Twice>, RequestId) {
+    let mut dispatcher = Dispatcher::with_decider(Twice, &settings(idempotency));
     dispatcher.update_endpoints(0.0, true, vec![entry(1), entry(2)], &mut Idle);
-    let id = dispatcher.next_id();
-    let arrival = Arrival { class: ClassId(0), tenant: None, budget: 2.0, work: None, repeat: false };
-    dispatcher.arrive(0.0, id, arrival, &mut Idle);
+    let id = dispatcher.assign_id();
+    let arrival =
+        Arrival { class: ClassId(0), tenant: None, client_timeout: 2.0, work_hint: None, repeat: false };
+    dispatcher.request_arrived(0.0, id, arrival, &mut Idle);
     assert!(dispatcher.may_send(0.0, id, 0).is_some());
-    dispatcher.outcome(0.1, id, 0, ending, None, &mut Idle);
+    dispatcher.attempt_ended(0.1, id, 0, ending, None, &mut Idle);
     (dispatcher, id)
 }
 
 // Guards against a repeat that is sent after its window: it was decided in time, but connected later. The
-// window counts from the first attempt that may have run, and each class's own effect says how long it is.
+// window counts from the first attempt that may have run, and each class's own idempotency says how long it is.
 #[test]
 fn a_repeat_is_sent_only_within_the_window_of_its_class() {
     let cases = [
-        (keyed(0.5), Ending::Dropped, 0.4, true),
-        (keyed(0.5), Ending::Dropped, 0.5, false),
-        (keyed(0.5), Ending::Expired, 0.6, false),
+        (keyed(0.5), Ending::ConnectionLost, 0.4, true),
+        (keyed(0.5), Ending::ConnectionLost, 0.5, false),
+        (keyed(0.5), Ending::TimedOut, 0.6, false),
         // After an attempt that never ran, it is no repeat.
-        (keyed(0.5), Ending::Unused, 0.6, true),
-        (Effect::Safe, Ending::Dropped, 1.5, true),
-        (Effect::Unsafe, Ending::Dropped, 0.2, false),
-        (Effect::Unsafe, Ending::DialFailed, 0.2, true),
+        (keyed(0.5), Ending::NotSent, 0.6, true),
+        (Idempotency::Idempotent, Ending::ConnectionLost, 1.5, true),
+        (Idempotency::NonIdempotent, Ending::ConnectionLost, 0.2, false),
+        (Idempotency::NonIdempotent, Ending::ConnectFailed, 0.2, true),
     ];
-    for (effect, ending, at, wanted) in cases {
-        let (dispatcher, id) = repeated(effect, ending);
-        assert_eq!(dispatcher.may_send(at, id, 1).is_some(), wanted, "{effect:?}, {ending:?} at {at}");
+    for (idempotency, ending, at, wanted) in cases {
+        let (dispatcher, id) = repeated(idempotency, ending);
+        assert_eq!(dispatcher.may_send(at, id, 1).is_some(), wanted, "{idempotency:?}, {ending:?} at {at}");
     }
 }
 
 // Guards against applying the window of a configuration that came after the request.
 #[test]
 fn a_request_keeps_the_window_of_its_arrival() {
-    let (mut dispatcher, id) = repeated(keyed(0.5), Ending::Dropped);
-    dispatcher.retune(&settings(keyed(5.0))).unwrap();
+    let (mut dispatcher, id) = repeated(keyed(0.5), Ending::ConnectionLost);
+    dispatcher.update_settings(&settings(keyed(5.0))).unwrap();
     assert!(dispatcher.may_send(0.4, id, 1).is_some());
     assert!(dispatcher.may_send(0.6, id, 1).is_none());
 }
@@ -82,12 +83,12 @@
 // or after the request's deadline.
 #[test]
 fn no_attempt_is_sent_for_a_disconnected_client_or_to_a_draining_node() {
-    let (mut dispatcher, id) = repeated(Effect::Safe, Ending::Unused);
+    let (mut dispatcher, id) = repeated(Idempotency::Idempotent, Ending::NotSent);
     assert!(dispatcher.may_send(0.2, id, 1).is_some());
     assert!(dispatcher.may_send(2.0, id, 1).is_none());
     dispatcher.update_endpoints(0.2, true, vec![entry(1)], &mut Idle);
     assert!(dispatcher.may_send(0.2, id, 1).is_none());
-    let (mut dispatcher, id) = repeated(Effect::Safe, Ending::Unused);
+    let (mut dispatcher, id) = repeated(Idempotency::Idempotent, Ending::NotSent);
     dispatcher.client_disconnected(0.2, id, &mut Idle);
     assert!(dispatcher.may_send(0.2, id, 1).is_none());
 }
--- a/crates/sidecar/load-balancing/tests/endpoints.rs
+++ b/crates/sidecar/load-balancing/tests/endpoints.rs
@@ -8,9 +8,13 @@
 
 #[test]
 fn draining_and_absent_upstreams_get_no_new_attempts() {
-    let mut harness = Harness::new(settings(Effect::Safe), (1..=3).map(entry).collect());
-    harness.at(0.1, Event::ListChanges(vec![Entry { condition: Condition::Draining, ..entry(1) }]));
-    harness.at(0.1, Event::FullList(vec![Entry { condition: Condition::Draining, ..entry(1) }, entry(2)]));
+    let mut harness = Harness::new(settings(Idempotency::Idempotent), (1..=3).map(entry).collect());
+    harness
+        .at(0.1, Event::EndpointChanges(vec![EndpointEntry { state: EndpointState::Draining, ..entry(1) }]));
+    harness.at(
+        0.1,
+        Event::EndpointList(vec![EndpointEntry { state: EndpointState::Draining, ..entry(1) }, entry(2)]),
+    );
     for _ in 0..10 {
         assert_eq!(sent(&harness.submit(0.2).1), Some(UpstreamId(2)));
     }
@@ -18,15 +22,15 @@
 
 #[test]
 fn a_failed_list_call_is_renewed_with_backoff() {
-    let set = Settings { list_by_subscription: true, ..settings(Effect::Safe) };
+    let set = Settings { list_by_subscription: true, ..settings(Idempotency::Idempotent) };
     let mut balancer = Balancer::new(set, 5, 0.0).unwrap();
     let mut actions = Vec::new();
-    balancer.handle(0.0, Event::FullList(vec![entry(1)]), &mut actions);
+    balancer.handle(0.0, Event::EndpointList(vec![entry(1)]), &mut actions);
     assert!(actions.contains(&Action::Subscribe));
     let mut total = 0.0;
     for _ in 0..3 {
         actions.clear();
-        balancer.handle(total, Event::ListFailed, &mut actions);
+        balancer.handle(total, Event::EndpointListFailed, &mut actions);
         let [Action::Wake { after, token }] = actions[..] else { panic!("{actions:?}") };
         total += after;
         actions.clear();
@@ -39,15 +43,15 @@
 #[test]
 fn many_instances_spread_their_calls_to_a_failing_discovery() {
     // All fail at the same moment and again at each call; each backs off with its own jitter.
-    let set = Settings { list_by_subscription: true, ..settings(Effect::Safe) };
+    let set = Settings { list_by_subscription: true, ..settings(Idempotency::Idempotent) };
     let mut calls = [0; 20];
     for seed in 0..100 {
         let mut balancer = Balancer::new(set.clone(), seed, 0.0).unwrap();
         let mut now = 0.0;
-        balancer.handle(now, Event::FullList(vec![entry(1)]), &mut Vec::new());
+        balancer.handle(now, Event::EndpointList(vec![entry(1)]), &mut Vec::new());
         while now < 20.0 {
             let mut actions = Vec::new();
-            balancer.handle(now, Event::ListFailed, &mut actions);
+            balancer.handle(now, Event::EndpointListFailed, &mut actions);
             let [Action::Wake { after, token: 1 }] = actions[..] else { panic!("{actions:?}") };
             now += after;
             calls.get_mut(now as usize).into_iter().for_each(|c| *c += 1);
@@ -63,7 +67,7 @@
         let now = harness.now + 0.5;
         let (id, actions) = harness.submit(now);
         let to = sent(&actions).unwrap();
-        harness.end_with(now, id, 0, to, Ending::Delivered, cpu_report(0.5));
+        harness.end_with(now, id, 0, to, Ending::Served, cpu_report(0.5));
         to.0
     });
     ends.collect()
@@ -74,7 +78,7 @@
     // A hundred instances that each use all of 60 upstreams open 6,000 connections and meet every failing one.
     let mut counts = [0; 60];
     for rank in 0..100 {
-        let set = Settings { instances: 100, rank, ..settings(Effect::Unsafe) };
+        let set = Settings { instances: 100, rank, ..settings(Idempotency::NonIdempotent) };
         let mut harness = Harness::new(set, (0..60).map(entry).collect());
         let mut own = upstreams_used(&mut harness, 12);
         own.iter().for_each(|u| counts[*u as usize] += 1);
@@ -90,18 +94,18 @@
 
 #[test]
 fn a_single_instance_uses_all_upstreams() {
-    let mut harness = Harness::new(settings(Effect::Unsafe), (0..9).map(entry).collect());
+    let mut harness = Harness::new(settings(Idempotency::NonIdempotent), (0..9).map(entry).collect());
     let own: BTreeSet<_> = upstreams_used(&mut harness, 18).into_iter().collect();
     assert_eq!(own.len(), 9);
 }
 
 #[test]
 fn a_draining_upstream_is_in_no_subset() {
-    let set = Settings { instances: 12, rank: 11, ..settings(Effect::Unsafe) };
+    let set = Settings { instances: 12, rank: 11, ..settings(Idempotency::NonIdempotent) };
     let mut harness = Harness::new(set, (1..=12).map(entry).collect());
     assert!(upstreams_used(&mut harness, 9).contains(&12));
-    let gone = Entry { condition: Condition::Draining, ..entry(12) };
-    harness.at(harness.now, Event::ListChanges(vec![gone]));
+    let gone = EndpointEntry { state: EndpointState::Draining, ..entry(12) };
+    harness.at(harness.now, Event::EndpointChanges(vec![gone]));
     // The subset moves on to the remaining upstreams.
     let own: BTreeSet<_> = upstreams_used(&mut harness, 9).into_iter().collect();
     assert!(own.len() == 3 && !own.contains(&12), "{own:?}");
--- a/crates/sidecar/load-balancing/tests/health_check.rs
+++ b/crates/sidecar/load-balancing/tests/health_check.rs
@@ -8,28 +8,28 @@
 #[test]
 fn a_selection_is_confirmed_by_a_cheap_health_check() {
     let set = Settings {
-        health_checks: true,
+        allow_health_checks: true,
         reports_concurrency: true,
         reports_queue: true,
         instances: 3,
-        ..settings(Effect::Unsafe)
+        ..settings(Idempotency::NonIdempotent)
     };
     let mut harness = Harness::new(set, vec![entry(1), entry(2)]);
     // From the first request on, before the number of workers is known.
     let (_, actions) = harness.submit(5.0);
     let [Action::HealthCheck(asked), ..] = actions[..] else { panic!("{actions:?}") };
-    let busy = Event::HealthChecked {
+    let busy = Event::HealthCheckEnded {
         upstream: asked,
-        ending: Ending::Delivered,
+        ending: Ending::Served,
         elapsed: 0.001,
         report: queue_report(1.0, 0.0),
     };
     let actions = harness.at(5.001, busy);
     let [Action::HealthCheck(other), ..] = actions[..] else { panic!("{actions:?}") };
     assert_ne!(asked, other);
-    let idle = Event::HealthChecked {
+    let idle = Event::HealthCheckEnded {
         upstream: other,
-        ending: Ending::Delivered,
+        ending: Ending::Served,
         elapsed: 0.001,
         report: queue_report(0.0, 0.0),
     };
@@ -40,13 +40,17 @@
 /// requests are at a node, but not how many of these are queued, and one request does not make a node busy.
 #[test]
 fn no_selection_is_confirmed_where_reports_cannot_show_a_spare_worker() {
-    let set =
-        Settings { health_checks: true, reports_concurrency: true, instances: 3, ..settings(Effect::Unsafe) };
+    let set = Settings {
+        allow_health_checks: true,
+        reports_concurrency: true,
+        instances: 3,
+        ..settings(Idempotency::NonIdempotent)
+    };
     let mut harness = Harness::new(set, (1..=4).map(entry).collect());
-    let in_flight = |n| Some(Report { active: Some(n), cpu: Some(0.4), ..Report::default() });
+    let in_flight = |n| Some(LoadReport { in_flight: Some(n), cpu: Some(0.4), ..LoadReport::default() });
     let (id, actions) = harness.submit(0.0);
     let to = sent(&actions).expect("the first call waits for no probe");
-    harness.end_with(0.1, id, 0, to, Ending::Delivered, in_flight(5.0));
+    harness.end_with(0.1, id, 0, to, Ending::Served, in_flight(5.0));
     for n in 0..8 {
         let (_, actions) = harness.submit(0.2 + f64::from(n) * 0.01);
         assert!(sent(&actions).is_some(), "call {n}: {actions:?}");
@@ -57,12 +61,12 @@
 #[test]
 fn health_checks_stop_at_their_budget() {
     let set = Settings {
-        health_checks: true,
+        allow_health_checks: true,
         reports_concurrency: true,
         reports_queue: true,
         price_health_check: 0.005,
         instances: 3,
-        ..settings(Effect::Unsafe)
+        ..settings(Idempotency::NonIdempotent)
     };
     let mut harness = Harness::new(set, (1..=40).map(entry).collect());
     let mut probes = 0;
@@ -74,9 +78,9 @@
             break;
         };
         probes += 1;
-        let busy = Event::HealthChecked {
+        let busy = Event::HealthCheckEnded {
             upstream,
-            ending: Ending::Delivered,
+            ending: Ending::Served,
             elapsed: 0.001,
             report: queue_report(3.0, 0.0),
         };
--- a/crates/sidecar/load-balancing/tests/outlier_ejection.rs
+++ b/crates/sidecar/load-balancing/tests/outlier_ejection.rs
@@ -8,7 +8,7 @@
 
 #[test]
 fn a_failing_upstream_is_ejected_and_comes_back() {
-    let mut harness = Harness::new(settings(Effect::Unsafe), vec![entry(1), entry(2)]);
+    let mut harness = Harness::new(settings(Idempotency::NonIdempotent), vec![entry(1), entry(2)]);
     let mut now = 0.1;
     let mut to_bad = [0, 0];
     for n in 0..200 {
@@ -18,11 +18,11 @@
         let down = n < 100;
         to_bad[usize::from(!down)] += usize::from(to.0 == 1);
         if to.0 == 1 && down {
-            let actions = harness.end(now, id, 0, to, Ending::DialFailed);
+            let actions = harness.end(now, id, 0, to, Ending::ConnectFailed);
             let other = sent(&actions).unwrap();
-            harness.end(now + 0.01, id, 1, other, Ending::Delivered);
+            harness.end(now + 0.01, id, 1, other, Ending::Served);
         } else {
-            harness.end(now + 0.01, id, 0, to, Ending::Delivered);
+            harness.end(now + 0.01, id, 0, to, Ending::Served);
         }
     }
     assert!(to_bad[0] <= 6 && to_bad[1] >= 10, "{to_bad:?}");
@@ -30,7 +30,7 @@
 
 #[test]
 fn a_stalled_upstream_is_ejected_while_peers_answer() {
-    let mut harness = Harness::new(settings(Effect::Unsafe), (1..=3).map(entry).collect());
+    let mut harness = Harness::new(settings(Idempotency::NonIdempotent), (1..=3).map(entry).collect());
     let mut paused_sends = 0;
     for n in 0..60 {
         let now = f64::from(n) * 0.1;
@@ -40,7 +40,7 @@
         if to.0 == 1 && now > 2.0 {
             paused_sends += 1;
         } else {
-            harness.end(now + 0.01, id, 0, to, Ending::Delivered);
+            harness.end(now + 0.01, id, 0, to, Ending::Served);
         }
     }
     assert!((1..=3).contains(&paused_sends), "{paused_sends}");
@@ -58,7 +58,7 @@
     let (id, actions) = submit_with_cost(&mut harness, now + 1.4, 0.1);
     let other = sent(&actions).unwrap();
     assert_ne!(other, busy);
-    harness.end(now + 1.5, id, 0, other, Ending::Delivered);
+    harness.end(now + 1.5, id, 0, other, Ending::Served);
     assert_eq!(sent(&submit_with_cost(&mut harness, now + 1.5, 2.0).1), Some(other));
     assert_eq!(
         sent(&submit_with_cost(&mut harness, now + 1.5, 0.1).1),
@@ -69,8 +69,8 @@
 
 #[test]
 fn one_broken_connection_does_not_eject_but_two_without_an_answer_do() {
-    let mut harness = Harness::new(settings(Effect::Unsafe), vec![entry(1), entry(2)]);
-    let breaks = |to| if to == UpstreamId(1) { Ending::Dropped } else { Ending::Delivered };
+    let mut harness = Harness::new(settings(Idempotency::NonIdempotent), vec![entry(1), entry(2)]);
+    let breaks = |to| if to == UpstreamId(1) { Ending::ConnectionLost } else { Ending::Served };
     while request_once(&mut harness, 0, breaks) != UpstreamId(1) {}
     // It still gets requests, though fewer; the second broken connection ejects it.
     assert!((0..20).any(|_| request_once(&mut harness, 0, breaks) == UpstreamId(1)));
@@ -79,7 +79,7 @@
 
 #[test]
 fn a_partitioned_zone_is_ejected_completely() {
-    let mut harness = serve_two_zones(Effect::Unsafe);
+    let mut harness = serve_two_zones(Idempotency::NonIdempotent);
     let (mut lost, mut seen) = (Vec::new(), 0);
     for n in 0..200 {
         let now = 10.0 + f64::from(n) * 0.02;
@@ -89,7 +89,7 @@
             lost.push(now);
         } else {
             seen += 1;
-            harness.end(now + 0.01, id, 0, to, Ending::Delivered);
+            harness.end(now + 0.01, id, 0, to, Ending::Served);
         }
     }
     assert!(seen > 150 && lost.iter().all(|at| *at < 10.5), "{seen} {lost:?}");
@@ -97,8 +97,8 @@
 
 #[test]
 fn an_instance_with_few_attempts_in_flight_ejects_a_large_failed_zone() {
-    let zones = (1..=60).map(|n| Entry { zone: ZoneId((n % 2) as usize), ..entry(n) }).collect();
-    let mut harness = Harness::new(settings(Effect::Unsafe), zones);
+    let zones = (1..=60).map(|n| EndpointEntry { zone: ZoneId((n % 2) as usize), ..entry(n) }).collect();
+    let mut harness = Harness::new(settings(Idempotency::NonIdempotent), zones);
     let mut lost = Vec::new();
     for n in 0..300 {
         let now = f64::from(n) * 0.02;
@@ -107,7 +107,7 @@
         if now > 2.0 && to.0 % 2 == 1 {
             lost.push(now);
         } else {
-            harness.end(now + 0.01, id, 0, to, Ending::Delivered);
+            harness.end(now + 0.01, id, 0, to, Ending::Served);
         }
     }
     // Upstream by upstream, nearly each of the thirty would have to fail a request.
@@ -116,8 +116,8 @@
 
 #[test]
 fn trial_requests_in_a_failed_zone_go_only_to_upstreams_that_failed() {
-    let zones = (1..=60).map(|n| Entry { zone: ZoneId((n % 2) as usize), ..entry(n) }).collect();
-    let mut harness = Harness::new(settings(Effect::Unsafe), zones);
+    let zones = (1..=60).map(|n| EndpointEntry { zone: ZoneId((n % 2) as usize), ..entry(n) }).collect();
+    let mut harness = Harness::new(settings(Idempotency::NonIdempotent), zones);
     let mut failed = BTreeSet::new();
     for n in 0..1500 {
         let now = f64::from(n) * 0.02;
@@ -125,11 +125,11 @@
         let Some(mut to) = sent(&actions) else { continue };
         for attempt in 0..3 {
             if now < 2.0 || to.0 % 2 == 0 {
-                harness.end(now + 0.01, id, attempt, to, Ending::Delivered);
+                harness.end(now + 0.01, id, attempt, to, Ending::Served);
                 break;
             }
             failed.insert(to);
-            let Some(next) = sent(&harness.end(now + 0.01, id, attempt, to, Ending::DialFailed)) else {
+            let Some(next) = sent(&harness.end(now + 0.01, id, attempt, to, Ending::ConnectFailed)) else {
                 break;
             };
             to = next;
--- a/crates/sidecar/load-balancing/tests/retry.rs
+++ b/crates/sidecar/load-balancing/tests/retry.rs
@@ -8,33 +8,33 @@
 #[test]
 fn effect_and_ending_decide_whether_a_request_is_retried() {
     use Ending::*;
-    let all = Effect::Keyed { scope: DedupScope::All, window: 5.0 };
-    let cell = Effect::Keyed { scope: DedupScope::Cell, window: 5.0 };
-    let short = Effect::Keyed { scope: DedupScope::All, window: 0.01 };
-    // (effect, ending, whether it is retried)
+    let all = Idempotency::Keyed { scope: DedupScope::All, window: 5.0 };
+    let cell = Idempotency::Keyed { scope: DedupScope::Cell, window: 5.0 };
+    let short = Idempotency::Keyed { scope: DedupScope::All, window: 0.01 };
+    // (idempotency, ending, whether it is retried)
     let table = [
-        (Effect::Safe, AppError, true),
-        (Effect::Safe, Dropped, true),
-        (Effect::Safe, Shed, true),
-        (all, Dropped, true),
+        (Idempotency::Idempotent, UpstreamError, true),
+        (Idempotency::Idempotent, ConnectionLost, true),
+        (Idempotency::Idempotent, Shed, true),
+        (all, ConnectionLost, true),
         (all, Shed, true),
-        (cell, Dropped, true),
-        (short, Dropped, false),
-        (Effect::Unsafe, Shed, true),
-        (Effect::Unsafe, DialFailed, true),
-        (Effect::Unsafe, Unused, true),
-        (Effect::Unsafe, AppError, false),
-        (Effect::Unsafe, Dropped, false),
-        (Effect::Unsafe, Expired, false),
-        (Effect::Unsafe, Revoked, false),
+        (cell, ConnectionLost, true),
+        (short, ConnectionLost, false),
+        (Idempotency::NonIdempotent, Shed, true),
+        (Idempotency::NonIdempotent, ConnectFailed, true),
+        (Idempotency::NonIdempotent, NotSent, true),
+        (Idempotency::NonIdempotent, UpstreamError, false),
+        (Idempotency::NonIdempotent, ConnectionLost, false),
+        (Idempotency::NonIdempotent, TimedOut, false),
+        (Idempotency::NonIdempotent, Cancelled, false),
     ];
-    for (effect, ending, again) in table {
-        let mut harness = Harness::new(settings(effect), (1..=3).map(entry).collect());
+    for (idempotency, ending, again) in table {
+        let mut harness = Harness::new(settings(idempotency), (1..=3).map(entry).collect());
         let (id, actions) = harness.submit(0.1);
         let to = sent(&actions).unwrap();
         let actions = harness.end(0.2, id, 0, to, ending);
-        assert_eq!(sent(&actions).is_some(), again, "{effect:?} {ending:?}");
-        if effect == Effect::Unsafe && !again {
+        assert_eq!(sent(&actions).is_some(), again, "{idempotency:?} {ending:?}");
+        if idempotency == Idempotency::NonIdempotent && !again {
             assert_eq!(actions, [Action::Fail { id }], "{ending:?}");
         }
     }
@@ -42,16 +42,16 @@
 
 #[test]
 fn a_keyed_request_is_retried_in_its_cell_and_failed_instead_of_rejected() {
-    let effect = Effect::Keyed { scope: DedupScope::Cell, window: 5.0 };
-    let cells = (1..=4).map(|n| Entry { cell: n % 2, ..entry(n) }).collect();
-    let mut harness = Harness::new(settings(effect), cells);
+    let idempotency = Idempotency::Keyed { scope: DedupScope::Cell, window: 5.0 };
+    let cells = (1..=4).map(|n| EndpointEntry { cell: n % 2, ..entry(n) }).collect();
+    let mut harness = Harness::new(settings(idempotency), cells);
     let (id, actions) = harness.submit(0.1);
     let first = sent(&actions).unwrap();
-    let actions = harness.end(0.2, id, 0, first, Ending::Dropped);
+    let actions = harness.end(0.2, id, 0, first, Ending::ConnectionLost);
     let second = sent(&actions).unwrap();
     assert_eq!(first.0 % 2, second.0 % 2);
     assert_ne!(first, second);
-    let actions = harness.end(0.3, id, 1, second, Ending::Dropped);
+    let actions = harness.end(0.3, id, 1, second, Ending::ConnectionLost);
     let late = harness.at(2.05, Event::Wake(0));
     assert!(!actions.iter().chain(&late).any(|a| matches!(a, Action::Reject { .. })));
     assert_eq!(finals(&actions) + finals(&late), 1);
@@ -59,7 +59,7 @@
 
 #[test]
 fn attempts_stop_at_the_maximum() {
-    let set = Settings { max_attempts: 2, ..settings(Effect::Unsafe) };
+    let set = Settings { max_attempts: 2, ..settings(Idempotency::NonIdempotent) };
     let mut harness = Harness::new(set, (1..=5).map(entry).collect());
     let (id, actions) = harness.submit(0.1);
     let actions = harness.end(0.2, id, 0, sent(&actions).unwrap(), Ending::Shed);
@@ -71,38 +71,38 @@
 #[test]
 fn a_request_that_fails_after_its_latency_target_is_not_retried() {
     for (failed_at, again) in [(0.5, true), (1.1, false)] {
-        let mut harness = Harness::new(settings(Effect::Safe), vec![entry(1), entry(2)]);
+        let mut harness = Harness::new(settings(Idempotency::Idempotent), vec![entry(1), entry(2)]);
         let (id, actions) = harness.submit(0.0);
         let to = sent(&actions).unwrap();
-        let actions = harness.end(failed_at, id, 0, to, Ending::AppError);
+        let actions = harness.end(failed_at, id, 0, to, Ending::UpstreamError);
         assert_eq!((sent(&actions).is_some(), finals(&actions) == 0), (again, again), "at {failed_at}");
     }
 }
 
 #[test]
 fn a_request_whose_response_has_begun_is_not_retried() {
-    let mut harness = Harness::new(settings(Effect::Safe), (1..=3).map(entry).collect());
+    let mut harness = Harness::new(settings(Idempotency::Idempotent), (1..=3).map(entry).collect());
     let (id, actions) = harness.submit(0.0);
     let to = sent(&actions).unwrap();
-    assert!(harness.at(0.2, Event::StreamBegan { id, attempt: 0 }).is_empty());
-    assert!(harness.end(0.4, id, 0, to, Ending::Dropped).is_empty());
+    assert!(harness.at(0.2, Event::ResponseStarted { id, attempt: 0 }).is_empty());
+    assert!(harness.end(0.4, id, 0, to, Ending::ConnectionLost).is_empty());
 }
 
 #[test]
 fn a_request_of_a_disconnected_client_is_not_retried() {
-    let mut harness = Harness::new(settings(Effect::Safe), vec![entry(1), entry(2)]);
+    let mut harness = Harness::new(settings(Idempotency::Idempotent), vec![entry(1), entry(2)]);
     let (id, actions) = harness.submit(0.0);
     harness.at(0.5, Event::ClientDisconnected(id));
-    assert!(harness.end(0.6, id, 0, sent(&actions).unwrap(), Ending::Dropped).is_empty());
+    assert!(harness.end(0.6, id, 0, sent(&actions).unwrap(), Ending::ConnectionLost).is_empty());
 }
 
 #[test]
 fn a_time_out_at_the_deadline_gets_its_final_answer_at_once() {
-    for effect in [Effect::Safe, Effect::Unsafe] {
-        let mut harness = Harness::new(settings(effect), vec![entry(1)]);
+    for idempotency in [Idempotency::Idempotent, Idempotency::NonIdempotent] {
+        let mut harness = Harness::new(settings(idempotency), vec![entry(1)]);
         let (id, actions) = harness.submit(0.0);
-        let actions = harness.end(2.0, id, 0, sent(&actions).unwrap(), Ending::Expired);
-        assert_eq!(finals(&actions), 1, "{effect:?}");
+        let actions = harness.end(2.0, id, 0, sent(&actions).unwrap(), Ending::TimedOut);
+        assert_eq!(finals(&actions), 1, "{idempotency:?}");
         assert!(harness.at(2.1, Event::ClientDisconnected(id)).is_empty());
     }
 }
--- a/crates/sidecar/load-balancing/tests/settings.rs
+++ b/crates/sidecar/load-balancing/tests/settings.rs
@@ -7,7 +7,7 @@
 
 #[test]
 fn invalid_settings_are_rejected() {
-    let base = settings(Effect::Safe);
+    let base = settings(Idempotency::Idempotent);
     let cases = [
         Settings { instances: 0, ..base.clone() },
         Settings { classes: vec![], ..base.clone() },
@@ -27,43 +27,52 @@
 // in the module), and against settings that would remove the class of admitted requests.
 #[test]
 fn a_later_generation_adds_a_class_whose_requests_are_sent_at_once() {
-    let mut harness = Harness::new(settings(Effect::Safe), vec![entry(1), entry(2)]);
+    let mut harness = Harness::new(settings(Idempotency::Idempotent), vec![entry(1), entry(2)]);
     let (_, first) = harness.submit(0.1);
     assert!(matches!(first[..], [Action::Send { .. }, ..]));
-    let unsafe_class = Class { effect: Effect::Unsafe, ..Class::default() };
-    let mut later = settings(Effect::Safe);
+    let unsafe_class = Class { idempotency: Idempotency::NonIdempotent, ..Class::default() };
+    let mut later = settings(Idempotency::Idempotent);
     later.classes.push(unsafe_class);
-    harness.balancer.retune(later.clone()).unwrap();
+    harness.balancer.update_settings(later.clone()).unwrap();
     let id = RequestId(99);
-    let event =
-        Event::Request { id, class: ClassId(1), tenant: None, ttl: 2.0, work_hint: None, repeat: false };
+    let event = Event::Request {
+        id,
+        class: ClassId(1),
+        tenant: None,
+        client_timeout: 2.0,
+        work_hint: None,
+        repeat: false,
+    };
     assert!(matches!(harness.at(0.2, event)[..], [Action::Send { id: RequestId(99), .. }, ..]));
-    assert!(harness.balancer.retune(settings(Effect::Safe)).is_err(), "classes may not be taken away");
+    assert!(
+        harness.balancer.update_settings(settings(Idempotency::Idempotent)).is_err(),
+        "classes may not be taken away"
+    );
 }
 
 #[test]
 fn odd_but_legal_input_is_ignored() {
-    let mut harness = Harness::new(settings(Effect::Safe), vec![entry(1), entry(1)]);
-    let nan = Some(Report {
-        active: Some(f64::NAN),
-        waiting: Some(f64::INFINITY),
+    let mut harness = Harness::new(settings(Idempotency::Idempotent), vec![entry(1), entry(1)]);
+    let nan = Some(LoadReport {
+        in_flight: Some(f64::NAN),
+        queued: Some(f64::INFINITY),
         cpu: Some(f64::NAN),
-        ..Report::default()
+        ..LoadReport::default()
     });
-    harness.end_with(0.1, RequestId(99), 7, UpstreamId(55), Ending::Delivered, nan);
+    harness.end_with(0.1, RequestId(99), 7, UpstreamId(55), Ending::Served, nan);
     harness.at(f64::NAN, Event::ClientDisconnected(RequestId(98)));
-    harness.at(0.1, Event::StreamBegan { id: RequestId(97), attempt: 3 });
+    harness.at(0.1, Event::ResponseStarted { id: RequestId(97), attempt: 3 });
     harness.at(
         0.1,
-        Event::HealthChecked {
+        Event::HealthCheckEnded {
             upstream: UpstreamId(5),
-            ending: Ending::Expired,
+            ending: Ending::TimedOut,
             elapsed: -1.0,
             report: None,
         },
     );
     let (id, actions) = harness.submit(-3.0);
     let to = sent(&actions).unwrap();
-    assert!(harness.end_with(0.1, id, 0, to, Ending::Delivered, nan).is_empty());
+    assert!(harness.end_with(0.1, id, 0, to, Ending::Served, nan).is_empty());
     assert!(sent(&harness.submit(0.1).1).is_some());
 }
--- a/crates/sidecar/load-balancing/tests/slow_start.rs
+++ b/crates/sidecar/load-balancing/tests/slow_start.rs
@@ -7,17 +7,17 @@
 
 #[test]
 fn an_upstream_in_slow_start_gets_little_traffic() {
-    let mut harness = Harness::new(settings(Effect::Safe), (1..=4).map(entry).collect());
+    let mut harness = Harness::new(settings(Idempotency::Idempotent), (1..=4).map(entry).collect());
     let mut cold = 0;
     for n in 0..400 {
         let now = f64::from(n) * 0.02;
         if n == 200 {
-            harness.at(now, Event::ListChanges(vec![Entry { started: Some(now), ..entry(4) }]));
+            harness.at(now, Event::EndpointChanges(vec![EndpointEntry { started: Some(now), ..entry(4) }]));
         }
         let (id, actions) = harness.submit(now);
         let to = sent(&actions).unwrap();
         cold += usize::from((200..300).contains(&n) && to.0 == 4);
-        harness.end(now + 0.01, id, 0, to, Ending::Delivered);
+        harness.end(now + 0.01, id, 0, to, Ending::Served);
     }
     // An upstream past its slow start gets 33 of these 100; this one starts at a fifth of its capacity.
     assert!((1..=14).contains(&cold), "{cold}");
@@ -26,25 +26,35 @@
 #[test]
 fn many_instances_together_do_not_overload_an_upstream_in_slow_start() {
     // Twenty instances observe the same start; each alone would send only a little.
-    let set =
-        Settings { instances: 20, overload_factor: 3.0, overload_window: 1.0, ..settings(Effect::Safe) };
+    let set = Settings {
+        instances: 20,
+        overload_factor: 3.0,
+        overload_window: 1.0,
+        ..settings(Idempotency::Idempotent)
+    };
     let mut to_cold = Vec::new();
     for seed in 0..20 {
         let set = Settings { rank: seed as usize, ..set.clone() };
         let mut balancer = Balancer::new(set, seed, 0.0).unwrap();
         let mut actions = Vec::new();
-        balancer.handle(0.0, Event::FullList((1..=4).map(entry).collect()), &mut actions);
+        balancer.handle(0.0, Event::EndpointList((1..=4).map(entry).collect()), &mut actions);
         for n in 0..60 {
             let now = f64::from(n) * 0.1;
             if n == 30 {
-                let cold = Entry { started: Some(now), ..entry(4) };
-                balancer.handle(now, Event::ListChanges(vec![cold]), &mut actions);
+                let cold = EndpointEntry { started: Some(now), ..entry(4) };
+                balancer.handle(now, Event::EndpointChanges(vec![cold]), &mut actions);
             }
             actions.clear();
             let id = RequestId(n as u64);
-            let ttl = 2.0;
-            let event =
-                Event::Request { id, class: ClassId(0), tenant: None, ttl, work_hint: None, repeat: false };
+            let client_timeout = 2.0;
+            let event = Event::Request {
+                id,
+                class: ClassId(0),
+                tenant: None,
+                client_timeout,
+                work_hint: None,
+                repeat: false,
+            };
             balancer.handle(now, event, &mut actions);
             let Some(to) = sent(&actions) else { continue };
             to_cold.extend((n >= 30 && to.0 == 4).then_some(now));
@@ -52,7 +62,7 @@
                 id,
                 attempt: 0,
                 upstream: to,
-                ending: Ending::Delivered,
+                ending: Ending::Served,
                 elapsed: 0.05,
                 last: true,
                 report: None,
--- a/crates/sidecar/load-balancing/tests/trace.rs
+++ b/crates/sidecar/load-balancing/tests/trace.rs
@@ -114,7 +114,7 @@
     attempts: BTreeMap<u64, u32>,
     /// The places in `events` of the outcomes that are to come, by request and attempt.
     outcomes: BTreeMap<(u64, u32), usize>,
-    upstreams: Vec<Entry>,
+    upstreams: Vec<EndpointEntry>,
     classes: u64,
     tenants: u64,
     next_request: u64,
@@ -141,17 +141,23 @@
         };
         world.upstreams = (0..8).map(|_| world.upstream()).collect();
         let list = world.upstreams.clone();
-        world.schedule(0.0, Event::FullList(list));
+        world.schedule(0.0, Event::EndpointList(list));
         world
     }
 
     /// An upstream that has just started.
-    fn upstream(&mut self) -> Entry {
+    fn upstream(&mut self) -> EndpointEntry {
         self.next_upstream += 1;
         let number = self.next_upstream;
         let started = self.chance.happens(0.5).then_some(self.now as f64 / 1e6);
         let zone = ZoneId((number % 2) as usize);
-        Entry { upstream: UpstreamId(number), zone, cell: number % 3, condition: Condition::Running, started }
+        EndpointEntry {
+            upstream: UpstreamId(number),
+            zone,
+            cell: number % 3,
+            state: EndpointState::Running,
+            started,
+        }
     }
 
     fn schedule(&mut self, after: f64, event: Event) {
@@ -186,10 +192,10 @@
     /// Something from outside: mostly a request.
     fn surprise(&mut self) -> Event {
         match self.chance.below(100) {
-            0 => Event::ListFailed,
+            0 => Event::EndpointListFailed,
             1 => {
                 let list = self.upstreams.clone();
-                Event::FullList(list)
+                Event::EndpointList(list)
             }
             2 | 3 => self.change_of_the_list(),
             4 if self.next_request > 0 => Event::ClientDisconnected(RequestId(
@@ -205,16 +211,16 @@
             0 => {
                 // A replacement stands at its place.
                 let fresh = self.upstream();
-                let gone = Entry { condition: Condition::Removed, ..self.upstreams[at] };
+                let gone = EndpointEntry { state: EndpointState::Removed, ..self.upstreams[at] };
                 self.upstreams[at] = fresh;
-                return Event::ListChanges(vec![gone, fresh]);
+                return Event::EndpointChanges(vec![gone, fresh]);
             }
-            1 => Condition::Draining,
-            _ => Condition::Running,
+            1 => EndpointState::Draining,
+            _ => EndpointState::Running,
         };
         let started = self.chance.happens(0.3).then_some(self.now as f64 / 1e6);
-        self.upstreams[at] = Entry { condition: changed, started, ..self.upstreams[at] };
-        Event::ListChanges(vec![self.upstreams[at]])
+        self.upstreams[at] = EndpointEntry { state: changed, started, ..self.upstreams[at] };
+        Event::EndpointChanges(vec![self.upstreams[at]])
     }
 
     fn request(&mut self) -> Event {
@@ -227,22 +233,22 @@
             id: RequestId(self.next_request),
             class: ClassId(self.chance.below(self.classes) as usize),
             tenant,
-            ttl: 0.2 + 4.0 * self.chance.part(),
+            client_timeout: 0.2 + 4.0 * self.chance.part(),
             work_hint: self.chance.happens(0.4).then_some(0.01 + 0.2 * self.chance.part()),
             repeat: self.chance.happens(0.1),
         }
     }
 
-    fn report(&mut self) -> Option<Report> {
+    fn report(&mut self) -> Option<LoadReport> {
         if self.chance.happens(0.3) {
             return None;
         }
         let queue = self.chance.happens(0.5);
-        Some(Report {
-            active: Some(self.chance.below(12) as f64),
-            waiting: queue.then_some(self.chance.below(6) as f64),
+        Some(LoadReport {
+            in_flight: Some(self.chance.below(12) as f64),
+            queued: queue.then_some(self.chance.below(6) as f64),
             cpu: Some(self.chance.part()),
-            avg_ms: Some(5.0 + 100.0 * self.chance.part()),
+            service_time_ms: Some(5.0 + 100.0 * self.chance.part()),
             rps: Some(200.0 * self.chance.part()),
             err_rps: queue.then_some(3.0 * self.chance.part()),
         })
@@ -257,15 +263,15 @@
             _ => 3,
         };
         if self.chance.below(100) >= bad {
-            return Ending::Delivered;
+            return Ending::Served;
         }
         let endings = [
-            Ending::AppError,
+            Ending::UpstreamError,
             Ending::Shed,
-            Ending::Expired,
-            Ending::DialFailed,
-            Ending::Dropped,
-            Ending::Unused,
+            Ending::TimedOut,
+            Ending::ConnectFailed,
+            Ending::ConnectionLost,
+            Ending::NotSent,
         ];
         endings[self.chance.below(endings.len() as u64) as usize]
     }
@@ -278,12 +284,12 @@
                 *attempts += 1;
                 // Some upstreams stand still now and then, for three seconds.
                 let stuck = upstream.0 % 3 == 0 && self.now / 3_000_000 % 3 == 0;
-                let ending = if stuck { Ending::Expired } else { self.ending(upstream) };
+                let ending = if stuck { Ending::TimedOut } else { self.ending(upstream) };
                 let elapsed = if stuck { 3.0 } else { 0.01 + 0.3 * self.chance.part() };
                 let elapsed = elapsed.min(timeout.unwrap_or(f64::INFINITY));
-                let (last, report) = (ending == Ending::Delivered, self.report());
+                let (last, report) = (ending == Ending::Served, self.report());
                 if last && self.chance.happens(0.1) {
-                    self.schedule(elapsed / 2.0, Event::StreamBegan { id, attempt });
+                    self.schedule(elapsed / 2.0, Event::ResponseStarted { id, attempt });
                 }
                 self.outcomes.insert((id.0, attempt), self.events.len());
                 let outcome = Outcome { id, attempt, upstream, ending, elapsed, last, report };
@@ -292,7 +298,7 @@
             Action::Cancel { id, attempt } => {
                 let number = self.outcomes[&(id.0, attempt)];
                 if let Some(Event::Outcome(outcome)) = self.events[number].take() {
-                    let revoked = Outcome { ending: Ending::Revoked, report: None, ..outcome };
+                    let revoked = Outcome { ending: Ending::Cancelled, report: None, ..outcome };
                     self.schedule(0.0, Event::Outcome(revoked));
                 }
             }
@@ -300,11 +306,11 @@
             Action::HealthCheck(upstream) => {
                 let (ending, report) = (self.ending(upstream), self.report());
                 let elapsed = 0.002 + 0.02 * self.chance.part();
-                self.schedule(elapsed, Event::HealthChecked { upstream, ending, elapsed, report });
+                self.schedule(elapsed, Event::HealthCheckEnded { upstream, ending, elapsed, report });
             }
             Action::Subscribe => {
                 let list = self.upstreams.clone();
-                self.schedule(0.05, Event::FullList(list));
+                self.schedule(0.05, Event::EndpointList(list));
             }
             Action::Reject { .. } | Action::Fail { .. } => {}
         }
@@ -313,20 +319,20 @@
 
 /// Classes of every kind, tenants, and everything allowed that may be.
 fn rich() -> Settings {
-    let keyed = |scope| Effect::Keyed { scope, window: 0.4 };
-    let class = |latency_target, value, effect| Class {
+    let keyed = |scope| Idempotency::Keyed { scope, window: 0.4 };
+    let class = |latency_target, value, idempotency| Class {
         latency_target,
         latency_target_per_work: 0.5,
         value,
         late_value: 0.2,
-        effect,
+        idempotency,
     };
     Settings {
         instances: 3,
         rank: 1,
         classes: vec![
-            class(0.3, 1.0, Effect::Safe),
-            class(0.5, 4.0, Effect::Unsafe),
+            class(0.3, 1.0, Idempotency::Idempotent),
+            class(0.5, 4.0, Idempotency::NonIdempotent),
             class(0.8, 2.0, keyed(DedupScope::All)),
             class(0.8, 2.0, keyed(DedupScope::Zone)),
             class(0.8, 0.5, keyed(DedupScope::Cell)),
@@ -340,10 +346,10 @@
         list_validity: 1.0,
         reports_concurrency: true,
         reports_queue: true,
-        health_checks: true,
-        cancel: true,
-        duplicates: true,
-        retry_after: true,
+        allow_health_checks: true,
+        allow_cancel: true,
+        allow_concurrent_attempts: true,
+        send_retry_after: true,
         max_retry_after: 2.0,
         ..Settings::default()
     }
@@ -351,7 +357,12 @@
 
 /// Safe calls only, which may be withdrawn and sent elsewhere.
 fn cancelling() -> Settings {
-    Settings { cancel: true, duplicates: true, reports_concurrency: true, ..Settings::default() }
+    Settings {
+        allow_cancel: true,
+        allow_concurrent_attempts: true,
+        reports_concurrency: true,
+        ..Settings::default()
+    }
 }
 
 /// All kinds of actions.
--- a/crates/sidecar/proxy/src/connections.rs
+++ b/crates/sidecar/proxy/src/connections.rs
@@ -240,8 +240,8 @@
                 self.respond(key, 503, "refused, come again later\n", &[]);
             }
             (Answer::Invalid, _) => self.respond(key, 400, "the node finds the request at fault\n", &[]),
-            (Answer::Failed { late: true }, _) => self.respond(key, 504, "no answer in time\n", &[]),
-            (Answer::Failed { late: false } | Answer::Served { .. }, _) => {
+            (Answer::Failed { timed_out: true }, _) => self.respond(key, 504, "no answer in time\n", &[]),
+            (Answer::Failed { timed_out: false } | Answer::Served { .. }, _) => {
                 self.respond(key, 502, "failed\n", &[]);
             }
         }
--- a/crates/sidecar/proxy/src/connections/upstreams.rs
+++ b/crates/sidecar/proxy/src/connections/upstreams.rs
@@ -105,7 +105,7 @@
             self.track_attempt(attempt, key);
             if !self.load_upstream(key, attempt) {
                 self.return_to_pool(key);
-                return self.report_outcome(node, attempt, Ending::Unused);
+                return self.report_outcome(node, attempt, Ending::NotSent);
             }
             let wait = if idle < MIN_REST_S { MIN_REST_S - idle } else { LAST_BYTE_DELAY_S };
             self.upstreams[key].held =
@@ -119,11 +119,11 @@
             return;
         }
         let Some(dial) = self.pools.by_node.get(&node).map(|l| l.dial) else {
-            return self.report_outcome(node, attempt, Ending::Unused);
+            return self.report_outcome(node, attempt, Ending::NotSent);
         };
         if self.upstreams.len() >= self.max_upstreams && !self.close_idlest_upstream() {
             self.log_event("warn", "node_connections_full", &[("node_connections", &self.upstreams.len())]);
-            return self.report_outcome(node, attempt, Ending::Unused);
+            return self.report_outcome(node, attempt, Ending::NotSent);
         }
         let sock = match TcpStream::connect(dial) {
             Err(e) if matches!(e.raw_os_error(), Some(24 | 23)) => {
@@ -132,7 +132,7 @@
                 if self.close_idlest_upstream() || self.evict_idle_client() {
                     TcpStream::connect(dial)
                 } else {
-                    return self.report_outcome(node, attempt, Ending::Unused);
+                    return self.report_outcome(node, attempt, Ending::NotSent);
                 }
             }
             other => other,
@@ -152,7 +152,7 @@
                 self.track_attempt(attempt, key);
                 self.timers.set(self.now + self.connect_timeout, Timer::Dial(key, attempt));
             }
-            Err(_) => self.report_outcome(node, attempt, Ending::DialFailed),
+            Err(_) => self.report_outcome(node, attempt, Ending::ConnectFailed),
         }
     }
 
@@ -185,7 +185,7 @@
             self.timers.set(self.now + LATE_CONNECT_TIMEOUT_S, Timer::Late(key, number));
         }
         let ending =
-            if serves { self.attribute_failure(node, Ending::DialFailed) } else { Ending::DialFailed };
+            if serves { self.attribute_failure(node, Ending::ConnectFailed) } else { Ending::ConnectFailed };
         self.report_outcome(node, attempt, ending);
     }
 
@@ -219,7 +219,7 @@
 
     /// Ends an attempt of which not every byte is out, so that it cannot run any more.
     pub fn withdraw_unsent(&mut self, key: usize) {
-        self.end_attempt(key, Ending::Unused);
+        self.end_attempt(key, Ending::NotSent);
     }
 
     /// Whether this connection is in this phase, with this attempt.
@@ -232,8 +232,8 @@
     pub fn attribute_failure(&mut self, node: UpstreamId, ending: Ending) -> Ending {
         let Some(pool) = self.pools.by_node.get_mut(&node) else { return ending };
         match ending {
-            Ending::DialFailed if !std::mem::replace(&mut pool.closed_unused, true) => Ending::Unused,
-            Ending::Delivered | Ending::AppError | Ending::Shed => {
+            Ending::ConnectFailed if !std::mem::replace(&mut pool.closed_unused, true) => Ending::NotSent,
+            Ending::Served | Ending::UpstreamError | Ending::Shed => {
                 pool.closed_unused = false;
                 ending
             }
@@ -245,8 +245,8 @@
     pub fn log_failed_attempt(&mut self, node: UpstreamId, ending: Ending, blame: Blame) {
         let event = match ending {
             _ if blame == Blame::InvalidResponse => "invalid_response",
-            Ending::DialFailed => "node_unreachable",
-            Ending::Dropped => "node_disconnected",
+            Ending::ConnectFailed => "node_unreachable",
+            Ending::ConnectionLost => "node_disconnected",
             _ => return,
         };
         let host = self.pools.host(node).to_owned();
--- a/crates/sidecar/proxy/src/pool.rs
+++ b/crates/sidecar/proxy/src/pool.rs
@@ -4,7 +4,7 @@
 use crate::buffer_pool::{Buffer, BufferPool};
 use crate::http::{relay_head, BodyReader, Head};
 use mio::net::TcpStream;
-use passrelay_load_balancing::{Ending, Report, RequestId, UpstreamId};
+use passrelay_load_balancing::{Ending, LoadReport, RequestId, UpstreamId};
 use passrelay_sidecar_settings::{is_sound, parse_report};
 use std::collections::HashMap;
 use std::io::{self, Read, Write};
@@ -36,7 +36,7 @@
 /// Result of an attempt.
 pub struct AttemptResult {
     pub ending: Ending,
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
     /// The body of an answer to serve, and its media type.
     pub load: Option<ResponseBody>,
     /// The connection can carry another attempt.
@@ -220,14 +220,14 @@
 
     /// The connection broke: the request has certainly not been executed only if its last byte was never written.
     pub fn broken(&mut self) -> AttemptResult {
-        let ending = if self.sent { Ending::Dropped } else { Ending::DialFailed };
+        let ending = if self.sent { Ending::ConnectionLost } else { Ending::ConnectFailed };
         AttemptResult { ending, report: None, load: None, reusable: false, blame: Blame::None, stream: false }
     }
 
     /// A served answer fills the buffer: it is the client's, and the rest follows by a body relay.
     fn stream_start(&mut self) -> AttemptResult {
         let report = self.answer.as_ref().and_then(|(head, _)| report_of(head.header("x-load-report")));
-        AttemptResult { ending: Ending::Delivered, report, stream: true, ..self.broken() }
+        AttemptResult { ending: Ending::Served, report, stream: true, ..self.broken() }
     }
 
     /// Opens the relay of a served answer to the client at `client`.
@@ -267,7 +267,7 @@
     /// Bytes that are no answer: the request may have been executed. Only this connection is discarded; the node may answer others
     /// well and is not taken for unreachable.
     fn invalid_response(&mut self) -> AttemptResult {
-        AttemptResult { ending: Ending::AppError, blame: Blame::InvalidResponse, ..self.broken() }
+        AttemptResult { ending: Ending::UpstreamError, blame: Blame::InvalidResponse, ..self.broken() }
     }
 
     fn finished(&mut self, ended: bool) -> AttemptResult {
@@ -276,10 +276,10 @@
         };
         let probe = matches!(self.attempt, Some(Attempt::Probe { .. }));
         let ending = match head.status {
-            200 => Ending::Delivered,
+            200 => Ending::Served,
             503 | 504 if head.header("x-rejected") == Some("1") => Ending::Shed,
             503 if probe => Ending::Shed,
-            _ => Ending::AppError,
+            _ => Ending::UpstreamError,
         };
         let text = std::str::from_utf8(&buffer.bytes()[body.start..body.end]).ok();
         let text = head.header("x-load-report").or(text.filter(|_| probe));
@@ -305,7 +305,7 @@
 }
 
 /// A load report as it stands in a header or a probe's body, if it is one that can be true.
-fn report_of(text: Option<&str>) -> Option<Report> {
+fn report_of(text: Option<&str>) -> Option<LoadReport> {
     text.and_then(|t| parse_report(t.trim(), '=').ok()).filter(is_sound)
 }
 
--- a/crates/sidecar/proxy/src/sidecar.rs
+++ b/crates/sidecar/proxy/src/sidecar.rs
@@ -11,7 +11,7 @@
 use crate::pool::Phase;
 use mio::{Events, Interest, Poll};
 use passrelay_load_balancing::dispatcher::Dispatcher;
-use passrelay_load_balancing::lifecycle::{Lifecycle, PlannedEnd};
+use passrelay_load_balancing::lifecycle::{Lifecycle, ShutdownSchedule};
 use passrelay_load_balancing::Ending;
 use passrelay_sidecar_settings::{Config, NodeListUpdate, ServiceSettings};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
@@ -76,7 +76,7 @@
     shutdown_phase: ShutdownPhase,
     /// When SIGTERM came, in seconds on the loop's clock (infinite before), and the schedule from then on.
     shutdown_requested_at: f64,
-    end: PlannedEnd,
+    end: ShutdownSchedule,
     listener_full: bool,
     /// The listener's backlog may hold more clients than one turn accepts.
     accept_backlog: bool,
@@ -149,7 +149,7 @@
             epoch,
             shutdown_phase,
             shutdown_requested_at: f64::INFINITY,
-            end: PlannedEnd::of(std::iter::empty()),
+            end: ShutdownSchedule::for_deadlines(std::iter::empty()),
             listener_full: false,
             accept_backlog: false,
         };
@@ -240,7 +240,7 @@
             let now = self.connections.now;
             match events {
                 ConnectionEvent::AttemptOutcome { id, number, ending } => {
-                    self.dispatcher.outcome(now, id, number, ending, None, &mut self.connections);
+                    self.dispatcher.attempt_ended(now, id, number, ending, None, &mut self.connections);
                 }
                 ConnectionEvent::ProbeOutcome { node, ending } => {
                     self.dispatcher.health_check_ended(now, node, ending, 0.0, None, &mut self.connections);
@@ -282,7 +282,7 @@
             }
             Timer::Probe(key, attempt) => {
                 if self.connections.is_at(key, Phase::Busy, attempt) {
-                    self.connections.end_attempt(key, Ending::Expired);
+                    self.connections.end_attempt(key, Ending::TimedOut);
                 }
             }
             Timer::LastByte(key, attempt) => self.send_held_byte(key, attempt),
--- a/crates/sidecar/proxy/src/sidecar/clients.rs
+++ b/crates/sidecar/proxy/src/sidecar/clients.rs
@@ -7,7 +7,7 @@
 use crate::listener::Accepted;
 use passrelay_load_balancing::admission::Admission;
 use passrelay_load_balancing::dispatcher::Arrival;
-use passrelay_load_balancing::{Effect, RequestId};
+use passrelay_load_balancing::{Idempotency, RequestId};
 
 /// Maximum accepts per turn, so that a full backlog does not hold up answers.
 const MAX_ACCEPTS_PER_TURN: usize = 64;
@@ -99,9 +99,10 @@
             if head.method != "GET" {
                 return self.connections.respond(key, 405, "use GET\n", &[("Allow", &"GET")]);
             }
-            let ready = self
-                .lifecycle
-                .is_ready(self.dispatcher.is_ready(), self.shutdown_phase != ShutdownPhase::Serving);
+            let ready = self.lifecycle.is_ready(
+                self.dispatcher.has_running_upstream(),
+                self.shutdown_phase != ShutdownPhase::Serving,
+            );
             let (status, text) = if ready { (200, "ready\n") } else { (503, "not ready\n") };
             return self.connections.respond(key, status, text, &[]);
         }
@@ -126,21 +127,25 @@
         if left <= 0.0 {
             return self.connections.respond(key, 503, "ending\n", &[]);
         }
-        let arrival = Arrival { budget: arrival.budget.min(left), ..arrival };
+        let arrival = Arrival { client_timeout: arrival.client_timeout.min(left), ..arrival };
         // Guards against a request sent on of which it is known already that nobody waits for it.
         if self.connections.clients[key].peer_closed {
             return self.connections.close_client(key);
         }
-        let id: RequestId = self.dispatcher.next_id();
-        self.connections.track_request(id, key, head, arrival.budget);
-        self.dispatcher.arrive(self.connections.now, id, arrival, &mut self.connections);
+        let id: RequestId = self.dispatcher.assign_id();
+        self.connections.track_request(id, key, head, arrival.client_timeout);
+        self.dispatcher.request_arrived(self.connections.now, id, arrival, &mut self.connections);
     }
 
     /// Checks the headers of a request; the error is a status and a text (for 405 the right method).
     fn read_arrival(&self, head: &Head, path: &str) -> Result<Arrival, (u16, &'static str)> {
         let name = path[1..].split('/').next().unwrap_or("");
         let class = self.service.class(name).ok_or((404, "no such class"))?;
-        let method = if self.service.settings.classes[class].effect == Effect::Safe { "GET" } else { "POST" };
+        let method = if self.service.settings.classes[class].idempotency == Idempotency::Idempotent {
+            "GET"
+        } else {
+            "POST"
+        };
         if head.method != method {
             return Err((405, method));
         }
@@ -169,7 +174,13 @@
         let repeat = head.header("x-again") == Some("1");
         // Only a hint: one that cannot be read, or that no call can take, costs no request its answer.
         let cost = head.header("x-call-cost").filter(digits).and_then(|c| c.parse::<f64>().ok());
-        let work = cost.map(|micros| micros / 1e6).filter(|w| (1e-6..=MAX_WORK_S).contains(w));
-        Ok(Arrival { class: passrelay_load_balancing::ClassId(class), tenant, budget, work, repeat })
+        let work_hint = cost.map(|micros| micros / 1e6).filter(|w| (1e-6..=MAX_WORK_S).contains(w));
+        Ok(Arrival {
+            class: passrelay_load_balancing::ClassId(class),
+            tenant,
+            client_timeout: budget,
+            work_hint,
+            repeat,
+        })
     }
 }
--- a/crates/sidecar/proxy/src/sidecar/discovery.rs
+++ b/crates/sidecar/proxy/src/sidecar/discovery.rs
@@ -3,7 +3,7 @@
 use super::Sidecar;
 use crate::connections::Timer;
 use crate::discovery_client::{DiscoveryResult, REQUEST_PAUSE_S};
-use passrelay_load_balancing::{Condition, Entry, ZoneId};
+use passrelay_load_balancing::{EndpointEntry, EndpointState, ZoneId};
 use passrelay_sidecar_settings::{Item, NodeListUpdate};
 use std::fmt::Display;
 
@@ -26,11 +26,11 @@
         for line in &update.nodes {
             let node = self.connections.pools.number(&line.host);
             let started = (line.born_ms > 0.0).then(|| line.born_ms / 1000.0 - self.epoch);
-            let (zone, condition) = (ZoneId(0), line.condition);
-            let entry = Entry { upstream: node, zone, cell: line.block, condition, started };
+            let (zone, state) = (ZoneId(0), line.condition);
+            let entry = EndpointEntry { upstream: node, zone, cell: line.block, state, started };
             items.push(Item { entry, zone: line.site.clone() });
-            self.connections.update_node(node, line.dial, condition == Condition::Running);
-            if condition == Condition::Running {
+            self.connections.update_node(node, line.dial, state == EndpointState::Running);
+            if state == EndpointState::Running {
                 open.push(node);
             } else {
                 let host: &str = &line.host;
--- a/crates/sidecar/proxy/src/sidecar/operators.rs
+++ b/crates/sidecar/proxy/src/sidecar/operators.rs
@@ -25,10 +25,11 @@
             Call::Status => {
                 let serving = self.listener.is_some()
                     && self.shutdown_phase == ShutdownPhase::Serving
-                    && self.dispatcher.is_ready();
-                let ready = self
-                    .lifecycle
-                    .is_ready(self.dispatcher.is_ready(), self.shutdown_phase != ShutdownPhase::Serving);
+                    && self.dispatcher.has_running_upstream();
+                let ready = self.lifecycle.is_ready(
+                    self.dispatcher.has_running_upstream(),
+                    self.shutdown_phase != ShutdownPhase::Serving,
+                );
                 let c = self.dispatcher.counts();
                 let mut body = serde_json::json!({
                     "name": self.name, "serving": serving, "ready": ready,
@@ -43,7 +44,7 @@
                 (if serving { 200 } else { 503 }, format!("{body}\n"))
             }
             Call::Standby => {
-                if self.lifecycle.standby(now) == Transition::Changed {
+                if self.lifecycle.enter_standby(now) == Transition::Changed {
                     self.set_closing();
                     self.connections.close_idle_clients();
                     self.connections.log_event(
@@ -58,7 +59,7 @@
                 (200, "{\"standby\":true}\n".to_owned())
             }
             Call::Active => {
-                if self.lifecycle.active() == Transition::Changed {
+                if self.lifecycle.leave_standby() == Transition::Changed {
                     self.set_closing();
                     self.connections.log_event(
                         "info",
--- a/crates/sidecar/proxy/src/sidecar/signals.rs
+++ b/crates/sidecar/proxy/src/sidecar/signals.rs
@@ -4,7 +4,7 @@
 use crate::client_connection::Stage;
 use crate::connections::Timer;
 use passrelay_load_balancing::dispatcher;
-use passrelay_load_balancing::lifecycle::PlannedEnd;
+use passrelay_load_balancing::lifecycle::ShutdownSchedule;
 use passrelay_sidecar_settings::Config;
 use signal_hook::consts::SIGHUP;
 use std::fmt::Display;
@@ -22,7 +22,7 @@
                 let now = self.connections.now;
                 self.shutdown_phase = ShutdownPhase::Draining;
                 self.shutdown_requested_at = now;
-                self.end = PlannedEnd::of(self.service.deadlines());
+                self.end = ShutdownSchedule::for_deadlines(self.service.deadlines());
                 self.connections.timers.set(now + self.end.listener_closes, Timer::CloseListener);
                 self.connections.timers.set(now + self.end.idle_closes, Timer::LastCall);
                 self.connections.timers.set(now + self.end.answers_by, Timer::AnswersDue);
@@ -52,7 +52,7 @@
                 return self.connections.log_event("warn", "reload_failed", &values);
             }
         };
-        if let Err(e) = self.dispatcher.retune(&service.settings) {
+        if let Err(e) = self.dispatcher.update_settings(&service.settings) {
             let values: [(&str, &dyn Display); 3] =
                 [("file", &file), ("key", &e.name), ("problem", &e.problem)];
             return self.connections.log_event("warn", "reload_failed", &values);
--- a/crates/sidecar/proxy/src/sidecar/upstreams.rs
+++ b/crates/sidecar/proxy/src/sidecar/upstreams.rs
@@ -20,7 +20,7 @@
                 None => {}
                 Some(Ok(())) => self.dialed(key),
                 Some(Err(_)) if upstream.is_late() => self.connections.close_upstream(key),
-                Some(Err(_)) => self.connections.end_attempt(key, Ending::DialFailed),
+                Some(Err(_)) => self.connections.end_attempt(key, Ending::ConnectFailed),
             },
             Phase::Busy => {
                 if let Some(end) = upstream.on_ready() {
@@ -79,7 +79,7 @@
                 self.returned(key, end);
             }
         } else if let Some((node, attempt)) = self.connections.free_upstream(key, true) {
-            self.connections.report_outcome(node, attempt, Ending::Unused);
+            self.connections.report_outcome(node, attempt, Ending::NotSent);
         }
     }
 
@@ -91,7 +91,7 @@
             // Served, and larger than a buffer: the upstream stays up to pass the rest on, if the dispatcher serves it.
             if let Some((_, Attempt::Request { id, number })) = self.connections.hold_upstream(key) {
                 self.connections.stream = Some(key);
-                self.dispatcher.outcome(now, id, number, ending, report, &mut self.connections);
+                self.dispatcher.attempt_ended(now, id, number, ending, report, &mut self.connections);
             }
             if let Some(key) = self.connections.stream.take() {
                 self.connections.close_upstream(key);
@@ -106,11 +106,11 @@
         match attempt {
             Attempt::Request { id, number } if blame == Blame::RejectedRequest => {
                 load.into_iter().for_each(|l| self.connections.buffers.give_back(l.buffer));
-                self.dispatcher.reject_invalid(now, id, number, &mut self.connections);
+                self.dispatcher.fail_invalid(now, id, number, &mut self.connections);
             }
             Attempt::Request { id, number } => {
                 self.connections.load = load;
-                self.dispatcher.outcome(now, id, number, ending, report, &mut self.connections);
+                self.dispatcher.attempt_ended(now, id, number, ending, report, &mut self.connections);
             }
             Attempt::Probe { sent } => {
                 self.connections.load = load;
--- a/crates/sidecar/settings/src/config.rs
+++ b/crates/sidecar/settings/src/config.rs
@@ -4,7 +4,9 @@
 //! brought into the form of pairs and go through the same checks.
 
 use crate::node_list::NodeListUpdate;
-use passrelay_load_balancing::{Class, DedupScope, Effect, Entry, Settings, Tenant, TenantId, ZoneId};
+use passrelay_load_balancing::{
+    Class, DedupScope, EndpointEntry, Idempotency, Settings, Tenant, TenantId, ZoneId,
+};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::fmt;
@@ -136,10 +138,12 @@
             Some("cell") => DedupScope::Cell,
             Some(other) => return wrong(&key("DedupScope"), format!("unknown repeat scope '{other}'")),
         };
-        let effect = match self.text(&key("Idempotency")) {
-            Some("read_like") => Effect::Safe,
-            Some("idempotency_key") => Effect::Keyed { scope, window: self.get(&key("RepeatWindow"), 0.0)? },
-            Some("non_idempotent") | None => Effect::Unsafe,
+        let idempotency = match self.text(&key("Idempotency")) {
+            Some("read_like") => Idempotency::Idempotent,
+            Some("idempotency_key") => {
+                Idempotency::Keyed { scope, window: self.get(&key("RepeatWindow"), 0.0)? }
+            }
+            Some("non_idempotent") | None => Idempotency::NonIdempotent,
             Some(other) => return wrong(&key("Idempotency"), format!("unknown repeat rule '{other}'")),
         };
         let name = self.text(&key("Name")).map(str::to_owned);
@@ -155,7 +159,7 @@
             latency_target_per_work: self.get(&key("AimStretch"), d.latency_target_per_work)?,
             value: self.get(&key("Gain"), d.value)?,
             late_value: self.get(&key("LateValue"), d.late_value)?,
-            effect,
+            idempotency,
         };
         let give_up = self.span(&key("GiveUp"), class.latency_target.max(0.0))?;
         Ok((name, class, give_up))
@@ -284,11 +288,11 @@
             reports_in_answers: p.text("Report.Source").is_none_or(|s| s == "piggyback"),
             reports_concurrency: reported("active"),
             reports_queue: reported("active") && reported("waiting"),
-            health_checks: p.flag("Limits.Probes", d.health_checks)?,
-            cancel: p.flag("Limits.Cancel", d.cancel)?,
-            duplicates: p.flag("Limits.MayDuplicate", d.duplicates)?,
+            allow_health_checks: p.flag("Limits.Probes", d.allow_health_checks)?,
+            allow_cancel: p.flag("Limits.Cancel", d.allow_cancel)?,
+            allow_concurrent_attempts: p.flag("Limits.MayDuplicate", d.allow_concurrent_attempts)?,
             max_attempts: p.get("Limits.AttemptsCap", d.max_attempts)?,
-            retry_after: p.flag("Limits.RetryAfter", d.retry_after)?,
+            send_retry_after: p.flag("Limits.RetryAfter", d.send_retry_after)?,
             max_retry_after: p.get("Limits.MaxRetryAfter", d.max_retry_after)?,
             connect_timeout: p.get("Limits.ConnectTimeout", d.connect_timeout)?,
             drain_grace: p.get("Rules.DrainGrace", d.drain_grace)?,
@@ -480,15 +484,15 @@
 #[derive(Clone, Debug)]
 pub struct Item {
     /// The line, its zone not yet set.
-    pub entry: Entry,
+    pub entry: EndpointEntry,
     /// The name of its zone.
     pub zone: String,
 }
 
 impl Names {
     /// Gives list lines the zone numbers of these settings.
-    pub fn entries(&mut self, items: &[Item]) -> Vec<Entry> {
-        items.iter().map(|i| Entry { zone: self.zone(&i.zone), ..i.entry }).collect()
+    pub fn entries(&mut self, items: &[Item]) -> Vec<EndpointEntry> {
+        items.iter().map(|i| EndpointEntry { zone: self.zone(&i.zone), ..i.entry }).collect()
     }
 }
 
--- a/crates/sidecar/settings/src/config/tests.rs
+++ b/crates/sidecar/settings/src/config/tests.rs
@@ -14,8 +14,12 @@
     let new = service(json!([{"Name": "pay"}, {"Name": "look"}, {"Name": "book", "GiveUp": 3.0}]), 2);
     let merged = old.retuned(new).unwrap();
     assert_eq!(merged.names.classes, ["", "pay", "", "look", "book"]);
-    assert_eq!(merged.settings.classes[0].effect, Effect::Safe, "the old look stays for its requests");
-    assert_eq!(merged.settings.classes[3].effect, Effect::Unsafe);
+    assert_eq!(
+        merged.settings.classes[0].idempotency,
+        Idempotency::Idempotent,
+        "the old look stays for its requests"
+    );
+    assert_eq!(merged.settings.classes[3].idempotency, Idempotency::NonIdempotent);
     assert_eq!((merged.class("look"), merged.class("gone"), merged.class("")), (Some(3), None, None));
     assert_eq!((merged.give_up[4], merged.settings.max_attempts), (3.0, 2));
     let mut grown = merged;
--- a/crates/sidecar/settings/src/node_list.rs
+++ b/crates/sidecar/settings/src/node_list.rs
@@ -1,6 +1,6 @@
 //! The node list as discovery writes it, and as `known` in the configuration holds it.
 
-use passrelay_load_balancing::Condition;
+use passrelay_load_balancing::EndpointState;
 use serde_json::Value;
 use std::net::SocketAddr;
 
@@ -27,7 +27,7 @@
     /// Its cell.
     pub block: u64,
     /// Its condition.
-    pub condition: Condition,
+    pub condition: EndpointState,
     /// The Unix time in milliseconds of its last start; 0: long ago.
     pub born_ms: f64,
 }
@@ -53,9 +53,9 @@
             line[key].as_str().ok_or_else(|| format!("hosts[{at}].{key} should be text, is {}", line[key]))
         };
         let condition = match text("health")? {
-            "in_service" => Condition::Running,
-            "terminating" => Condition::Draining,
-            "terminated" => Condition::Removed,
+            "in_service" => EndpointState::Running,
+            "terminating" => EndpointState::Draining,
+            "terminated" => EndpointState::Removed,
             other => return Err(format!("hosts[{at}].health has the value '{other}'")),
         };
         let dial = text("dial")?;
--- a/crates/sidecar/simulator-adapter/src/host.rs
+++ b/crates/sidecar/simulator-adapter/src/host.rs
@@ -184,14 +184,14 @@
     fields.check_count(3, 4)?;
     let form = fields.required_text(1, "a form")?;
     if form == "failed" {
-        return Ok(Event::ListFailed);
+        return Ok(Event::EndpointListFailed);
     }
     let number: u64 = fields.required(3, "a list number")?;
     let items = lists.get(&number).ok_or_else(|| format!("a list sent before, got {number}"))?;
     let entries = names.entries(items);
     match form {
-        "delta" => Ok(Event::ListChanges(entries)),
-        "full" | "cached" => Ok(Event::FullList(entries)),
+        "delta" => Ok(Event::EndpointChanges(entries)),
+        "full" | "cached" => Ok(Event::EndpointList(entries)),
         other => Err(format!("delta, full, cached or failed, got '{other}'").into()),
     }
 }
--- a/crates/sidecar/simulator-adapter/src/wire.rs
+++ b/crates/sidecar/simulator-adapter/src/wire.rs
@@ -6,7 +6,8 @@
 pub use fields::Fields;
 
 use passrelay_load_balancing::{
-    Action, ClassId, Condition, Ending, Entry, Event, Outcome, Report, RequestId, UpstreamId, ZoneId,
+    Action, ClassId, Ending, EndpointEntry, EndpointState, Event, LoadReport, Outcome, RequestId, UpstreamId,
+    ZoneId,
 };
 use passrelay_sidecar_settings::{parse_report, Item, Names};
 use std::fmt::{self, Write as _};
@@ -36,10 +37,10 @@
 /// Parses an `item` line: one entry of an endpoint list, with the name of its zone.
 pub fn parse_item(fields: &Fields<'_>) -> Result<Item, LineError> {
     fields.check_count(5, 7)?;
-    let condition = match fields.required_text(4, "a condition")? {
-        "on" => Condition::Running,
-        "fading" => Condition::Draining,
-        "off" => Condition::Removed,
+    let state = match fields.required_text(4, "a condition")? {
+        "on" => EndpointState::Running,
+        "fading" => EndpointState::Draining,
+        "off" => EndpointState::Removed,
         other => return Err(format!("item: condition should be on, fading or off, is '{other}'").into()),
     };
     // 0 is written for an upstream that started long ago.
@@ -47,7 +48,7 @@
         fields.number::<f64>(6, "a start time")?.filter(|started| started.is_finite() && *started != 0.0);
     let upstream = UpstreamId(fields.required(0, "an upstream id")?);
     let cell = fields.number(3, "a cell number")?.unwrap_or(0);
-    let entry = Entry { upstream, zone: ZoneId(0), cell, condition, started };
+    let entry = EndpointEntry { upstream, zone: ZoneId(0), cell, state, started };
     Ok(Item { entry, zone: fields.text(1).unwrap_or("").to_owned() })
 }
 
@@ -58,7 +59,7 @@
         "submit" => parse_submit(fields, names)?,
         "first" => {
             fields.check_count(5, 5)?;
-            Event::StreamBegan { id: request_id(fields)?, attempt: attempt_number(fields)? }
+            Event::ResponseStarted { id: request_id(fields)?, attempt: attempt_number(fields)? }
         }
         "reply" => {
             fields.check_count(7, 8)?;
@@ -82,7 +83,7 @@
         }
         "probed" => {
             fields.check_count(4, 5)?;
-            Event::HealthChecked {
+            Event::HealthCheckEnded {
                 upstream: upstream_id(fields, 1)?,
                 ending: parse_ending(fields.required_text(2, "an outcome")?)?,
                 elapsed: fields.required_seconds(3, "a time")?,
@@ -112,7 +113,7 @@
         id: request_id(fields)?,
         class: ClassId(class),
         tenant,
-        ttl: fields.number(5, "a time")?.unwrap_or(f64::INFINITY),
+        client_timeout: fields.number(5, "a time")?.unwrap_or(f64::INFINITY),
         work_hint: fields.number(6, "a time")?.filter(|_| flags & FLAG_WORK_HINT != 0),
         repeat: flags & FLAG_REPEAT != 0,
     })
@@ -120,19 +121,19 @@
 
 fn parse_ending(name: &str) -> Result<Ending, LineError> {
     Ok(match name {
-        "delivered" => Ending::Delivered,
-        "app_error" => Ending::AppError,
+        "delivered" => Ending::Served,
+        "app_error" => Ending::UpstreamError,
         "shed" => Ending::Shed,
-        "expired" => Ending::Expired,
-        "dial_failed" => Ending::DialFailed,
-        "dropped" => Ending::Dropped,
-        "revoked" => Ending::Revoked,
-        "unused" => Ending::Unused,
+        "expired" => Ending::TimedOut,
+        "dial_failed" => Ending::ConnectFailed,
+        "dropped" => Ending::ConnectionLost,
+        "revoked" => Ending::Cancelled,
+        "unused" => Ending::NotSent,
         other => return Err(format!("unknown outcome '{other}'").into()),
     })
 }
 
-fn report(fields: &Fields<'_>, index: usize) -> Result<Option<Report>, LineError> {
+fn report(fields: &Fields<'_>, index: usize) -> Result<Option<LoadReport>, LineError> {
     Ok(fields.text(index).map(|text| parse_report(text, ':')).transpose()?)
 }
 
--- a/crates/testing/load-simulator/src/experiment.rs
+++ b/crates/testing/load-simulator/src/experiment.rs
@@ -5,7 +5,7 @@
 mod tier;
 
 use crate::random::Form;
-use passrelay_load_balancing::{Class, Effect, Settings, Tenant, ZoneId};
+use passrelay_load_balancing::{Class, Idempotency, Settings, Tenant, ZoneId};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::path::Path;
@@ -526,7 +526,7 @@
                 .map(|c| Class {
                     latency_target: c.aim_s,
                     value: c.worth,
-                    effect: if c.safe { Effect::Safe } else { Effect::Unsafe },
+                    idempotency: if c.safe { Idempotency::Idempotent } else { Idempotency::NonIdempotent },
                     ..Class::default()
                 })
                 .collect(),
@@ -538,11 +538,11 @@
             reports_in_answers: true,
             reports_concurrency: has(Field::Inflight),
             reports_queue: has(Field::Inflight) && has(Field::Queue),
-            health_checks: limits.probes,
-            cancel: limits.cancel,
-            duplicates: limits.duplicates,
+            allow_health_checks: limits.probes,
+            allow_cancel: limits.cancel,
+            allow_concurrent_attempts: limits.duplicates,
             max_attempts: limits.attempts,
-            retry_after: limits.retry_after_s > 0.0,
+            send_retry_after: limits.retry_after_s > 0.0,
             max_retry_after: limits.retry_after_s,
             connect_timeout: limits.connect_timeout_ms / 1e3,
             drain_grace: rules.drain_grace_s,
--- a/crates/testing/load-simulator/src/model/discovery.rs
+++ b/crates/testing/load-simulator/src/model/discovery.rs
@@ -2,7 +2,7 @@
 
 use crate::experiment::Discovery as Figures;
 use crate::queue::{nanos, Nanos};
-use passrelay_load_balancing::{Condition, Entry, UpstreamId, ZoneId};
+use passrelay_load_balancing::{EndpointEntry, EndpointState, UpstreamId, ZoneId};
 use std::collections::{BTreeMap, VecDeque};
 
 /// What one call brings.
@@ -24,19 +24,19 @@
     /// Its zone.
     pub zone: usize,
     /// Its condition.
-    pub condition: Condition,
+    pub condition: EndpointState,
     /// When it last started.
     pub born: Option<Nanos>,
 }
 
 impl Line {
     /// The line as the module takes it, on the clock of a sidecar that started at `began`.
-    pub fn entry(&self, began: Nanos) -> Entry {
-        Entry {
+    pub fn entry(&self, began: Nanos) -> EndpointEntry {
+        EndpointEntry {
             upstream: UpstreamId(u64::from(self.node)),
             zone: ZoneId(self.zone),
             cell: 0,
-            condition: self.condition,
+            state: self.condition,
             started: self.born.map(|b| (b as f64 - began as f64) / 1e9),
         }
     }
@@ -95,7 +95,7 @@
     /// Writes a change down; who watches has to be answered.
     pub fn publish(&mut self, line: Line) {
         self.seq += 1;
-        if line.condition == Condition::Removed {
+        if line.condition == EndpointState::Removed {
             self.lines.remove(&line.node);
         } else {
             self.lines.insert(line.node, line);
--- a/crates/testing/load-simulator/src/model/node.rs
+++ b/crates/testing/load-simulator/src/model/node.rs
@@ -487,7 +487,7 @@
     }
 
     /// The load report that an answer carries.
-    pub fn report(&mut self, now: Nanos) -> Option<passrelay_load_balancing::Report> {
+    pub fn report(&mut self, now: Nanos) -> Option<passrelay_load_balancing::LoadReport> {
         self.catch_up(now);
         self.truth.held = self.held() as f64;
         self.truth.waiting = self.waiting.len() as f64;
--- a/crates/testing/load-simulator/src/model/report.rs
+++ b/crates/testing/load-simulator/src/model/report.rs
@@ -3,7 +3,7 @@
 use crate::experiment::{Field, Reports};
 use crate::queue::{nanos, seconds, Nanos};
 use crate::random::{wobble, Stream};
-use passrelay_load_balancing::Report;
+use passrelay_load_balancing::LoadReport;
 use rand::Rng;
 
 /// What is true of a node, as it would count it itself.
@@ -24,8 +24,8 @@
     figures: Reports,
     last: (Nanos, Truth),
     /// The report that is out, and the one that takes its place from a time on.
-    current: Option<Report>,
-    next: Option<(Nanos, Report)>,
+    current: Option<LoadReport>,
+    next: Option<(Nanos, LoadReport)>,
     /// Nothing new is worked out.
     pub stale: bool,
     /// Says this utilisation whatever is true.
@@ -58,24 +58,24 @@
     }
 
     /// What a node says that believes itself idle.
-    pub fn idle(fields: &[Field]) -> Report {
+    pub fn idle(fields: &[Field]) -> LoadReport {
         Self::fill(fields, [0.0; 4])
     }
 
-    fn fill(fields: &[Field], [util, qps, held, waiting]: [f64; 4]) -> Report {
+    fn fill(fields: &[Field], [util, qps, held, waiting]: [f64; 4]) -> LoadReport {
         let has = |field| fields.contains(&field);
-        Report {
+        LoadReport {
             cpu: has(Field::Util).then_some(util),
             rps: has(Field::Qps).then_some(qps),
-            active: has(Field::Inflight).then_some(held),
-            waiting: has(Field::Queue).then_some(waiting),
-            ..Report::default()
+            in_flight: has(Field::Inflight).then_some(held),
+            queued: has(Field::Queue).then_some(waiting),
+            ..LoadReport::default()
         }
     }
 
     /// The report that an answer carries now. What is worked out covers the time since the last answer but at
     /// least one period.
-    pub fn report(&mut self, now: Nanos, truth: &Truth, cores: f64) -> Option<Report> {
+    pub fn report(&mut self, now: Nanos, truth: &Truth, cores: f64) -> Option<LoadReport> {
         if self.figures.fields.is_empty() {
             return None;
         }
--- a/crates/testing/load-simulator/src/rivals/ewma.rs
+++ b/crates/testing/load-simulator/src/rivals/ewma.rs
@@ -44,7 +44,7 @@
     }
 
     fn ended(&mut self, view: &View, to: UpstreamId, ending: Ending, elapsed: f64) {
-        if matches!(ending, Ending::Unused | Ending::Revoked | Ending::DialFailed) {
+        if matches!(ending, Ending::NotSent | Ending::Cancelled | Ending::ConnectFailed) {
             return;
         }
         let average = self.averages.entry(to).or_default();
--- a/crates/testing/load-simulator/src/rivals/mod.rs
+++ b/crates/testing/load-simulator/src/rivals/mod.rs
@@ -23,8 +23,8 @@
 
 use passrelay_load_balancing::dispatcher::Decider;
 use passrelay_load_balancing::{
-    Action, Balancer, Condition, Effect, Ending, Entry, Event, Outcome, Report, RequestId, Settings,
-    SettingsError, UpstreamId,
+    Action, Balancer, Ending, EndpointEntry, EndpointState, Event, Idempotency, LoadReport, Outcome,
+    RequestId, Settings, SettingsError, UpstreamId,
 };
 use rand::Rng;
 use rustc_hash::FxHashMap;
@@ -148,7 +148,7 @@
     /// Left out until then.
     pub avoid_until: f64,
     /// The latest report, and when it came.
-    pub report: Option<(Report, f64)>,
+    pub report: Option<(LoadReport, f64)>,
     /// When it was first on the list.
     pub since: f64,
 }
@@ -195,8 +195,8 @@
         (0..n).map(|i| (from + i) % n).find(|at| self.may(*at, tried))
     }
 
-    fn put(&mut self, entry: &Entry) {
-        if entry.condition == Condition::Running {
+    fn put(&mut self, entry: &EndpointEntry) {
+        if entry.state == EndpointState::Running {
             if !self.at.contains_key(&entry.upstream) {
                 self.at.insert(entry.upstream, self.nodes.len());
                 let since = self.now;
@@ -223,13 +223,13 @@
     /// Nodes to probe after a request was taken.
     fn probes(&mut self, _view: &View, _rng: &mut Stream, _into: &mut Vec<UpstreamId>) {}
     /// A probe has ended.
-    fn probed(&mut self, _view: &View, _of: UpstreamId, _report: Option<Report>, _elapsed: f64) {}
+    fn probed(&mut self, _view: &View, _of: UpstreamId, _report: Option<LoadReport>, _elapsed: f64) {}
     /// The node list has changed.
     fn listed(&mut self, _view: &View) {}
 }
 
 struct Open {
-    effect: Effect,
+    idempotency: Idempotency,
     deadline: f64,
     tried: Vec<UpstreamId>,
     out: u32,
@@ -274,8 +274,8 @@
     /// The final answer of a request that is not served.
     fn end(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(open) = self.open.remove(&id) else { return };
-        let retry_after = self.settings.retry_after.then_some(self.settings.max_retry_after);
-        actions.push(if !open.may_have_run || open.effect == Effect::Safe {
+        let retry_after = self.settings.send_retry_after.then_some(self.settings.max_retry_after);
+        actions.push(if !open.may_have_run || open.idempotency == Idempotency::Idempotent {
             Action::Reject { id, retry_after }
         } else {
             Action::Fail { id }
@@ -289,7 +289,7 @@
             if let Some(report) = o.report {
                 node.report = Some((report, now));
             }
-            if matches!(o.ending, Ending::DialFailed | Ending::Dropped) {
+            if matches!(o.ending, Ending::ConnectFailed | Ending::ConnectionLost) {
                 node.avoid_until = now + AVOID_S;
             }
         }
@@ -305,7 +305,7 @@
             return;
         }
         let ran = open.may_have_run;
-        let again = !ran || open.effect == Effect::Safe && self.repeats >= 1.0;
+        let again = !ran || open.idempotency == Idempotency::Idempotent && self.repeats >= 1.0;
         if again && self.send(o.id, actions) {
             self.repeats -= f64::from(u8::from(ran));
         } else {
@@ -313,7 +313,7 @@
         }
     }
 
-    fn listed(&mut self, entries: &[Entry], actions: &mut Vec<Action>) {
+    fn listed(&mut self, entries: &[EndpointEntry], actions: &mut Vec<Action>) {
         entries.iter().for_each(|e| self.view.put(e));
         if !std::mem::replace(&mut self.asked, true) {
             actions.push(Action::Subscribe);
@@ -326,36 +326,37 @@
     fn handle(&mut self, now: f64, event: Event, actions: &mut Vec<Action>) {
         self.view.now = now.max(self.view.now);
         match event {
-            Event::FullList(entries) => {
-                let on = entries.iter().filter(|e| e.condition == Condition::Running).map(|e| e.upstream);
+            Event::EndpointList(entries) => {
+                let on = entries.iter().filter(|e| e.state == EndpointState::Running).map(|e| e.upstream);
                 let on: BTreeSet<UpstreamId> = on.collect();
                 let known = self.view.nodes.iter().map(|n| n.id);
                 let gone: Vec<UpstreamId> = known.filter(|id| !on.contains(id)).collect();
                 for id in gone {
                     let (zone, cell) = (self.settings.zone, 0);
-                    self.view.put(&Entry {
+                    self.view.put(&EndpointEntry {
                         upstream: id,
                         zone,
                         cell,
-                        condition: Condition::Removed,
+                        state: EndpointState::Removed,
                         started: None,
                     });
                 }
                 self.listed(&entries, actions);
             }
-            Event::ListChanges(entries) => self.listed(&entries, actions),
-            Event::ListFailed => actions.push(Action::Wake { after: ASK_AGAIN_S, token: 1 }),
+            Event::EndpointChanges(entries) => self.listed(&entries, actions),
+            Event::EndpointListFailed => actions.push(Action::Wake { after: ASK_AGAIN_S, token: 1 }),
             Event::Wake(1) => actions.push(Action::Subscribe),
-            Event::Wake(_) | Event::StreamBegan { .. } => {}
-            Event::Request { id, class, ttl, .. } => {
-                let effect = self.settings.classes.get(class.0).map_or(Effect::Unsafe, |c| c.effect);
-                let (deadline, tried) = (self.view.now + ttl, Vec::new());
-                self.open.insert(id, Open { effect, deadline, tried, out: 0, may_have_run: false });
+            Event::Wake(_) | Event::ResponseStarted { .. } => {}
+            Event::Request { id, class, client_timeout, .. } => {
+                let idempotency =
+                    self.settings.classes.get(class.0).map_or(Idempotency::NonIdempotent, |c| c.idempotency);
+                let (deadline, tried) = (self.view.now + client_timeout, Vec::new());
+                self.open.insert(id, Open { idempotency, deadline, tried, out: 0, may_have_run: false });
                 self.repeats = (self.repeats + REPEATS.0).min(REPEATS.1);
                 if !self.send(id, actions) {
                     self.end(id, actions);
                 }
-                if self.settings.health_checks {
+                if self.settings.allow_health_checks {
                     self.picker.probes(&self.view, &mut self.rng, &mut self.probes);
                     actions.extend(self.probes.drain(..).map(Action::HealthCheck));
                 }
@@ -364,8 +365,8 @@
             Event::ClientDisconnected(id) => {
                 self.open.remove(&id);
             }
-            Event::HealthChecked { upstream, ending, elapsed, report } => {
-                let report = report.filter(|_| ending == Ending::Delivered);
+            Event::HealthCheckEnded { upstream, ending, elapsed, report } => {
+                let report = report.filter(|_| ending == Ending::Served);
                 self.picker.probed(&self.view, upstream, report, elapsed);
             }
         }
--- a/crates/testing/load-simulator/src/rivals/prequal.rs
+++ b/crates/testing/load-simulator/src/rivals/prequal.rs
@@ -11,7 +11,7 @@
 
 use super::{Picker, View};
 use crate::random::Stream;
-use passrelay_load_balancing::{Ending, Report, UpstreamId};
+use passrelay_load_balancing::{Ending, LoadReport, UpstreamId};
 use rustc_hash::FxHashMap;
 use std::collections::VecDeque;
 
@@ -44,11 +44,11 @@
 }
 
 impl Prequal {
-    fn learn(&mut self, view: &View, node: UpstreamId, report: Option<Report>) {
+    fn learn(&mut self, view: &View, node: UpstreamId, report: Option<LoadReport>) {
         let Some(seen) = view.get(node) else { return };
         let busy = report.and_then(|r| r.cpu).is_some_and(|u| u > 0.9);
         let own = f64::from(seen.out) + f64::from(u8::from(busy));
-        let held = report.and_then(|r| r.active).unwrap_or(own);
+        let held = report.and_then(|r| r.in_flight).unwrap_or(own);
         self.held.push_back(held);
         if self.held.len() > KEPT {
             self.held.pop_front();
@@ -90,7 +90,7 @@
     }
 
     fn ended(&mut self, view: &View, to: UpstreamId, ending: Ending, elapsed: f64) {
-        if matches!(ending, Ending::Delivered | Ending::Expired) {
+        if matches!(ending, Ending::Served | Ending::TimedOut) {
             let latency = self.latency.entry(to).or_insert(elapsed);
             *latency += 0.2 * (elapsed - *latency);
             self.learn(view, to, view.get(to).and_then(|n| n.report).map(|r| r.0));
@@ -106,7 +106,7 @@
         into.dedup();
     }
 
-    fn probed(&mut self, view: &View, of: UpstreamId, report: Option<Report>, _elapsed: f64) {
+    fn probed(&mut self, view: &View, of: UpstreamId, report: Option<LoadReport>, _elapsed: f64) {
         if report.is_some() {
             self.learn(view, of, report);
         }
--- a/crates/testing/load-simulator/src/sockets/fleet.rs
+++ b/crates/testing/load-simulator/src/sockets/fleet.rs
@@ -9,7 +9,7 @@
 use crate::random::{between, Stream, Streams};
 use mio::net::TcpListener;
 use mio::{Events, Interest, Poll, Registry, Token};
-use passrelay_load_balancing::{Condition, Report};
+use passrelay_load_balancing::{EndpointState, LoadReport};
 use rand::seq::SliceRandom;
 use rustc_hash::FxHashMap;
 use serde_json::json;
@@ -127,9 +127,9 @@
 }
 
 /// A report as it stands in a header.
-fn report_text(report: Option<Report>) -> String {
+fn report_text(report: Option<LoadReport>) -> String {
     let Some(r) = report else { return String::new() };
-    let fields = [("qps", r.rps), ("util", r.cpu), ("inflight", r.active), ("queue", r.waiting)];
+    let fields = [("qps", r.rps), ("util", r.cpu), ("inflight", r.in_flight), ("queue", r.queued)];
     let fields = fields.iter().filter_map(|(name, v)| v.map(|v| format!("{name}={v:.4}")));
     format!("X-Load-Report: {}\r\n", fields.collect::<Vec<_>>().join(","))
 }
@@ -158,7 +158,7 @@
         let lines = (0..nodes.len() as u32).map(|node| Line {
             node,
             zone: 0,
-            condition: Condition::Running,
+            condition: EndpointState::Running,
             born: None,
         });
         let mut queue = Queue::default();
@@ -407,7 +407,7 @@
             }
             self.drop_peer(key);
         }
-        self.announce(n, Condition::Removed);
+        self.announce(n, EndpointState::Removed);
     }
 
     fn restart(&mut self, n: u32) -> io::Result<()> {
@@ -418,11 +418,11 @@
         self.listeners[n as usize] =
             Some(listen(self.poll.registry(), self.addresses[n as usize], n as usize)?);
         self.nodes[n as usize].start(now);
-        self.announce(n, Condition::Running);
+        self.announce(n, EndpointState::Running);
         Ok(())
     }
 
-    fn announce(&mut self, n: u32, condition: Condition) {
+    fn announce(&mut self, n: u32, condition: EndpointState) {
         let when = self.now() + nanos(between(self.e.discovery.notice_s, &mut self.notice));
         let born = self.nodes[n as usize].born;
         self.queue.put(when, Happens::Publish(Box::new(Line { node: n, zone: 0, condition, born })));
@@ -455,9 +455,9 @@
         let hosts: Vec<_> = (told.lines.iter())
             .map(|l| {
                 let health = match l.condition {
-                    Condition::Running => "in_service",
-                    Condition::Draining => "terminating",
-                    Condition::Removed => "terminated",
+                    EndpointState::Running => "in_service",
+                    EndpointState::Draining => "terminating",
+                    EndpointState::Removed => "terminated",
                 };
                 let born = l.born.map_or(0.0, |b| (self.epoch_ms + seconds(b) * 1e3).round());
                 json!({"host": format!("s-{}", l.node), "dial": self.addresses[l.node as usize].to_string(),
@@ -561,7 +561,7 @@
             0 => {
                 if self.nodes[step].is_there() {
                     self.nodes[step].state = State::Draining;
-                    self.announce(at, Condition::Draining);
+                    self.announce(at, EndpointState::Draining);
                 }
                 self.queue.put(now + each / 2, Happens::Release { trouble: n, step, stage: 1 });
                 self.queue.put(now + each, Happens::Release { trouble: n, step: step + 1, stage: 0 });
--- a/crates/testing/load-simulator/src/world.rs
+++ b/crates/testing/load-simulator/src/world.rs
@@ -21,7 +21,7 @@
 use crate::rivals::{Policy, Sights, True};
 use passrelay_load_balancing::dispatcher::{Answer, Arrival, Decider, Dispatcher, Timer, Transport};
 use passrelay_load_balancing::{
-    ClassId, Condition, Ending, Entry, Report, RequestId, SettingsError, TenantId, UpstreamId,
+    ClassId, Ending, EndpointEntry, EndpointState, LoadReport, RequestId, SettingsError, TenantId, UpstreamId,
 };
 use rand::seq::SliceRandom;
 use rustc_hash::FxHashMap;
@@ -190,35 +190,114 @@
     id: u64,
     attempt: u32,
     ending: Ending,
-    report: Option<Report>,
+    report: Option<LoadReport>,
 }
 
 enum Event {
     Arrive,
     Try(u32),
-    Impatient { call: u32, number: u32 },
-    Come { id: u64 },
-    Gone { id: u64 },
-    Heard { call: u32, number: u32, heard: Heard, cause: Option<Cause> },
-    Called { node: u32, life: u32, at: u32, number: u64, served: bool },
-    Timer { sidecar: u32, life: u32, timer: Timer },
-    Dialed { id: u64, attempt: u32, up: Option<(u32, u32)> },
-    AtNode { flight: u32, address: u32 },
-    Hangup { node: u32, life: u32, key: (u64, u32) },
-    Core { node: u32, generation: u64 },
-    Crowd { node: u32, life: u32 },
+    Impatient {
+        call: u32,
+        number: u32,
+    },
+    Come {
+        id: u64,
+    },
+    Gone {
+        id: u64,
+    },
+    Heard {
+        call: u32,
+        number: u32,
+        heard: Heard,
+        cause: Option<Cause>,
+    },
+    Called {
+        node: u32,
+        life: u32,
+        at: u32,
+        number: u64,
+        served: bool,
+    },
+    Timer {
+        sidecar: u32,
+        life: u32,
+        timer: Timer,
+    },
+    Dialed {
+        id: u64,
+        attempt: u32,
+        up: Option<(u32, u32)>,
+    },
+    AtNode {
+        flight: u32,
+        address: u32,
+    },
+    Hangup {
+        node: u32,
+        life: u32,
+        key: (u64, u32),
+    },
+    Core {
+        node: u32,
+        generation: u64,
+    },
+    Crowd {
+        node: u32,
+        life: u32,
+    },
     Back(u32),
-    Probe { sidecar: u32, life: u32, node: u32, sent: Nanos },
-    Probed { sidecar: u32, life: u32, node: u32, sent: Nanos, ending: Ending, report: Option<Box<Report>> },
-    Ask { sidecar: u32, life: u32, call: u64 },
-    Turn { sidecar: u32, life: u32, call: u64, since: Option<u64>, watch: bool },
-    WatchEnds { sidecar: u32, call: u64 },
-    Listed { sidecar: u32, life: u32, call: u64, told: Option<Box<Told>> },
-    Publish { tier: u8, line: Box<Line> },
+    Probe {
+        sidecar: u32,
+        life: u32,
+        node: u32,
+        sent: Nanos,
+    },
+    Probed {
+        sidecar: u32,
+        life: u32,
+        node: u32,
+        sent: Nanos,
+        ending: Ending,
+        report: Option<Box<LoadReport>>,
+    },
+    Ask {
+        sidecar: u32,
+        life: u32,
+        call: u64,
+    },
+    Turn {
+        sidecar: u32,
+        life: u32,
+        call: u64,
+        since: Option<u64>,
+        watch: bool,
+    },
+    WatchEnds {
+        sidecar: u32,
+        call: u64,
+    },
+    Listed {
+        sidecar: u32,
+        life: u32,
+        call: u64,
+        told: Option<Box<Told>>,
+    },
+    Publish {
+        tier: u8,
+        line: Box<Line>,
+    },
     Begins(u32),
     Ends(u32),
-    Release { trouble: u32, step: u32, stage: u8 },
-    Seen { sidecar: u32, up: bool },
+    Release {
+        trouble: u32,
+        step: u32,
+        stage: u8,
+    },
+    Seen {
+        sidecar: u32,
+        up: bool,
+    },
     Sample,
 }
 
@@ -316,7 +395,7 @@
                 }
             }
             let lines: Vec<Line> =
-                world.tiers[tier].iter().map(|n| world.line(*n, Condition::Running)).collect();
+                world.tiers[tier].iter().map(|n| world.line(*n, EndpointState::Running)).collect();
             world.lists.push(Discovery::new(&e.discovery, lines.into_iter()));
         }
         world.first_list = world.lists[0].tell(None);
@@ -381,7 +460,10 @@
     ) -> Result<Dispatcher<Box<dyn Decider>>, RunError> {
         let mut settings = self.e.settings(tier, balancers, rank, zone);
         if self.wanted.mutant == Mutant::Retry {
-            settings.classes.iter_mut().for_each(|c| c.effect = passrelay_load_balancing::Effect::Safe);
+            settings
+                .classes
+                .iter_mut()
+                .for_each(|c| c.idempotency = passrelay_load_balancing::Idempotency::Idempotent);
         }
         let decider = self.policy.decider(&settings, seed, &self.streams, &self.sights);
         Ok(Dispatcher::with_decider(decider.map_err(RunError::Settings)?, &settings))
--- a/crates/testing/load-simulator/src/world/attempts.rs
+++ b/crates/testing/load-simulator/src/world/attempts.rs
@@ -58,14 +58,14 @@
             return self.close(up);
         }
         let Some((node, life)) = up.filter(|(node, life)| self.nodes[*node as usize].life == *life) else {
-            return self.attempt_over(id, attempt, Ending::DialFailed, None);
+            return self.attempt_over(id, attempt, Ending::ConnectFailed, None);
         };
         let idle = Idle { since: now, node, life };
         let clock = seconds(now - self.sidecars[sidecar as usize].began);
         if self.sidecars[sidecar as usize].dispatcher.may_send(clock, RequestId(id), attempt).is_none() {
             let to = self.request(id).map_or(node, |r| r.attempts[attempt as usize].to);
             self.sidecars[sidecar as usize].lots.entry(to).or_default().push(idle);
-            return self.attempt_over(id, attempt, Ending::Unused, None);
+            return self.attempt_over(id, attempt, Ending::NotSent, None);
         }
         self.send(sidecar, id, attempt, idle);
     }
@@ -120,7 +120,7 @@
             return;
         }
         if !node.is_there() || u64::from(node.life) != job.number {
-            return self.reply(at, &job, Ending::Dropped, None);
+            return self.reply(at, &job, Ending::ConnectionLost, None);
         }
         let tier = node.tier;
         let spec = &self.e.tier[tier];
@@ -144,7 +144,7 @@
                     // What fell because nobody could know is the world's fault.
                     self.observer.fell(now, at);
                 }
-                self.reply(at, &copy, Ending::Dropped, None);
+                self.reply(at, &copy, Ending::ConnectionLost, None);
                 self.kill(at);
             }
             Admission::Taken(place) => {
@@ -157,11 +157,11 @@
     }
 
     /// An answer, or the end of a connection, goes from a node to the sidecar that sent the request.
-    pub(super) fn reply(&mut self, node: u32, job: &Job, ending: Ending, report: Option<Report>) {
+    pub(super) fn reply(&mut self, node: u32, job: &Job, ending: Ending, report: Option<LoadReport>) {
         let now = self.queue.now();
         let (sidecar, life) = job.from;
         let delay = self.delay_to_node(sidecar, node);
-        if self.is_cut(sidecar, node) && ending != Ending::Dropped {
+        if self.is_cut(sidecar, node) && ending != Ending::ConnectionLost {
             return;
         }
         let (id, attempt) = job.key;
@@ -177,7 +177,7 @@
     }
 
     /// An attempt has ended at its sidecar.
-    pub(super) fn attempt_over(&mut self, id: u64, attempt: u32, ending: Ending, report: Option<Report>) {
+    pub(super) fn attempt_over(&mut self, id: u64, attempt: u32, ending: Ending, report: Option<LoadReport>) {
         let now = self.queue.now();
         let Some(r) = self.request(id) else { return };
         let sidecar = r.sidecar;
@@ -186,7 +186,7 @@
         let sent = a.phase == Phase::Out;
         (a.phase, a.ending) = (Phase::Over, Some(ending));
         let (to, over) = (a.to, a.over);
-        if let Some(idle) = over.filter(|_| ending != Ending::Dropped) {
+        if let Some(idle) = over.filter(|_| ending != Ending::ConnectionLost) {
             let lot = self.sidecars[sidecar as usize].lots.entry(to).or_default();
             lot.push(Idle { since: now, ..idle });
         }
@@ -194,7 +194,7 @@
             self.observer.ended(now, id, attempt, ending);
         }
         self.with(sidecar, |dispatcher, now, transport| {
-            dispatcher.outcome(now, RequestId(id), attempt, ending, report, transport);
+            dispatcher.attempt_ended(now, RequestId(id), attempt, ending, report, transport);
         });
         self.forget(id);
     }
@@ -206,7 +206,7 @@
         let a = r.attempts.get_mut(attempt as usize).filter(|a| a.phase != Phase::Over);
         let Some(a) = a else { return };
         let (over, there, sent) = (a.over, a.there, a.phase == Phase::Out);
-        (a.phase, a.ending) = (Phase::Over, Some(Ending::Expired));
+        (a.phase, a.ending) = (Phase::Over, Some(Ending::TimedOut));
         if let Some(Idle { node, life, .. }) = over {
             let delay = self.delay_to_node(sidecar, node);
             // The end of a connection does not overtake what was written to it.
@@ -214,7 +214,7 @@
             self.queue.put(at, Event::Hangup { node, life, key: (id, attempt) });
         }
         if sent {
-            self.observer.ended(now, id, attempt, Ending::Expired);
+            self.observer.ended(now, id, attempt, Ending::TimedOut);
         }
         // What was passed in the same breath as the answer is over with it.
         self.forget(id);
@@ -249,7 +249,7 @@
         r.answered = true;
         let (sidecar, origin) = (r.sidecar, r.origin);
         let last = r.attempts.iter().rev().find_map(|a| a.ending);
-        let behind = r.attempts.iter().rev().find(|a| a.ending == Some(Ending::AppError)).map(|a| a.to);
+        let behind = r.attempts.iter().rev().find(|a| a.ending == Some(Ending::UpstreamError)).map(|a| a.to);
         let sent = r.attempts.iter().any(|a| a.over.is_some());
         let zone = self.sidecars[sidecar as usize].zone;
         match origin {
@@ -261,14 +261,14 @@
                         Heard::Refused(retry_after),
                         Some(match ending {
                             _ if !sent => Cause::RefusedUnsent,
-                            Some(Ending::AppError) => self.error_cause(behind),
-                            Some(Ending::Dropped) => Cause::NodeLost,
-                            Some(Ending::Expired) => Cause::NodeSilent,
+                            Some(Ending::UpstreamError) => self.error_cause(behind),
+                            Some(Ending::ConnectionLost) => Cause::NodeLost,
+                            Some(Ending::TimedOut) => Cause::NodeSilent,
                             _ => Cause::RefusedAfterAttempts,
                         }),
                     ),
-                    (_, Some(Ending::AppError)) => (Heard::Failed, Some(self.error_cause(behind))),
-                    (_, Some(Ending::Dropped)) => (Heard::Failed, Some(Cause::NodeLost)),
+                    (_, Some(Ending::UpstreamError)) => (Heard::Failed, Some(self.error_cause(behind))),
+                    (_, Some(Ending::ConnectionLost)) => (Heard::Failed, Some(Cause::NodeLost)),
                     _ => (Heard::Failed, Some(Cause::NodeSilent)),
                 };
                 self.queue.put(now + delay, Event::Heard { call, number, heard, cause });
--- a/crates/testing/load-simulator/src/world/callers.rs
+++ b/crates/testing/load-simulator/src/world/callers.rs
@@ -111,13 +111,13 @@
         let arrival = Arrival {
             class: ClassId(class as usize),
             tenant: (!self.e.tenant.is_empty()).then_some(TenantId(tenant as usize)),
-            budget,
-            work: None,
+            client_timeout: budget,
+            work_hint: None,
             repeat,
         };
         self.observer.taken(now, id, sidecar, now + nanos(budget), spec.safe);
         self.with(sidecar, |dispatcher, now, transport| {
-            dispatcher.arrive(now, RequestId(id), arrival, transport)
+            dispatcher.request_arrived(now, RequestId(id), arrival, transport)
         });
     }
 
--- a/crates/testing/load-simulator/src/world/nodes.rs
+++ b/crates/testing/load-simulator/src/world/nodes.rs
@@ -68,7 +68,7 @@
         let now = self.queue.now();
         let node = &mut self.nodes[at as usize];
         let Some(job) = node.remove(now, place) else { return };
-        let ending = if job.fails { Ending::AppError } else { Ending::Delivered };
+        let ending = if job.fails { Ending::UpstreamError } else { Ending::Served };
         if !job.fails {
             node.served();
         }
@@ -105,13 +105,13 @@
         let lost = self.nodes[at as usize].die(now);
         self.nodes[at as usize].begun.clear();
         for job in lost {
-            self.reply(at, &job, Ending::Dropped, None);
+            self.reply(at, &job, Ending::ConnectionLost, None);
         }
         if let Some(sidecar) = self.nodes[at as usize].sidecar {
             self.stop_sidecar(sidecar);
         }
         self.changed(at);
-        self.announce(at, Condition::Removed);
+        self.announce(at, EndpointState::Removed);
     }
 
     /// Starts a node's process again, under its id or as a new node at its address.
@@ -147,17 +147,17 @@
             }
         }
         self.changed(born);
-        self.announce(born, Condition::Running);
+        self.announce(born, EndpointState::Running);
         Ok(born)
     }
 
-    pub(super) fn line(&self, at: u32, condition: Condition) -> Line {
+    pub(super) fn line(&self, at: u32, condition: EndpointState) -> Line {
         let node = &self.nodes[at as usize];
         Line { node: at, zone: node.zone, condition, born: node.born }
     }
 
     /// Discovery hears of a node some time later.
-    pub(super) fn announce(&mut self, at: u32, condition: Condition) {
+    pub(super) fn announce(&mut self, at: u32, condition: EndpointState) {
         let now = self.queue.now();
         let late = nanos(between(self.e.discovery.notice_s, &mut self.notice));
         let when = (now + late).max(self.published[at as usize] + 1);
@@ -174,12 +174,12 @@
         let cut = self.is_cut(sidecar, target);
         let node = &mut self.nodes[target as usize];
         let (when, ending, report) = if cut {
-            (sent + nanos(0.2), Ending::Expired, None)
+            (sent + nanos(0.2), Ending::TimedOut, None)
         } else if node.is_there() {
             node.chore(now, node.kind.probe_ms / 1e3);
-            (now + delay, Ending::Delivered, node.report(now).map(Box::new))
+            (now + delay, Ending::Served, node.report(now).map(Box::new))
         } else {
-            (now + delay, Ending::DialFailed, None)
+            (now + delay, Ending::ConnectFailed, None)
         };
         if !cut {
             self.changed(target);
--- a/crates/testing/load-simulator/src/world/sidecars.rs
+++ b/crates/testing/load-simulator/src/world/sidecars.rs
@@ -63,9 +63,9 @@
     pub(super) fn learn_known(&mut self, at: u32) {
         let now = self.queue.now();
         let s = &self.sidecars[at as usize];
-        let entries: Vec<Entry> = s.known.iter().map(|l| l.entry(s.began)).collect();
+        let entries: Vec<EndpointEntry> = s.known.iter().map(|l| l.entry(s.began)).collect();
         for line in s.known.clone() {
-            self.observer.told(now, at, line.node, line.condition == Condition::Running);
+            self.observer.told(now, at, line.node, line.condition == EndpointState::Running);
         }
         self.with(at, |dispatcher, now, transport| {
             dispatcher.update_endpoints(now, true, entries, transport)
@@ -168,7 +168,7 @@
             return self.with(at, |dispatcher, now, transport| dispatcher.discovery_failed(now, transport));
         };
         s.seq = Some(told.seq);
-        let mut entries: Vec<Entry> = told.lines.iter().map(|l| l.entry(s.began)).collect();
+        let mut entries: Vec<EndpointEntry> = told.lines.iter().map(|l| l.entry(s.began)).collect();
         if told.whole {
             let gone: Vec<u32> = s.known.iter().map(|l| l.node).collect();
             s.known.clone_from(&told.lines);
@@ -178,16 +178,16 @@
         } else {
             for line in &told.lines {
                 s.known.retain(|l| l.node != line.node);
-                if line.condition != Condition::Removed {
+                if line.condition != EndpointState::Removed {
                     s.known.push(*line);
                 }
             }
         }
         for line in &told.lines {
-            self.observer.told(now, at, line.node, line.condition == Condition::Running);
+            self.observer.told(now, at, line.node, line.condition == EndpointState::Running);
         }
         if self.wanted.mutant == Mutant::Drain {
-            entries.retain(|e| e.condition == Condition::Running);
+            entries.retain(|e| e.state == EndpointState::Running);
         }
         let whole = told.whole && self.wanted.mutant != Mutant::Drain;
         self.with(at, |dispatcher, now, transport| {
--- a/crates/testing/load-simulator/src/world/troubles.rs
+++ b/crates/testing/load-simulator/src/world/troubles.rs
@@ -148,7 +148,7 @@
             0 => {
                 if self.nodes[at as usize].is_there() {
                     self.nodes[at as usize].state = State::Draining;
-                    self.announce(at, Condition::Draining);
+                    self.announce(at, EndpointState::Draining);
                 }
                 self.queue.put(now + each / 2, Event::Release { trouble, step, stage: 1 });
                 self.queue.put(now + each, Event::Release { trouble, step: step + 1, stage: 0 });
--- a/crates/testing/load-simulator/tests/emulator.rs
+++ b/crates/testing/load-simulator/tests/emulator.rs
@@ -1,6 +1,6 @@
 //! The parts of the emulator: its queue of events, its chance, its discovery, and its statistics.
 
-use passrelay_load_balancing::Condition;
+use passrelay_load_balancing::EndpointState;
 use passrelay_load_simulator::experiment::Discovery as Figures;
 use passrelay_load_simulator::model::discovery::{Discovery, Line, Turn};
 use passrelay_load_simulator::queue::Queue;
@@ -9,16 +9,16 @@
 use passrelay_load_simulator::theory::{erlang_c, mg1, mm1, mmc, supermarket};
 use rand::Rng;
 
-fn line(node: u32, condition: Condition) -> Line {
+fn line(node: u32, condition: EndpointState) -> Line {
     Line { node, zone: 0, condition, born: None }
 }
 
 #[test]
 fn who_has_fallen_behind_gets_the_whole_list() {
     let figures = Figures { history: 2, ..Figures::default() };
-    let mut list = Discovery::new(&figures, (0..3).map(|n| line(n, Condition::Running)));
+    let mut list = Discovery::new(&figures, (0..3).map(|n| line(n, EndpointState::Running)));
     for node in 0..3 {
-        list.publish(line(node, Condition::Removed));
+        list.publish(line(node, EndpointState::Removed));
     }
     let behind = list.tell(Some(1));
     assert!(behind.whole && behind.lines.is_empty() && behind.seq == 4);
