--- a/crates/router/control-plane/tests/state_delta.rs
+++ b/crates/router/control-plane/tests/state_delta.rs
@@ -55,10 +55,10 @@
 fn a_delta_applies_to_its_base_only() {
     let base = state(3);
     let delta = delta(&base);
-    assert_eq!(state(2).apply_delta(&delta), Err(DeltaError::OtherBase));
-    assert_eq!(next(&base).apply_delta(&delta), Err(DeltaError::OtherBase));
+    assert_eq!(state(2).apply_delta(&delta), Err(DeltaError::BaseMismatch));
+    assert_eq!(next(&base).apply_delta(&delta), Err(DeltaError::BaseMismatch));
     let other_term = ReplicatedState { version: StateVersion { term: 2, index: 3 }, ..base };
-    assert_eq!(other_term.apply_delta(&delta), Err(DeltaError::OtherBase));
+    assert_eq!(other_term.apply_delta(&delta), Err(DeltaError::BaseMismatch));
 }
 
 #[test]
@@ -80,7 +80,7 @@
     let [ReplicaAction::Write { write_id, write }] = actions.as_slice() else { panic!("{actions:?}") };
     assert_eq!(write.state.as_deref(), Some(&newest));
     let mut replies = Vec::new();
-    replica.written(NOW, *write_id, true, &mut replies);
+    replica.write_completed(NOW, *write_id, true, &mut replies);
     let synced = ReplicationMessage::Synced { term: 1, version: newest.version };
     assert!(
         matches!(&replies[..], [ReplicaAction::Send { message, .. }] if *message == synced),
--- a/crates/sidecar/proxy/src/sidecar/clients.rs
+++ b/crates/sidecar/proxy/src/sidecar/clients.rs
@@ -7,7 +7,7 @@
 use crate::listener::Accepted;
 use passrelay_load_balancing::admission::Admission;
 use passrelay_load_balancing::dispatcher::Arrival;
-use passrelay_load_balancing::{Effect, RequestId};
+use passrelay_load_balancing::{Idempotency, RequestId};
 
 /// Maximum accepts per turn, so that a full backlog does not hold up answers.
 const MAX_ACCEPTS_PER_TURN: usize = 64;
@@ -99,9 +99,10 @@
             if head.method != "GET" {
                 return self.connections.respond(key, 405, "use GET\n", &[("Allow", &"GET")]);
             }
-            let ready = self
-                .lifecycle
-                .is_ready(self.dispatcher.is_ready(), self.shutdown_phase != ShutdownPhase::Serving);
+            let ready = self.lifecycle.is_ready(
+                self.dispatcher.has_running_upstream(),
+                self.shutdown_phase != ShutdownPhase::Serving,
+            );
             let (status, text) = if ready { (200, "ready\n") } else { (503, "not ready\n") };
             return self.connections.respond(key, status, text, &[]);
         }
@@ -114,7 +115,7 @@
                 return self.connections.respond(key, status, &format!("{problem}\n"), &[])
             }
         };
-        let admission = Admission::new(self.max_clients, self.service.max_open);
+        let admission = Admission::new(self.max_clients, self.service.max_open_requests);
         if !admission
             .admits(self.dispatcher.open_requests(), self.service.settings.relative_value(arrival.class))
         {
@@ -126,21 +127,25 @@
         if left <= 0.0 {
             return self.connections.respond(key, 503, "ending\n", &[]);
         }
-        let arrival = Arrival { budget: arrival.budget.min(left), ..arrival };
+        let arrival = Arrival { client_timeout: arrival.client_timeout.min(left), ..arrival };
         // Guards against a request sent on of which it is known already that nobody waits for it.
         if self.connections.clients[key].peer_closed {
             return self.connections.close_client(key);
         }
-        let id: RequestId = self.dispatcher.next_id();
-        self.connections.track_request(id, key, head, arrival.budget);
-        self.dispatcher.arrive(self.connections.now, id, arrival, &mut self.connections);
+        let id: RequestId = self.dispatcher.assign_id();
+        self.connections.track_request(id, key, head, arrival.client_timeout);
+        self.dispatcher.request_arrived(self.connections.now, id, arrival, &mut self.connections);
     }
 
     /// Checks the headers of a request; the error is a status and a text (for 405 the right method).
     fn read_arrival(&self, head: &Head, path: &str) -> Result<Arrival, (u16, &'static str)> {
         let name = path[1..].split('/').next().unwrap_or("");
         let class = self.service.class(name).ok_or((404, "no such class"))?;
-        let method = if self.service.settings.classes[class].effect == Effect::Safe { "GET" } else { "POST" };
+        let method = if self.service.settings.classes[class].idempotency == Idempotency::Idempotent {
+            "GET"
+        } else {
+            "POST"
+        };
         if head.method != method {
             return Err((405, method));
         }
@@ -151,7 +156,7 @@
         head.header("x-call-id").filter(plain).ok_or((400, "X-Call-Id is missing or bad"))?;
         let names = &self.service.names;
         let caller = head.header("x-caller");
-        let tenant = names.tenant(caller).map_err(|_| (400, "X-Caller is not known"))?;
+        let tenant = names.tenant_id(caller).map_err(|_| (400, "X-Caller is not known"))?;
         if tenant.is_none() && !names.tenants.is_empty() {
             return Err((400, "X-Caller is missing"));
         }
@@ -159,7 +164,7 @@
         let budget = head.header("x-budget").filter(digits).and_then(|b| b.parse::<f64>().ok());
         let budget = budget.ok_or((400, "X-Budget is missing or not a number of seconds"))?;
         // No client waits longer than its class's whole time; a day-long budget would never free its state.
-        if budget > self.service.give_up[class].max(0.1) * 2.0 {
+        if budget > self.service.deadlines[class].max(0.1) * 2.0 {
             return Err((400, "X-Budget is far more than this class may take"));
         }
         if self.connections.is_duplicate(head) {
@@ -169,7 +174,13 @@
         let repeat = head.header("x-again") == Some("1");
         // Only a hint: one that cannot be read, or that no call can take, costs no request its answer.
         let cost = head.header("x-call-cost").filter(digits).and_then(|c| c.parse::<f64>().ok());
-        let work = cost.map(|micros| micros / 1e6).filter(|w| (1e-6..=MAX_WORK_S).contains(w));
-        Ok(Arrival { class: passrelay_load_balancing::ClassId(class), tenant, budget, work, repeat })
+        let work_hint = cost.map(|micros| micros / 1e6).filter(|w| (1e-6..=MAX_WORK_S).contains(w));
+        Ok(Arrival {
+            class: passrelay_load_balancing::ClassId(class),
+            tenant,
+            client_timeout: budget,
+            work_hint,
+            repeat,
+        })
     }
 }
