--- a/crates/router/dissemination/src/gossip.rs
+++ b/crates/router/dissemination/src/gossip.rs
@@ -1,8 +1,8 @@
-//! The decider of dissemination: broadcasts for speed, anti-entropy for whatever a broadcast missed.
+//! The dissemination state machine: broadcasts spread changes quickly, anti-entropy repairs what broadcasts missed.
 //!
-//! [`Gossip`] owns the state; each concern is a module with the part of the state that it alone changes:
+//! [`Gossip`] owns the state. Each concern is a module; those with state of their own are the only ones to modify it:
 //! [`exchange`] (digests, anti-entropy), [`configuration`] (announce, fetch, transfer), [`freshness`], [`core_contact`],
-//! [`announcements`] (confirmations by the core), [`pending_requests`] and [`timers`].
+//! [`announcements`] (confirmations by the core), [`pending_requests`], [`restored_peers`] and [`timers`].
 
 mod actions;
 mod announcements;
@@ -35,37 +35,37 @@
 use std::time::Duration;
 use timers::Timers;
 
-/// Peers that each sidecar sends a change to when it learns of it.
+/// Number of random peers to which a sidecar forwards a change that it learns of.
 const BROADCAST_FANOUT: usize = 4;
 
-/// What the decider has to know from the start.
+/// Settings of a [`Gossip`] instance.
 #[derive(Clone, Debug)]
 pub struct GossipSettings {
-    /// Address of this sidecar for internal messages.
+    /// Internal address of this sidecar.
     pub own_address: SocketAddrV4,
-    /// Addresses of the seeds for internal messages.
+    /// Internal addresses of the seeds.
     pub seeds: Vec<SocketAddrV4>,
-    /// Interval of an endpoint's heartbeats.
+    /// Interval at which an endpoint sends heartbeats.
     pub heartbeat_interval: Duration,
-    /// Whether this sidecar takes configurations as deltas. Only the cluster simulation turns it off, for sidecars that run
-    /// an earlier build.
+    /// Whether this sidecar accepts configurations as deltas. Only the cluster simulation disables this, to model sidecars
+    /// that run an earlier build.
     pub accepts_deltas: bool,
-    /// Seed of this sidecar's random choices.
+    /// Seed of the random number generator for peer selection and samples.
     pub random_seed: u64,
-    /// A broken version, in simulations only; the default is none.
+    /// Fault to inject, in simulations only; none by default.
     pub mutation: ActiveMutation,
 }
 
-/// The decider. It does no I/O and reads no clock: `now` is the time since the process started, and what is to be done comes
-/// out as [`GossipAction`]s.
+/// The dissemination state machine of one sidecar. It performs no I/O and reads no clock: the caller passes the time since the
+/// process started as `now` and executes the emitted [`GossipAction`]s.
 pub struct Gossip {
-    own: SocketAddrV4,
+    own_address: SocketAddrV4,
     seeds: Vec<SocketAddrV4>,
     rng: ChaCha8Rng,
     view: PartialView,
     restored_peers: RestoredPeers,
     registry: Registry,
-    /// The latest known location of the core; never replaced by an earlier record.
+    /// Latest known location of the core; never replaced by that of an earlier epoch record.
     core: Option<CoreHint>,
     configuration: ConfigurationState,
     freshness: Freshness,
@@ -75,10 +75,10 @@
 }
 
 impl Gossip {
-    /// A sidecar that knows nothing but its seeds.
+    /// Creates the state of a sidecar that knows only its seeds.
     pub fn new(settings: GossipSettings) -> Self {
         Gossip {
-            own: settings.own_address,
+            own_address: settings.own_address,
             view: PartialView::new(settings.own_address),
             restored_peers: RestoredPeers::default(),
             seeds: settings.seeds,
@@ -93,45 +93,46 @@
         }
     }
 
-    /// The endpoint registry.
+    /// Returns the endpoint registry.
     pub fn registry(&self) -> &Registry {
         &self.registry
     }
 
-    /// The partial view of the fleet.
+    /// Returns the partial view of the fleet.
     pub fn view(&self) -> &PartialView {
         &self.view
     }
 
-    /// Where the core is, if known.
+    /// Returns the location of the core, if known.
     pub fn core(&self) -> Option<&CoreHint> {
         self.core.as_ref()
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force, or `None` before the first one has arrived.
     pub fn configuration(&self) -> Option<&CommittedConfiguration> {
         self.configuration.current()
     }
 
-    /// The configuration in force contains everything that was acknowledged before this time.
+    /// Returns the time as of which the configuration in force is known to contain every acknowledged change, or `None` if that
+    /// is not known.
     pub fn fresh_at(&self) -> Option<Duration> {
         self.freshness.fresh_at()
     }
 
-    /// Loads the endpoints that were persisted before a restart.
+    /// Restores the endpoints that were persisted before a restart.
     pub fn restore_endpoints(&mut self, now: Duration, records: Vec<EndpointRecord>) {
         self.registry.restore(now, records);
     }
 
-    /// Contacts the peers that were persisted before a restart, for a while.
+    /// Restores the peers that were persisted before a restart; they are contacted for a limited time.
     pub fn restore_peers(&mut self, now: Duration, peers: Vec<SocketAddrV4>) {
-        let own = self.own;
-        let others = peers.into_iter().filter(|peer| *peer != own).collect();
+        let own_address = self.own_address;
+        let others = peers.into_iter().filter(|peer| *peer != own_address).collect();
         self.restored_peers = RestoredPeers::new(now, others);
     }
 
-    /// The peers to persist for the next restart: those of the view, and restored ones that may yet respond. In the order of
-    /// addresses.
+    /// Returns the peers to persist for the next restart, ordered by address: those in the view, and restored peers that may
+    /// still respond.
     pub fn known_peers(&self) -> BTreeSet<SocketAddrV4> {
         self.view.addresses().chain(self.restored_peers.addresses()).collect()
     }
@@ -141,8 +142,8 @@
         self.seeds = seeds;
     }
 
-    /// Takes what the local member of the core has committed, and as of when that is known to contain everything
-    /// acknowledged. Also confirms announcements made before then.
+    /// Applies the configuration that the local member of the core has committed. `fresh_at` is the time as of which it is known
+    /// to contain every acknowledged change; announcements made by then are confirmed.
     pub fn observe_committed(
         &mut self,
         now: Duration,
@@ -158,32 +159,32 @@
         if index <= self.configuration.index() {
             self.freshness.advance(fresh_at);
         }
-        // All other sidecars ask the primary, so what it knows itself is known to the core.
+        // All other sidecars poll the primary, so whatever this member knows is known to the core.
         self.announcements.confirm(context, |pending| fresh_at >= Some(pending.announced_at));
     }
 
-    /// Polls the core until a member, in contact with a majority since now, knows what is known here of an endpoint.
-    /// [`GossipAction::AnnouncementConfirmed`] reports it; it may never come.
+    /// Polls the core until a member that has been in contact with a majority since `now` agrees with the local record of an
+    /// endpoint. [`GossipAction::AnnouncementConfirmed`] reports the confirmation, which may never arrive.
     pub fn announce(&mut self, now: Duration, endpoint: &str) -> AnnouncementId {
         let announcement = self.announcements.add(now, endpoint);
         self.timers.expedite_core_poll(now);
         announcement
     }
 
-    /// Takes a heartbeat that an endpoint sent to this sidecar.
+    /// Processes a heartbeat that an endpoint sent to this sidecar.
     pub fn heartbeat(&mut self, now: Duration, heartbeat: &Heartbeat, actions: &mut Vec<GossipAction>) {
         let changed = self.registry.heartbeat(now, heartbeat);
         self.broadcast_records(&mut Context::new(now, actions), changed);
     }
 
-    /// Removes an endpoint that has ended as planned.
+    /// Removes an endpoint that deregisters.
     pub fn deregister(&mut self, now: Duration, id: &str, actions: &mut Vec<GossipAction>) {
         let changed = self.registry.deregister(now, id);
         self.broadcast_records(&mut Context::new(now, actions), changed);
     }
 
-    /// Advances three timers to `now`: the exchange with a random peer, the poll of the core and the check for expired
-    /// endpoints, in this order. Returns when the next is due.
+    /// Fires the timers that are due at `now`: the exchange with a random peer, the poll of the core and the check for expired
+    /// endpoints, in this order. Returns the time at which the next timer is due.
     pub fn tick(&mut self, now: Duration, actions: &mut Vec<GossipAction>) -> Duration {
         let context = &mut Context::new(now, actions);
         if self.timers.fire_exchange(now) {
@@ -200,7 +201,7 @@
         self.timers.next_due()
     }
 
-    /// Takes in a message from another sidecar.
+    /// Processes a message from another sidecar.
     pub fn receive(
         &mut self,
         now: Duration,
--- a/crates/router/dissemination/src/gossip/actions.rs
+++ b/crates/router/dissemination/src/gossip/actions.rs
@@ -1,4 +1,4 @@
-//! Actions: what the decider asks of its driver, and the context in which a step of it runs.
+//! Actions that the state machine emits, and the context of one processing step.
 
 use super::announcements::AnnouncementId;
 use crate::messages::{CommittedConfiguration, GossipMessage};
@@ -6,25 +6,26 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// What the driver is to do, in the order given.
+/// An action for the driver of the state machine. The driver executes actions in the order in which they are emitted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum GossipAction {
-    /// Send a message. It may be lost; the decider never relies on its arrival.
+    /// Send a message. Delivery is not guaranteed, and the protocol does not rely on it.
     Send {
-        /// Address of the receiver for internal messages.
+        /// Internal address of the receiver.
         to: SocketAddrV4,
-        /// For a response: the incarnation that sent the request. Another one must not take it for its own.
+        /// For a response, the incarnation that sent the request; any other incarnation at the address must ignore the message.
+        /// `None` if any incarnation may process it.
         addressee: Option<Incarnation>,
-        /// The message.
+        /// The message to send.
         message: GossipMessage,
     },
-    /// A newer configuration is in force from now on.
+    /// Apply a newer configuration, which is in force from now on.
     Configured(CommittedConfiguration),
-    /// The core knows what was announced.
+    /// Report that the core knows of the announced change.
     AnnouncementConfirmed(AnnouncementId),
 }
 
-/// The instant of a step and the actions that it has emitted so far.
+/// The time of a processing step and the actions that it has emitted so far.
 pub(super) struct Context<'a> {
     /// Time since the process started.
     pub(super) now: Duration,
@@ -40,12 +41,12 @@
         self.actions.push(action);
     }
 
-    /// Sends a message to whichever process is at the address.
+    /// Sends a message to an address, whichever incarnation runs there.
     pub(super) fn send(&mut self, to: SocketAddrV4, message: GossipMessage) {
         self.emit(GossipAction::Send { to, addressee: None, message });
     }
 
-    /// Sends a response to the process that sent the request.
+    /// Sends a response to the incarnation that sent the request.
     pub(super) fn respond(&mut self, requester: Peer, message: GossipMessage) {
         let addressee = Some(requester.incarnation);
         self.emit(GossipAction::Send { to: requester.address, addressee, message });
--- a/crates/router/dissemination/src/gossip/announcements.rs
+++ b/crates/router/dissemination/src/gossip/announcements.rs
@@ -1,30 +1,31 @@
-//! Confirmations that the core knows of a change of an endpoint, such as its end, before the endpoint gets its acknowledgement.
+//! Confirmations that the core knows of a change to an endpoint, such as its removal, before the endpoint is sent an
+//! acknowledgement.
 //!
-//! A member of the core that is in contact with a majority since the announcement, and whose registry agrees with the local
-//! one in the endpoint's bucket, confirms it. Confirmation is best effort: after [`CONFIRMATION_TIMEOUT`] the announcement is
-//! dropped without notice, and the caller has a time-out of its own.
+//! An announcement is confirmed by a member of the core that has been in contact with a majority since the announcement and
+//! whose registry agrees with the local one in the endpoint's bucket. Confirmation is best effort: after
+//! [`CONFIRMATION_TIMEOUT`] the announcement is silently dropped, and the caller applies its own timeout.
 
 use super::actions::{Context, GossipAction};
 use crate::registry::bucket_of;
 use std::time::Duration;
 
-/// A confirmation that hasn't arrived within this time isn't awaited any longer.
+/// An announcement that is not confirmed within this time is dropped.
 const CONFIRMATION_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Id of a change of an endpoint that the core has to know of before the change is acknowledged.
+/// Identifier of an announcement: a change to an endpoint that the core has to know of before the change is acknowledged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AnnouncementId(pub u64);
 
-/// An announcement that awaits its confirmation.
+/// An announcement that awaits confirmation.
 #[derive(Debug)]
 pub(super) struct PendingAnnouncement {
-    announcement: AnnouncementId,
+    id: AnnouncementId,
     /// The endpoint's bucket in registry digests.
     pub(super) bucket: usize,
     pub(super) announced_at: Duration,
 }
 
-/// All announcements that await their confirmation, oldest first.
+/// All announcements that await confirmation, oldest first.
 #[derive(Debug, Default)]
 pub(super) struct PendingAnnouncements {
     pending: Vec<PendingAnnouncement>,
@@ -36,24 +37,20 @@
         self.pending.is_empty()
     }
 
-    /// Adds an announcement of what is known of `endpoint`.
+    /// Adds an announcement of the current record of `endpoint`.
     pub(super) fn add(&mut self, now: Duration, endpoint: &str) -> AnnouncementId {
         self.last_id += 1;
-        let announcement = AnnouncementId(self.last_id);
-        self.pending.push(PendingAnnouncement {
-            announcement,
-            bucket: bucket_of(endpoint),
-            announced_at: now,
-        });
-        announcement
+        let id = AnnouncementId(self.last_id);
+        self.pending.push(PendingAnnouncement { id, bucket: bucket_of(endpoint), announced_at: now });
+        id
     }
 
-    /// Drops announcements past [`CONFIRMATION_TIMEOUT`].
+    /// Drops announcements older than [`CONFIRMATION_TIMEOUT`].
     pub(super) fn expire(&mut self, now: Duration) {
         self.pending.retain(|pending| now.saturating_sub(pending.announced_at) < CONFIRMATION_TIMEOUT);
     }
 
-    /// Removes the announcements that `is_confirmed` holds for and emits their confirmations.
+    /// Removes the announcements for which `is_confirmed` returns true and emits a confirmation for each.
     pub(super) fn confirm(
         &mut self,
         context: &mut Context,
@@ -62,8 +59,8 @@
         let (confirmed, pending): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.pending).into_iter().partition(is_confirmed);
         self.pending = pending;
-        for confirmation in confirmed {
-            context.emit(GossipAction::AnnouncementConfirmed(confirmation.announcement));
+        for announcement in confirmed {
+            context.emit(GossipAction::AnnouncementConfirmed(announcement.id));
         }
     }
 }
--- a/crates/router/dissemination/src/gossip/configuration.rs
+++ b/crates/router/dissemination/src/gossip/configuration.rs
@@ -1,12 +1,12 @@
 //! Propagation of the committed configuration.
 //!
-//! A sidecar that gets a newer configuration announces its index to a few peers, and digests carry the index as well. Whoever
-//! learns of a newer index fetches the document from the peer it learned it from. One fetch is in flight at a time; the document
-//! may be large, and an announcement reaches each sidecar several times.
+//! A sidecar that receives a newer configuration announces its index to a few peers; digests carry the index as well. A sidecar
+//! that learns of a newer index fetches the document from the peer that reported it. Only one fetch is in flight at a time,
+//! because the document may be large and an announcement reaches each sidecar several times.
 //!
-//! A change alters little of a document, so it travels as a delta. The primary makes it once; all others pass on the deltas
-//! that they received. A sidecar that is further behind than the deltas reach, or whose document they don't fit, gets the
-//! whole document.
+//! A change usually affects a small part of the document, so it is sent as a delta. The primary computes the delta once; all
+//! other sidecars forward the deltas that they received. A sidecar that is further behind than the known deltas reach, or whose
+//! document the deltas do not apply to, receives the complete document.
 
 use super::actions::Context;
 use super::{Gossip, GossipAction, BROADCAST_FANOUT};
@@ -16,26 +16,28 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Timeout for the transfer of a small configuration; after it another peer may be asked ...
+/// Timeout of a fetch, after which the configuration may be fetched from another peer. Extended by
+/// [`FETCH_TIMEOUT_PER_KIB`].
 const BASE_FETCH_TIMEOUT: Duration = Duration::from_millis(120);
-/// ... extended for each KiB of the configuration in force, as an estimate of the next, for slow links.
+/// Extension of the fetch timeout for each KiB of the configuration in force, whose size estimates that of the next one.
+/// Allows for slow links.
 const FETCH_TIMEOUT_PER_KIB: Duration = Duration::from_micros(1_000);
 
-/// The configuration in force and the fetch in flight.
+/// The configuration in force, the deltas that led to it and the fetch in flight.
 #[derive(Debug)]
 pub(super) struct ConfigurationState {
-    /// Its index never decreases.
+    /// The configuration in force; its index never decreases.
     current: Option<CommittedConfiguration>,
-    /// How the configuration in force came about.
+    /// Consecutive deltas that lead to the configuration in force.
     deltas: DeltaChain<ConfigurationDelta>,
-    /// When the last fetch was sent; None once a configuration arrived.
+    /// When the last fetch was sent; `None` once a configuration has been applied.
     fetch_sent_at: Option<Duration>,
-    /// Whether this sidecar takes deltas.
+    /// Whether this sidecar accepts deltas.
     accepts_deltas: bool,
 }
 
 impl ConfigurationState {
-    /// No configuration yet.
+    /// Creates the state before any configuration has arrived.
     pub(super) fn new(accepts_deltas: bool) -> Self {
         ConfigurationState {
             current: None,
@@ -49,7 +51,7 @@
         self.current.as_ref()
     }
 
-    /// Index of the configuration in force; 0 for none.
+    /// Returns the index of the configuration in force, or 0 if there is none.
     pub(super) fn index(&self) -> u64 {
         self.current.as_ref().map_or(0, |configuration| configuration.index)
     }
@@ -67,7 +69,7 @@
         self.fetch_sent_at.is_some_and(|at| now.saturating_sub(at) < self.fetch_timeout())
     }
 
-    /// Fetches the configuration of `index` from a peer unless it is known or a fetch is in flight.
+    /// Fetches the configuration from a peer if `index` is newer than the local one and no fetch is in flight.
     pub(super) fn fetch_if_newer(&mut self, context: &mut Context, from: SocketAddrV4, index: u64) {
         if index > self.index() && !self.is_fetch_in_flight(context.now) {
             self.fetch(context, from, self.accepts_deltas);
@@ -79,7 +81,7 @@
         context.send(from, GossipMessage::Fetch { have: self.index(), accepts_deltas });
     }
 
-    /// Responds to a fetch of whoever has the configuration of index `have`.
+    /// Responds to a fetch from a sidecar whose configuration has the index `have`.
     pub(super) fn transfer(&self, context: &mut Context, to: SocketAddrV4, have: u64, accepts_deltas: bool) {
         let Some(configuration) = self.current.as_ref().filter(|current| current.index > have) else {
             return;
@@ -93,8 +95,8 @@
         context.send(to, message);
     }
 
-    /// The deltas that lead from the configuration of an index to that in force; empty where they are not all known, or
-    /// nearly as long as the document.
+    /// Returns the deltas from the configuration of an index to the one in force. Empty if some of them are unknown, or if
+    /// together they are nearly as long as the document.
     fn deltas_since(&self, index: u64) -> Vec<Arc<ConfigurationDelta>> {
         let deltas = self.deltas.since(&index);
         let documents = deltas.iter().map(|delta| &delta.document);
@@ -105,7 +107,7 @@
         }
     }
 
-    /// Replaces the configuration if the given one is newer, and ends the fetch. Returns whether it was.
+    /// Replaces the configuration and ends the fetch if the given configuration is newer. Returns whether it is.
     fn replace(&mut self, configuration: &CommittedConfiguration) -> bool {
         if configuration.index <= self.index() {
             return false;
@@ -115,14 +117,14 @@
         true
     }
 
-    /// Puts a newer configuration in force whose deltas are known.
+    /// Puts a newer configuration in force and ends the fetch. The caller has already updated the deltas.
     fn advance(&mut self, configuration: &CommittedConfiguration) {
         self.fetch_sent_at = None;
         self.current = Some(configuration.clone());
     }
 
-    /// As [`Self::replace`], and makes the delta from the configuration before it, for peers.
-    fn replace_and_compare(&mut self, configuration: &CommittedConfiguration) -> bool {
+    /// Like [`Self::replace`], but computes the delta from the previous configuration, to send to peers.
+    fn replace_with_delta(&mut self, configuration: &CommittedConfiguration) -> bool {
         if configuration.index <= self.index() {
             return false;
         }
@@ -133,8 +135,12 @@
         true
     }
 
-    /// The configuration that deltas lead to from the one in force; None where none of them is newer. Those up to the one in
-    /// force are passed over.
+    /// Applies deltas to the configuration in force and returns the resulting configuration, or `None` if no delta is newer.
+    /// Deltas up to the index in force are skipped.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if there is no configuration, or if the deltas do not apply to it.
     fn apply_deltas(
         &self,
         deltas: &[Arc<ConfigurationDelta>],
@@ -148,8 +154,8 @@
             }
             let document = delta.document.apply(&base.document)?.into();
             let (index, generation) = (delta.index, delta.generation);
-            let known = Some(&delta.service_versions).filter(|versions| !versions.is_empty());
-            let service_versions = known.unwrap_or(&base.service_versions).clone();
+            let service_versions = Some(&delta.service_versions).filter(|versions| !versions.is_empty());
+            let service_versions = service_versions.unwrap_or(&base.service_versions).clone();
             let rollouts = Some(&delta.rollouts).filter(|rollouts| !rollouts.is_empty());
             let rollouts = rollouts.unwrap_or(&base.rollouts).clone();
             result = Some(CommittedConfiguration { index, generation, document, service_versions, rollouts });
@@ -158,7 +164,7 @@
     }
 }
 
-/// The delta from one configuration to a later one; `None` where it is too long to be sent.
+/// Returns the delta from `base` to the later `configuration`, or `None` if it is too long to be sent.
 fn delta_between(
     base: &CommittedConfiguration,
     configuration: &CommittedConfiguration,
@@ -185,14 +191,15 @@
         }
     }
 
-    /// As [`Self::apply_configuration`] where this process is the source: it makes the delta that all others pass on.
+    /// Like [`Self::apply_configuration`], for a configuration that originates here: computes the delta that all other sidecars
+    /// forward.
     pub(super) fn apply_committed(&mut self, context: &mut Context, configuration: CommittedConfiguration) {
-        if self.configuration.replace_and_compare(&configuration) {
+        if self.configuration.replace_with_delta(&configuration) {
             self.announce_configuration(context, configuration);
         }
     }
 
-    /// Applies deltas; where they don't fit, fetches the whole document from their sender.
+    /// Applies deltas; if they do not apply, fetches the complete document from their sender.
     pub(super) fn apply_configuration_deltas(
         &mut self,
         context: &mut Context,
@@ -204,8 +211,8 @@
         }
         match self.configuration.apply_deltas(deltas) {
             Ok(Some(configuration)) => {
-                let held = self.configuration.index();
-                for delta in deltas.iter().filter(|delta| delta.index > held) {
+                let current_index = self.configuration.index();
+                for delta in deltas.iter().filter(|delta| delta.index > current_index) {
                     self.configuration.deltas.push(Some(delta.clone()));
                 }
                 self.configuration.advance(&configuration);
@@ -222,7 +229,7 @@
         for peer in self.view.select(context.now, BROADCAST_FANOUT, &mut self.rng) {
             context.send(peer, GossipMessage::Announce { index });
         }
-        // What freshness is known may be that of the configuration before it: ask the core at once.
+        // The known freshness may refer to the previous configuration, so poll the core at once.
         self.timers.expedite_core_poll(context.now);
     }
 }
--- a/crates/router/dissemination/src/gossip/exchange.rs
+++ b/crates/router/dissemination/src/gossip/exchange.rs
@@ -1,8 +1,8 @@
-//! Anti-entropy: digest request and response, which repair whatever broadcasts missed.
+//! Anti-entropy: digest requests and responses, which repair what broadcasts missed.
 //!
-//! The requester sends its digest; the responder sends the records of buckets that differ and its own digest; the requester then
-//! sends the records of buckets that still differ. Both sides merge what they get, so one exchange reconciles both registries,
-//! and a newer configuration is fetched by whichever side lacks it.
+//! The requester sends its digest. The responder sends the records of differing buckets, followed by its own digest. The
+//! requester then sends the records of buckets that still differ. Both sides merge the records they receive, so one exchange
+//! reconciles both registries. The side with the older configuration fetches the newer one.
 
 use super::actions::Context;
 use super::freshness::FreshnessReport;
@@ -12,13 +12,13 @@
 use crate::registry::RegistryDigest;
 use std::net::SocketAddrV4;
 
-/// Descriptors of other sidecars in a digest.
+/// Maximum number of peer descriptors in a digest.
 const PEER_SAMPLE_SIZE: usize = 6;
-/// With fewer known peers than this, seeds and members of the core are contacted as well.
+/// While the view holds fewer peers than this, exchanges also go to the seeds and the members of the core.
 const MIN_KNOWN_PEERS: usize = 3;
 
 impl Gossip {
-    /// Sends digest requests to a random peer and, while few are known, to the seeds and the core.
+    /// Sends digest requests to a random peer, to restored peers and, while few peers are known, to the seeds and the core.
     pub(super) fn start_exchange(&mut self, context: &mut Context) {
         let mut peers = self.view.select(context.now, 1, &mut self.rng);
         if self.view.len() < MIN_KNOWN_PEERS {
@@ -33,9 +33,9 @@
         }
     }
 
-    /// Sends a digest request; none to this sidecar itself.
+    /// Sends a digest request, unless `to` is this sidecar itself.
     pub(super) fn send_digest_request(&mut self, context: &mut Context, to: SocketAddrV4) {
-        if to == self.own {
+        if to == self.own_address {
             return;
         }
         let request_id = self.requests.register(context.now);
@@ -43,7 +43,7 @@
         context.send(to, GossipMessage::DigestRequest(digest));
     }
 
-    /// Merges the digest of a request and responds with the records that differ and the own digest.
+    /// Merges the digest of a request and responds with the differing records and the local digest.
     pub(super) fn respond_to_digest(&mut self, context: &mut Context, requester: Peer, request: &Digest) {
         self.merge_digest(context, requester.address, request);
         let digest = self.digest(context, request.request_id);
@@ -52,7 +52,7 @@
         context.respond(requester, GossipMessage::DigestResponse { digest, fresh_age_ms });
     }
 
-    /// Takes in the response to an own request; any other is ignored.
+    /// Processes the response to a pending request; any other response is ignored.
     pub(super) fn handle_digest_response(
         &mut self,
         context: &mut Context,
@@ -74,7 +74,7 @@
         self.send_differing_records(context, responder, &digest.registry);
     }
 
-    /// Confirms the announcements that a member of the core knows of: it was in contact with a majority after the
+    /// Confirms the announcements known to a member of the core: the member was in contact with a majority after the
     /// announcement, and its registry agrees with the local one in the endpoint's bucket.
     fn confirm_by_member(
         &mut self,
@@ -82,10 +82,10 @@
         report: &FreshnessReport,
         member_digest: &RegistryDigest,
     ) {
-        let own_digest = self.registry.digest();
+        let local_digest = self.registry.digest();
         self.announcements.confirm(context, |pending| {
             report.sent_at >= pending.announced_at + report.age
-                && own_digest[pending.bucket] == member_digest[pending.bucket]
+                && local_digest[pending.bucket] == member_digest[pending.bucket]
         });
     }
 
--- a/crates/router/dissemination/src/gossip/freshness.rs
+++ b/crates/router/dissemination/src/gossip/freshness.rs
@@ -1,21 +1,21 @@
-//! Freshness of the local configuration: as of when it is known to contain everything that the core has acknowledged.
+//! Freshness of the local configuration: the time as of which it is known to contain every change that the core acknowledged.
 //!
-//! The core confirms its own state as of an instant. Every sidecar passes on the *age* of that instant in its responses, and the
-//! requester subtracts the age from the time at which it *sent* the request. The response was produced after that, so the
-//! instant confirmed lies at or after the result. Its arrival time must not be used: a response may be in flight for any length
-//! of time, and a configuration acknowledged meanwhile would count as contained. Clocks of two processes are never compared;
-//! only their rates have to agree.
+//! The core confirms its own state as of an instant. Each sidecar reports the *age* of that instant in its responses, and the
+//! requester subtracts the age from the time at which it *sent* the request. The response was produced after the request was
+//! sent, so the confirmed instant is at or after the result. The arrival time must not be used: a response may be in flight for
+//! any length of time, and a configuration acknowledged in the meantime would wrongly count as contained. The clocks of two
+//! processes are never compared; only their rates have to agree.
 //!
-//! The responder's confirmation holds for its own configuration. It applies to the local one only if that is of the same or a
-//! later index.
+//! The responder's confirmation refers to the responder's configuration. It applies to the local configuration only if the local
+//! index is the same or later.
 
 use crate::mutation::ActiveMutation;
 use std::time::Duration;
 
-/// Under this age the configuration counts as fresh, and the core is polled at the lower rate.
+/// A configuration with an age below this counts as fresh, and the core is polled at the lower rate.
 const MAX_FRESH_AGE: Duration = Duration::from_millis(1_500);
 
-/// What a response says about freshness, in terms of the local clock.
+/// The freshness reported by a response, in terms of the local clock.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct FreshnessReport {
     /// When the request was sent.
@@ -25,17 +25,17 @@
 }
 
 impl FreshnessReport {
-    /// The responder's configuration contained everything acknowledged before this time. None if that lies before the start
-    /// of this process.
+    /// Returns the local time as of which the responder's configuration contained every acknowledged change, or `None` if that
+    /// is before the start of this process.
     fn fresh_at(&self) -> Option<Duration> {
         self.sent_at.checked_sub(self.age)
     }
 }
 
-/// As of when the local configuration is known to contain everything acknowledged.
+/// Tracks the time as of which the local configuration is known to contain every acknowledged change.
 #[derive(Debug)]
 pub(super) struct Freshness {
-    /// The local configuration contains everything acknowledged before this time. Never decreases.
+    /// The local configuration contains every change acknowledged before this time. Never decreases.
     fresh_at: Option<Duration>,
     mutation: ActiveMutation,
 }
@@ -49,28 +49,29 @@
         self.fresh_at
     }
 
-    /// Whether the age is below [`MAX_FRESH_AGE`].
+    /// Returns whether the age of the configuration is below [`MAX_FRESH_AGE`].
     pub(super) fn is_fresh(&self, now: Duration) -> bool {
         self.fresh_at.is_some_and(|at| now.saturating_sub(at) < MAX_FRESH_AGE)
     }
 
-    /// Advances to `fresh_at`, which must hold for the local configuration.
+    /// Advances to `fresh_at`, which must refer to the local configuration. An earlier time has no effect.
     pub(super) fn advance(&mut self, fresh_at: Option<Duration>) {
         self.fresh_at = self.fresh_at.max(fresh_at);
     }
 
-    /// Advances by a response whose responder had a configuration no newer than the local one.
+    /// Advances to the time in a report whose responder has a configuration no newer than the local one.
     pub(super) fn advance_by_report(&mut self, report: &FreshnessReport) {
         self.advance(report.fresh_at());
     }
 
-    /// Reads the age in a response to a request that was sent at `sent_at`.
+    /// Creates a report from the age in a response to a request sent at `sent_at`.
     pub(super) fn read_report(&self, sent_at: Duration, fresh_age_ms: u32) -> FreshnessReport {
         let reported = Duration::from_millis(u64::from(fresh_age_ms));
         FreshnessReport { sent_at, age: self.mutation.fresh_age(reported) }
     }
 
-    /// The age for a response, in ms. Rounded up by adding 1 ms, as a shorter age would claim too much.
+    /// Returns the age to report in a response, in milliseconds, or `None` if the freshness is unknown. Adds 1 ms to round up,
+    /// because an age that is too short would claim freshness that is not proven.
     pub(super) fn reported_age_ms(&self, now: Duration) -> Option<u32> {
         let age = now.saturating_sub(self.fresh_at?);
         Some(u32::try_from(age.as_millis()).unwrap_or(u32::MAX).saturating_add(1))
--- a/crates/router/dissemination/src/gossip/pending_requests.rs
+++ b/crates/router/dissemination/src/gossip/pending_requests.rs
@@ -1,21 +1,21 @@
-//! Digest requests whose responses are outstanding.
+//! Outstanding digest requests.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Bound of the requests that are remembered. A response to an evicted request is ignored, as if it had been lost.
+/// Maximum number of outstanding requests. A response to an evicted request is ignored, as if it had been lost.
 const MAX_PENDING_REQUESTS: usize = 32;
 
 /// Send time of each outstanding request, by request id.
 #[derive(Debug, Default)]
 pub(super) struct PendingRequests {
-    /// At most [`MAX_PENDING_REQUESTS`]; ids increase, so the first entry is the oldest request.
+    /// At most [`MAX_PENDING_REQUESTS`] entries. Ids increase, so the first entry is the oldest request.
     sent_at: BTreeMap<u64, Duration>,
     last_id: u64,
 }
 
 impl PendingRequests {
-    /// Registers a request that is sent now and returns its id. The oldest requests beyond the bound are evicted.
+    /// Registers a request sent at `now` and returns its id. Evicts the oldest requests beyond [`MAX_PENDING_REQUESTS`].
     pub(super) fn register(&mut self, now: Duration) -> u64 {
         self.last_id += 1;
         self.sent_at.insert(self.last_id, now);
@@ -25,7 +25,8 @@
         self.last_id
     }
 
-    /// Takes the request that a response belongs to and returns when it was sent; None for a duplicate or an evicted one.
+    /// Removes the request that a response belongs to and returns its send time. Returns `None` for a duplicate response or an
+    /// evicted request.
     pub(super) fn complete(&mut self, id: u64) -> Option<Duration> {
         self.sent_at.remove(&id)
     }
--- a/crates/router/dissemination/src/gossip/timers.rs
+++ b/crates/router/dissemination/src/gossip/timers.rs
@@ -1,4 +1,4 @@
-//! The periodic work of the decider and when each part of it is next due.
+//! Timers of the periodic tasks: exchanges, polls of the core and expiry checks.
 
 use std::time::Duration;
 
@@ -6,19 +6,19 @@
 const EXCHANGE_INTERVAL: Duration = Duration::from_millis(400);
 /// Interval of polls of the core while the configuration is fresh.
 const CORE_POLL_INTERVAL: Duration = Duration::from_millis(600);
-/// Interval of polls of the core while the configuration isn't known to be fresh.
+/// Interval of polls of the core while the configuration is not known to be fresh.
 const STALE_CORE_POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// Interval of polls of the core while an announcement awaits its confirmation: an endpoint that drains waits for it.
+/// Interval of polls of the core while an announcement awaits confirmation. Short, because a draining endpoint waits for it.
 const CONFIRMATION_POLL_INTERVAL: Duration = Duration::from_millis(60);
 /// Interval of checks for endpoints whose heartbeats have stopped.
 const EXPIRY_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Why the core is polled, which sets the interval.
+/// Reason for polling the core, which determines the polling interval.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CorePollReason {
-    /// An announcement awaits its confirmation.
+    /// An announcement awaits confirmation.
     Confirmation,
-    /// The configuration isn't known to be fresh.
+    /// The configuration is not known to be fresh.
     Stale,
     /// The configuration is fresh and has to stay so.
     Routine,
@@ -34,7 +34,7 @@
     }
 }
 
-/// When each periodic part is next due; all at once at the start.
+/// The time at which each periodic task is next due. All are due at the start of the process.
 #[derive(Debug, Default)]
 pub(super) struct Timers {
     next_exchange: Duration,
@@ -43,7 +43,7 @@
 }
 
 impl Timers {
-    /// Whether an exchange is due; if so, the next is scheduled.
+    /// Returns whether an exchange is due and, if so, schedules the next one.
     pub(super) fn fire_exchange(&mut self, now: Duration) -> bool {
         let due = now >= self.next_exchange;
         if due {
@@ -52,7 +52,8 @@
         due
     }
 
-    /// Whether a poll of the core is due. The caller schedules the next, as its interval depends on the state after this one.
+    /// Returns whether a poll of the core is due. The caller schedules the next one, because its interval depends on the state
+    /// during this poll.
     pub(super) fn is_core_poll_due(&self, now: Duration) -> bool {
         now >= self.next_core_poll
     }
@@ -66,7 +67,7 @@
         self.next_core_poll = self.next_core_poll.min(now);
     }
 
-    /// Whether a check for expired endpoints is due; if so, the next is scheduled.
+    /// Returns whether a check for expired endpoints is due and, if so, schedules the next one.
     pub(super) fn fire_expiry_check(&mut self, now: Duration) -> bool {
         let due = now >= self.next_expiry_check;
         if due {
@@ -75,7 +76,7 @@
         due
     }
 
-    /// The earliest time at which anything is due.
+    /// Returns the earliest time at which any task is due.
     pub(super) fn next_due(&self) -> Duration {
         self.next_exchange.min(self.next_core_poll).min(self.next_expiry_check)
     }
--- a/crates/router/dissemination/src/lib.rs
+++ b/crates/router/dissemination/src/lib.rs
@@ -1,32 +1,35 @@
 //! Epidemic dissemination between the sidecars of a fleet, without I/O and without a clock.
 //!
-//! The problem: some hundred sidecars have to agree soon on which endpoints exist and on the operators' configuration, on a
-//! network that loses messages, with no central point that all of them have to reach. A sidecar that serves a configuration has
-//! to know how old its knowledge is as well, since an outdated one may no longer be served.
+//! Several hundred sidecars have to converge quickly on the set of endpoints and on the operators' configuration, over a
+//! network that loses messages and without a central server that each of them must reach. A sidecar also has to know how old
+//! its configuration is, because an outdated one may no longer be served.
 //!
-//! # Modules, and the state that each owns
+//! # Modules
 //!
-//! | module | problem | state |
+//! | module | responsibility | state owned |
 //! |---|---|---|
-//! | `gossip` | the decider: broadcasts, anti-entropy, fetching the configuration, its freshness, polls of the core | location of the core, configuration, freshness, pending requests and announcements, timers |
-//! | `partial_view` | peer sampling: which sidecars to exchange with | peers with the time of the last contact |
-//! | `registry` | which endpoints exist and in what state | endpoint records, heartbeats received here, digest |
-//! | `messages` | what sidecars send each other | none |
-//! | `load` | load reports and decaying outcome counters, for the planes | none of the decider's |
-//! | `peer` | identity of a process | none |
-//! | `mutation` | broken versions for the cluster simulation | none; size zero in the program |
+//! | `gossip` | the protocol state machine: broadcasts, anti-entropy, fetching the configuration, its freshness, polling the core | location of the core, configuration, freshness, pending requests and announcements, timers |
+//! | `partial_view` | peer sampling: selects the sidecars to exchange with | peers with the time of the last contact |
+//! | `registry` | the known endpoints and their states | endpoint records, locally received heartbeats, digest |
+//! | `messages` | messages between sidecars | none |
+//! | `load` | types for load reports and decaying outcome counters, used by the control plane and the data plane | none |
+//! | `rollout` | types for the reports and traffic shares of a rollout, used by the control plane and the data plane | none |
+//! | `peer` | identity of a process instance | none |
+//! | `mutation` | fault injection for the cluster simulation | none; zero-sized without the feature |
 //!
 //! # Message flow
 //!
-//! - A change of an endpoint: the sidecar that learns of it merges it and sends `Records` to a few random peers; each for which
-//!   it is a change does the same.
-//! - A change of the configuration: `Announce` to a few random peers, `Fetch` back to the announcer, `Configuration`, and on.
-//! - Anti-entropy, at intervals with a random peer and with members of the core: `DigestRequest`, then `Records` for buckets that
-//!   differ and `DigestResponse`, then `Records` back; a newer index in either digest leads to a `Fetch`.
+//! - Endpoint change: the sidecar that learns of it merges it and sends `Records` to a few random peers. Every receiver whose
+//!   registry changes does the same.
+//! - Configuration change: a sidecar sends `Announce` to a few random peers; each that lacks the index sends `Fetch` back,
+//!   receives `Configuration` or `ConfigurationDeltas`, and announces the index in turn.
+//! - Anti-entropy, periodically with a random peer and with members of the core: `DigestRequest`, then `Records` of the
+//!   differing buckets and `DigestResponse`, then `Records` in the opposite direction. A newer index in either digest leads to a
+//!   `Fetch`.
 //! - Freshness: the `DigestResponse` carries the age of the responder's confirmation; see `gossip::freshness`.
 //!
-//! Deciding what is committed is the control plane's business; members of the core feed it in by
-//! [`Gossip::observe_committed`]. `now` is the time since the process started.
+//! The control plane decides which configuration is committed; members of the core pass it in with
+//! [`Gossip::observe_committed`]. In all methods, `now` is the time since the process started.
 
 mod gossip;
 mod load;
--- a/crates/router/dissemination/src/messages.rs
+++ b/crates/router/dissemination/src/messages.rs
@@ -1,5 +1,5 @@
-//! What the sidecars of a fleet send each other. The written names (`serde(rename)`) and the order of fields and variants are
-//! read by processes of other versions and must not change.
+//! Messages between the sidecars of a fleet. The serialized names (`serde(rename)`) and the order of fields and variants must
+//! not change, because processes of other versions read them.
 
 use crate::partial_view::PeerDescriptor;
 use crate::registry::{EndpointRecord, RegistryDigest};
@@ -8,27 +8,27 @@
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
-/// A configuration that the core has committed. The same index always stands for the same document.
+/// A configuration committed by the core. An index always identifies the same document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CommittedConfiguration {
-    /// Position in the sequence of committed changes; increases by one with each.
+    /// Position in the sequence of committed changes; each change increments it by one.
     pub index: u64,
-    /// The operators' version number.
+    /// Version number that the operators assigned to the document.
     pub generation: u64,
-    /// The document, as JSON.
+    /// The configuration document as JSON text.
     pub document: Arc<str>,
-    /// The versions in service. Not written while empty, and dropped by sidecars of earlier builds.
+    /// Version in service of each service. Omitted from the encoding when empty; sidecars of earlier builds drop it.
     #[serde(default, rename = "versions", skip_serializing_if = "ServiceVersions::is_empty")]
     pub service_versions: ServiceVersions,
-    /// The roll-outs. Not written while empty, and dropped by sidecars of earlier builds.
+    /// Rollouts by service. Omitted from the encoding when empty; sidecars of earlier builds drop it.
     #[serde(default, skip_serializing_if = "Rollouts::is_empty")]
     pub rollouts: Rollouts,
 }
 
-/// The difference of a committed configuration from the one before it.
+/// The difference between a committed configuration and its predecessor.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigurationDelta {
-    /// Index of the configuration that it applies to.
+    /// Index of the configuration that the delta applies to.
     #[serde(rename = "b")]
     pub base_index: u64,
     /// Index of the resulting configuration.
@@ -37,14 +37,15 @@
     /// Generation of the resulting configuration.
     #[serde(rename = "g")]
     pub generation: u64,
-    /// The difference of the documents.
+    /// Difference between the two documents.
     #[serde(rename = "d")]
     pub document: DocumentDelta,
-    /// All versions in service of the resulting configuration. Empty, and then not written, where the sender knows none: those of
-    /// the base stay.
+    /// All versions in service of the resulting configuration. If the sender knows none, the map is empty and omitted from the
+    /// encoding, and the receiver keeps the versions of the base.
     #[serde(default, rename = "v", skip_serializing_if = "ServiceVersions::is_empty")]
     pub service_versions: ServiceVersions,
-    /// All roll-outs of the resulting configuration; empty, and then not written, where there was none.
+    /// All rollouts of the resulting configuration. Empty and omitted from the encoding if there was none; the receiver then
+    /// keeps the rollouts of the base.
     #[serde(default, rename = "o", skip_serializing_if = "Rollouts::is_empty")]
     pub rollouts: Rollouts,
 }
@@ -57,43 +58,43 @@
     }
 }
 
-/// Where the core is, according to the newest epoch record that a sidecar has seen.
+/// Location of the core according to the latest epoch record that a sidecar has seen.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CoreHint {
-    /// Term of the epoch record; the record of the later term wins.
+    /// Term of the epoch record. A record of a later term supersedes this one.
     #[serde(rename = "t")]
     pub term: u64,
     /// Position of the record within its term.
     #[serde(rename = "q")]
     pub sequence: u64,
-    /// Address of the primary for internal messages.
+    /// Internal address of the primary.
     #[serde(rename = "p")]
     pub primary: SocketAddrV4,
-    /// Addresses of all members, the primary included.
+    /// Internal addresses of all members, including the primary.
     #[serde(rename = "m")]
     pub members: Vec<SocketAddrV4>,
 }
 
 impl CoreHint {
-    /// Whether this record is later than `other`.
+    /// Returns whether this hint stems from a later epoch record than `other`.
     pub(crate) fn supersedes(&self, other: &CoreHint) -> bool {
         (self.term, self.sequence) > (other.term, other.sequence)
     }
 }
 
-/// Summary of one sidecar's state, exchanged in anti-entropy.
+/// Summary of a sidecar's state, exchanged for anti-entropy.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
-    /// Id of the request; a response repeats it.
+    /// Identifier of the request; the response echoes it.
     #[serde(rename = "n")]
     pub request_id: u64,
     /// Index of the configuration in force; 0 for none.
     #[serde(rename = "i")]
     pub index: u64,
-    /// Hashes of the endpoint registry.
+    /// Digest of the endpoint registry, one hash per bucket.
     #[serde(rename = "r")]
     pub registry: RegistryDigest,
-    /// Where the core is, if known.
+    /// Location of the core, if the sender knows it.
     #[serde(rename = "c")]
     pub core: Option<CoreHint>,
     /// Random sample of the sender's partial view.
@@ -101,10 +102,10 @@
     pub sample: Vec<PeerDescriptor>,
 }
 
-/// Messages of dissemination. Each may be lost, delayed, duplicated or reordered.
+/// Dissemination messages. Any of them may be lost, delayed, duplicated or reordered.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GossipMessage {
-    /// Opens an exchange: the sender's digest.
+    /// Starts an anti-entropy exchange with the sender's digest.
     #[serde(rename = "Ask")]
     DigestRequest(Digest),
     /// Answers a [`GossipMessage::DigestRequest`].
@@ -112,29 +113,29 @@
     DigestResponse {
         /// The responder's digest; `request_id` is that of the request.
         digest: Digest,
-        /// Age of the responder's configuration at the time of the response: how long ago, in ms, it was known to contain
-        /// everything acknowledged. None where it isn't known.
+        /// Age of the responder's configuration at the time of the response, in milliseconds: how long ago it was known to
+        /// contain every acknowledged change. `None` if that was never known.
         fresh_age_ms: Option<u32>,
     },
-    /// The sender has a configuration of this index.
+    /// Announces the index of the sender's configuration.
     Announce {
         /// Index of the announced configuration.
         index: u64,
     },
-    /// Requests the configuration, if the receiver's is newer than `have`.
+    /// Requests the receiver's configuration if it is newer than `have`.
     Fetch {
         /// Index of the sender's configuration; 0 for none.
         have: u64,
-        /// Whether the sender understands [`GossipMessage::ConfigurationDeltas`]. Absent in messages of earlier builds, and
-        /// then not written either.
+        /// Whether the sender understands [`GossipMessage::ConfigurationDeltas`]. Messages of earlier builds lack it; `false` is
+        /// omitted from the encoding.
         #[serde(default, rename = "deltas", skip_serializing_if = "std::ops::Not::not")]
         accepts_deltas: bool,
     },
-    /// Transfers a configuration.
+    /// Transfers a complete configuration.
     Configuration(CommittedConfiguration),
-    /// Transfers a configuration as the differences from that of the requester, oldest first. Only an answer to a fetch that
-    /// accepts them.
+    /// Transfers a configuration as deltas from the requester's configuration, oldest first. Sent only in response to a fetch
+    /// that accepts deltas.
     ConfigurationDeltas(Vec<Arc<ConfigurationDelta>>),
-    /// Endpoint records: changed ones being broadcast, or those of buckets in which two digests differ.
+    /// Transfers endpoint records: either broadcast changes, or the records of buckets whose hashes differ.
     Records(Vec<EndpointRecord>),
 }
--- a/crates/router/dissemination/src/mutation.rs
+++ b/crates/router/dissemination/src/mutation.rs
@@ -1,20 +1,21 @@
-//! Deliberately broken versions of dissemination, with which the cluster simulation verifies that its checkers find a violation.
+//! Fault injection for mutation testing: the cluster simulation runs deliberately faulty variants of dissemination to verify
+//! that its checkers detect the violation.
 //!
-//! They exist only with the cargo feature `mutations`, which the manifest of the cluster simulation turns on. Without it
-//! [`ActiveMutation`] is a type of size zero and each of its methods returns the correct value. This file is the only one that
-//! knows of the feature.
+//! Mutations exist only with the cargo feature `mutations`, which the manifest of the cluster simulation enables. Without it,
+//! [`ActiveMutation`] is zero-sized and each of its methods returns the correct value. Apart from the re-export in `lib.rs`, this
+//! is the only file that depends on the feature.
 
 use std::time::Duration;
 
-/// One broken version.
+/// An injected fault.
 #[cfg(feature = "mutations")]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GossipMutation {
-    /// A configuration counts as fresh from the request on, whatever age the responder reports.
+    /// Ignores the age that a responder reports, so that a configuration counts as fresh as of the request.
     IgnoreReportedAge,
 }
 
-/// The mutation that a sidecar runs with; the default is none.
+/// The mutation that a sidecar runs with; none by default.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ActiveMutation(#[cfg(feature = "mutations")] Option<GossipMutation>);
 
@@ -29,7 +30,7 @@
 }
 
 impl ActiveMutation {
-    /// The age of a responder's configuration that is to be used, given the age that it reported.
+    /// Returns the age to use for a responder's configuration, given the age that the responder reported.
     pub(crate) fn fresh_age(self, reported: Duration) -> Duration {
         #[cfg(feature = "mutations")]
         if self.0 == Some(GossipMutation::IgnoreReportedAge) {
--- a/crates/router/dissemination/src/peer.rs
+++ b/crates/router/dissemination/src/peer.rs
@@ -1,18 +1,18 @@
-//! The sender of a message: an address, and which start of the process there.
+//! Identity of a message's sender: its address and the incarnation of the process.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddrV4;
 
-/// One start of a process, drawn at random by the process itself. Request ids begin again with each start; together with the
-/// incarnation they are unique.
+/// Random identifier that a process draws at each start. Request ids restart with the process, so only the pair of incarnation
+/// and request id is unique.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation(pub u64);
 
-/// The process that a message comes from.
+/// A process instance that sends messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Peer {
-    /// Its address for internal messages.
+    /// Internal address of the process.
     pub address: SocketAddrV4,
-    /// Which start of the process.
+    /// Incarnation of the process at this address.
     pub incarnation: Incarnation,
 }
--- a/crates/router/dissemination/src/registry.rs
+++ b/crates/router/dissemination/src/registry.rs
@@ -1,12 +1,12 @@
-//! The endpoint registry: which endpoints serve which service, by heartbeats received here and records from other sidecars.
+//! The endpoint registry: the endpoints of each service, from locally received heartbeats and from other sidecars' records.
 //!
-//! Every sidecar holds all endpoints, and an endpoint sends its heartbeats to any one of them. Heartbeats stay with the sidecar
-//! that receives them; only changes of state are disseminated. When the heartbeats stop there, it broadcasts that the endpoint
-//! has expired, and a sidecar that received a later heartbeat refutes that.
+//! Every sidecar holds records of all endpoints, and an endpoint sends its heartbeats to any one sidecar. Heartbeats are not
+//! forwarded; only state changes are disseminated. When the heartbeats to a sidecar stop, that sidecar broadcasts that the
+//! endpoint has expired, and a sidecar that received a later heartbeat refutes the expiry.
 //!
-//! [`record`] holds the records and their order, [`local_heartbeats`] the heartbeats received here, [`digest`] what
-//! anti-entropy compares, [`expiry`] time-outs and tombstones. Sending is the business of [`gossip`](crate::gossip): methods
-//! return the records to broadcast.
+//! [`record`] defines the records and their order, [`local_heartbeats`] tracks the heartbeats received here, [`digest`] computes
+//! the hashes that anti-entropy compares, and [`expiry`] handles timeouts and tombstones. The registry sends nothing: its methods
+//! return the records that [`gossip`](crate::gossip) broadcasts.
 
 mod digest;
 mod expiry;
@@ -21,14 +21,14 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Heartbeat intervals without a heartbeat after which an endpoint expires.
-const MISSED_HEARTBEATS: f64 = 3.2;
+/// Number of heartbeat intervals without a heartbeat after which an endpoint expires.
+const HEARTBEAT_TIMEOUT_INTERVALS: f64 = 3.2;
 
 #[derive(Debug)]
 struct Entry {
     record: EndpointRecord,
     changed_at: Duration,
-    /// The record was persisted before a restart, and nothing has confirmed it since.
+    /// Whether the record was persisted before a restart and has not been confirmed since.
     restored: bool,
 }
 
@@ -37,20 +37,20 @@
 pub struct Registry {
     /// Time without a heartbeat after which an endpoint expires.
     heartbeat_timeout: Duration,
-    /// By endpoint id; ordered, as records are sent in this order. A record is only replaced by one that supersedes it, or
-    /// expires.
+    /// Entries by endpoint id; ordered, because records are sent in this order. A record changes only by expiring or by being
+    /// replaced with one that supersedes it.
     entries: BTreeMap<String, Entry>,
     local_heartbeats: LocalHeartbeats,
-    /// The digest of the entries; None after a change of any.
+    /// Cached digest of the entries; `None` after any entry has changed.
     digest: Option<RegistryDigest>,
     revision: u64,
 }
 
 impl Registry {
-    /// An empty registry of endpoints that send heartbeats at the interval `heartbeat`.
-    pub fn new(heartbeat: Duration) -> Self {
+    /// Creates an empty registry for endpoints that send heartbeats at `heartbeat_interval`.
+    pub fn new(heartbeat_interval: Duration) -> Self {
         Registry {
-            heartbeat_timeout: heartbeat.mul_f64(MISSED_HEARTBEATS),
+            heartbeat_timeout: heartbeat_interval.mul_f64(HEARTBEAT_TIMEOUT_INTERVALS),
             entries: BTreeMap::new(),
             local_heartbeats: LocalHeartbeats::default(),
             digest: None,
@@ -58,22 +58,23 @@
         }
     }
 
-    /// Revision of the records; increases with each change.
+    /// Returns the revision of the records, which increases with each change.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// All records, tombstones included, by id.
+    /// Returns all records, including tombstones, ordered by endpoint id.
     pub fn records(&self) -> impl Iterator<Item = &EndpointRecord> {
         self.entries.values().map(|entry| &entry.record)
     }
 
-    /// Whether there is a record of an endpoint, be it a tombstone.
+    /// Returns whether there is a record of an endpoint, possibly a tombstone.
     pub fn contains(&self, id: &str) -> bool {
         self.entries.contains_key(id)
     }
 
-    /// Loads records that were persisted before a restart. Each has to be confirmed soon, by a heartbeat or another sidecar.
+    /// Restores records that were persisted before a restart. Each expires soon unless a heartbeat or another sidecar confirms
+    /// it.
     pub fn restore(&mut self, now: Duration, records: Vec<EndpointRecord>) {
         for record in records {
             if record.state.is_live() && !self.contains(&record.id) {
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Takes a heartbeat and returns the changed records to broadcast. A late heartbeat changes nothing.
+    /// Processes a heartbeat and returns the changed records to broadcast. A late heartbeat has no effect.
     pub fn heartbeat(&mut self, now: Duration, heartbeat: &Heartbeat) -> Vec<EndpointRecord> {
         let received = &heartbeat.record;
         if self.is_outdated(received) {
@@ -93,7 +94,7 @@
             entry.record.state != received.state || entry.record.version != received.version
         });
         let broadcast = changed || self.local_heartbeats.is_refresh_due(now, &received.id);
-        self.local_heartbeats.observe(now, received, broadcast);
+        self.local_heartbeats.record(now, received, broadcast);
         if !broadcast {
             return Vec::new();
         }
@@ -103,7 +104,7 @@
         changed
     }
 
-    /// Whether a heartbeat is older than what is known of its endpoint.
+    /// Returns whether a heartbeat is older than the known state of its endpoint.
     fn is_outdated(&self, received: &EndpointRecord) -> bool {
         let after_record = self.entries.get(&received.id).is_some_and(|entry| {
             entry.record.state == EndpointState::Removed || received.sequence < entry.record.sequence
@@ -112,7 +113,7 @@
         after_record || last_sequence.is_some_and(|last| received.sequence < last)
     }
 
-    /// Removes an endpoint that has ended as planned. Returns the changed records to broadcast.
+    /// Removes an endpoint that deregisters. Returns the changed records to broadcast.
     pub fn deregister(&mut self, now: Duration, id: &str) -> Vec<EndpointRecord> {
         self.local_heartbeats.remove(id);
         let Some(entry) = self.entries.get(id) else { return Vec::new() };
@@ -124,7 +125,7 @@
         vec![removed]
     }
 
-    /// Merges records of another sidecar. Returns those that changed, to broadcast: the merged ones and refutations.
+    /// Merges records of another sidecar. Returns the changed records to broadcast: merged records and refutations.
     pub fn merge(&mut self, now: Duration, records: Vec<EndpointRecord>) -> Vec<EndpointRecord> {
         let mut changed = Vec::new();
         for record in records {
@@ -132,7 +133,7 @@
                 continue;
             }
             let merged = self.refutation(&record).unwrap_or(record);
-            // The endpoint sends its heartbeats elsewhere by now, so their absence here says nothing.
+            // The endpoint now sends its heartbeats to another sidecar, so their absence here means nothing.
             let last_sequence = self.local_heartbeats.sequence(&merged.id);
             if last_sequence.is_some_and(|last| last < merged.sequence) {
                 self.local_heartbeats.remove(&merged.id);
@@ -143,7 +144,7 @@
         changed
     }
 
-    /// The record that refutes the expiry of an endpoint, if a later heartbeat was received here.
+    /// Returns the record that refutes the expiry of an endpoint, if a later heartbeat was received here.
     fn refutation(&self, expired: &EndpointRecord) -> Option<EndpointRecord> {
         let sequence = self.local_heartbeats.sequence(&expired.id)?;
         if expired.state != EndpointState::Expired || sequence <= expired.sequence {
@@ -156,7 +157,7 @@
         Some(EndpointRecord { state, sequence, ..expired.clone() })
     }
 
-    /// The digest of all records.
+    /// Returns the digest of all records, computing it if a record has changed.
     pub fn digest(&mut self) -> RegistryDigest {
         if let Some(digest) = self.digest {
             return digest;
@@ -166,17 +167,17 @@
         digest
     }
 
-    /// The records of the buckets in which `remote` differs, tombstones included.
+    /// Returns the records of the buckets whose hashes differ from those of `remote`, including tombstones.
     pub fn differing_records(&mut self, remote: &RegistryDigest) -> Vec<EndpointRecord> {
-        let own = self.digest();
+        let local = self.digest();
         let differs = |record: &&EndpointRecord| {
             let bucket = bucket_of(&record.id);
-            own[bucket] != remote[bucket]
+            local[bucket] != remote[bucket]
         };
         self.records().filter(differs).cloned().collect()
     }
 
-    /// Removes the endpoints that had the address of a newly registered one: an address has one owner.
+    /// Removes the endpoints that previously had the address of a newly registered one, because an address has one owner.
     fn remove_former_owners(&mut self, now: Duration, registered: &EndpointRecord) -> Vec<EndpointRecord> {
         if self.contains(&registered.id) {
             return Vec::new();
@@ -189,7 +190,7 @@
         former_owners.iter().flat_map(|id| self.deregister(now, id)).collect()
     }
 
-    /// Inserts or replaces a record that a heartbeat or another sidecar brought.
+    /// Inserts or replaces a record received by heartbeat or from another sidecar.
     fn put(&mut self, now: Duration, record: EndpointRecord) {
         self.insert(Entry { record, changed_at: now, restored: false });
     }
--- a/crates/router/dissemination/src/registry/digest.rs
+++ b/crates/router/dissemination/src/registry/digest.rs
@@ -1,24 +1,24 @@
-//! Digests of the registry: one hash a bucket, so that two sidecars find the endpoints in which they differ without sending all.
+//! Digests of the registry: one hash per bucket, so that two sidecars can find differing endpoints without sending all records.
 //!
-//! Hashes are compared between processes. The hasher, the fields that are hashed and their order must not change.
+//! Hashes are compared between processes, so the hasher, the hashed fields and their order must not change.
 
 use super::record::{EndpointRecord, EndpointState};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// Parts of the registry that are compared and reconciled each on its own.
+/// Number of buckets into which the registry is divided. Each is compared and reconciled separately.
 const BUCKETS: usize = 16;
 
 /// One hash for each bucket of the registry.
 pub type RegistryDigest = [u32; BUCKETS];
 
-/// The bucket of an endpoint.
+/// Returns the bucket of the endpoint with the given id.
 pub(crate) fn bucket_of(id: &str) -> usize {
     let mut hasher = DefaultHasher::new();
     id.hash(&mut hasher);
     (hasher.finish() as usize) % BUCKETS
 }
 
-/// The digest of a set of records, independent of their order. Removed endpoints don't count.
+/// Returns the digest of a set of records, which does not depend on their order. Removed endpoints are excluded.
 pub(super) fn digest_of<'a>(records: impl Iterator<Item = &'a EndpointRecord>) -> RegistryDigest {
     let mut digest = [0; BUCKETS];
     for record in records.filter(|record| record.state != EndpointState::Removed) {
--- a/crates/router/dissemination/src/registry/expiry.rs
+++ b/crates/router/dissemination/src/registry/expiry.rs
@@ -1,19 +1,19 @@
-//! Expiry of endpoints whose heartbeats have stopped, and of tombstones.
+//! Expiry of endpoints whose heartbeats have stopped, and removal of tombstones.
 
 use super::{EndpointRecord, EndpointState, Entry, Registry};
 use std::time::Duration;
 
-/// A live record from another sidecar that hasn't been refreshed for this long expires; more
-/// than three refresh intervals.
+/// A live record from another sidecar expires if it is not refreshed for this long, which is more than three refresh
+/// intervals.
 const STALE_RECORD_TIMEOUT: Duration = Duration::from_secs(2_100);
-/// A restored record that no heartbeat or other sidecar confirms within this time expires.
+/// A restored record expires if no heartbeat or other sidecar confirms it within this time.
 const RESTORED_RECORD_TIMEOUT: Duration = Duration::from_millis(2_600);
-/// Records of expired and removed endpoints remain as tombstones for this long, so that late heartbeats and records are
-/// recognised as such.
+/// Records of expired and removed endpoints are kept as tombstones for this long, so that late heartbeats and records are
+/// recognized as such.
 const TOMBSTONE_RETENTION: Duration = Duration::from_secs(60);
 
 impl Entry {
-    /// How long the record is valid without a local heartbeat.
+    /// Returns how long the record stays valid without a local heartbeat.
     fn timeout(&self) -> Duration {
         if self.restored {
             RESTORED_RECORD_TIMEOUT
@@ -29,7 +29,7 @@
 
 impl Registry {
     /// Expires endpoints whose heartbeats have stopped and removes old tombstones. Returns the changed records to broadcast:
-    /// those of endpoints that sent their heartbeats here. Others expire at each sidecar by themselves.
+    /// those of endpoints that sent their heartbeats here. Other records expire at each sidecar independently.
     pub fn expire(&mut self, now: Duration) -> Vec<EndpointRecord> {
         let changed = self.expire_stopped(now);
         self.expire_unrefreshed(now);
@@ -55,7 +55,7 @@
         changed
     }
 
-    /// Expires endpoints without local heartbeats whose records nobody has refreshed.
+    /// Expires endpoints without local heartbeats whose records no other sidecar has refreshed.
     fn expire_unrefreshed(&mut self, now: Duration) {
         let mut expired = 0;
         for (id, entry) in &mut self.entries {
--- a/crates/router/dissemination/src/registry/local_heartbeats.rs
+++ b/crates/router/dissemination/src/registry/local_heartbeats.rs
@@ -1,11 +1,11 @@
-//! Heartbeats that endpoints send to this sidecar. They are not disseminated; only changes of state that follow from them are.
+//! Heartbeats that endpoints send to this sidecar. They are not disseminated; only the resulting state changes are.
 
 use super::EndpointRecord;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A record is broadcast again after this time although nothing changed. Each broadcast reaches every sidecar several times, so
-/// it has to be rare where there are many endpoints.
+/// Interval at which an unchanged record is broadcast again. Each broadcast reaches every sidecar several times, so refreshes
+/// have to be rare when there are many endpoints.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(600);
 
 /// The last heartbeat of one endpoint.
@@ -17,7 +17,7 @@
     broadcast_at: Duration,
 }
 
-/// An endpoint whose heartbeats have stopped, and the sequence of the last.
+/// An endpoint whose heartbeats have stopped, with the sequence number of the last one.
 #[derive(Debug)]
 pub(super) struct StoppedEndpoint {
     pub(super) id: String,
@@ -27,7 +27,7 @@
 /// The last heartbeat of each endpoint that sends its heartbeats here.
 #[derive(Debug, Default)]
 pub(super) struct LocalHeartbeats {
-    /// By endpoint id; ordered, as expired records are broadcast in this order.
+    /// Heartbeats by endpoint id; ordered, because expired records are broadcast in this order.
     last: BTreeMap<String, LocalHeartbeat>,
 }
 
@@ -36,20 +36,20 @@
         self.last.contains_key(id)
     }
 
-    /// Sequence of the last heartbeat.
+    /// Returns the sequence number of the last heartbeat of an endpoint.
     pub(super) fn sequence(&self, id: &str) -> Option<u64> {
         self.last.get(id).map(|heartbeat| heartbeat.sequence)
     }
 
-    /// Whether the record of an endpoint has to be broadcast again, or for the first time from here.
+    /// Returns whether the record of an endpoint has to be broadcast, either as a refresh or for the first time from here.
     pub(super) fn is_refresh_due(&self, now: Duration, id: &str) -> bool {
         self.last
             .get(id)
             .is_none_or(|heartbeat| now.saturating_sub(heartbeat.broadcast_at) >= REFRESH_INTERVAL)
     }
 
-    /// Records a heartbeat; `broadcast` says that the record is broadcast now.
-    pub(super) fn observe(&mut self, now: Duration, record: &EndpointRecord, broadcast: bool) {
+    /// Records a heartbeat. `broadcast` tells whether its record is broadcast now.
+    pub(super) fn record(&mut self, now: Duration, record: &EndpointRecord, broadcast: bool) {
         let last_broadcast = self.last.get(&record.id).map(|heartbeat| heartbeat.broadcast_at);
         let broadcast_at = last_broadcast.filter(|_| !broadcast).unwrap_or(now);
         let heartbeat = LocalHeartbeat { received_at: now, sequence: record.sequence, broadcast_at };
--- a/crates/router/dissemination/src/registry/record.rs
+++ b/crates/router/dissemination/src/registry/record.rs
@@ -1,63 +1,64 @@
-//! Records of endpoints and their order.
+//! Endpoint records and the order in which they supersede each other.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddrV4;
 
-/// The state of an endpoint. The order of variants matters: of two states of the same sequence the later variant wins.
+/// The state of an endpoint. The order of variants matters: of two states with the same sequence number, the later variant wins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum EndpointState {
-    /// Takes requests.
+    /// Accepts requests.
     Ready,
-    /// Completes the requests in flight; takes no new ones.
+    /// Completes the requests in flight and accepts no new ones.
     Draining,
-    /// Its heartbeats have stopped. A later heartbeat refutes this.
+    /// The heartbeats have stopped. A later heartbeat refutes this state.
     #[serde(rename = "Silent")]
     Expired,
-    /// It has deregistered, or its address has another owner. Final.
+    /// The endpoint has deregistered, or its address belongs to another endpoint. Final.
     #[serde(rename = "Gone")]
     Removed,
 }
 
 impl EndpointState {
-    /// Whether the endpoint is taken to be alive: ready or draining.
+    /// Returns whether the endpoint is considered alive: ready or draining.
     pub(crate) fn is_live(self) -> bool {
         self < EndpointState::Expired
     }
 }
 
-/// What is known of one endpoint.
+/// The known state of one endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct EndpointRecord {
-    /// Its instance id, new at each start.
+    /// Instance id of the endpoint, new at each start.
     #[serde(rename = "i")]
     pub id: String,
-    /// The service that it serves.
+    /// Name of the service that the endpoint belongs to.
     #[serde(rename = "s")]
     pub service: String,
-    /// Address that it listens on.
+    /// Address at which the endpoint accepts requests.
     #[serde(rename = "a")]
     pub address: SocketAddrV4,
-    /// Its zone.
+    /// Zone that the endpoint runs in; empty if it reports none.
     #[serde(rename = "z")]
     pub zone: String,
-    /// Requests that it processes concurrently.
+    /// Number of requests that the endpoint processes concurrently.
     #[serde(rename = "c")]
     pub capacity: u32,
-    /// Its state.
+    /// State as of the heartbeat with the number `sequence`.
     #[serde(rename = "t")]
     pub state: EndpointState,
-    /// Sequence of the heartbeat that brought this state.
+    /// Sequence number of the heartbeat that led to this state.
     #[serde(rename = "q")]
     pub sequence: u64,
-    /// Version of its software. Empty where it isn't known: in records of endpoints that don't report it, or that a sidecar of
-    /// an earlier build passed on; then not written either.
+    /// Software version of the endpoint. Empty if unknown, because the endpoint does not report it or a sidecar of an earlier
+    /// build forwarded the record. Omitted from the encoding when empty.
     #[serde(rename = "v", default, skip_serializing_if = "String::is_empty")]
     pub version: String,
 }
 
 impl EndpointRecord {
-    /// Whether this record replaces `other`, one of the same endpoint. Removal is final; else the later heartbeat wins, and of
-    /// the same heartbeat the later state. A strict order, so that all sidecars converge whatever order records arrive in.
+    /// Returns whether this record replaces `other`, a record of the same endpoint. Removal is final. Otherwise the later
+    /// heartbeat wins, and for the same heartbeat the later state. This is a strict order, so all sidecars converge regardless of
+    /// the order in which records arrive.
     pub(crate) fn supersedes(&self, other: &EndpointRecord) -> bool {
         other.state != EndpointState::Removed
             && (self.state == EndpointState::Removed
@@ -65,10 +66,10 @@
     }
 }
 
-/// A heartbeat as an endpoint sends it. A type apart from the record: records come from any sidecar, a heartbeat from the
-/// endpoint itself.
+/// A heartbeat sent by an endpoint. Distinct from [`EndpointRecord`], because records come from any sidecar and heartbeats only
+/// from the endpoint itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Heartbeat {
-    /// What the endpoint says of itself.
+    /// The endpoint's own description of its state.
     pub record: EndpointRecord,
 }
--- a/crates/router/dissemination/tests/gossip.rs
+++ b/crates/router/dissemination/tests/gossip.rs
@@ -1,4 +1,4 @@
-//! The decider: freshness, fetching the configuration, confirmations by the core.
+//! Tests of the gossip state machine: freshness, fetching the configuration, confirmations by the core, restored peers.
 
 use passrelay_configuration::{Rollouts, ServiceVersions};
 use passrelay_dissemination::{
@@ -21,7 +21,7 @@
     Peer { address: address(host), incarnation: Incarnation(u64::from(host)) }
 }
 
-/// The sidecar of host 1, whose only seed is host 2.
+/// Creates the sidecar at host 1, whose only seed is host 2.
 fn gossip() -> Gossip {
     Gossip::new(GossipSettings {
         own_address: address(1),
@@ -55,7 +55,7 @@
     actions
 }
 
-/// Advances the timers and returns the ids of the digest requests that are sent.
+/// Fires the due timers and returns the ids of the digest requests that are sent.
 fn tick(gossip: &mut Gossip, now: Duration) -> Vec<u64> {
     let mut actions = Vec::new();
     gossip.tick(now, &mut actions);
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn freshness_is_counted_from_the_sending_of_the_request() {
+fn freshness_is_computed_from_the_send_time_of_the_request() {
     let mut gossip = gossip();
     let request_id = tick(&mut gossip, at(1_000))[0];
     receive(&mut gossip, at(9_000), 2, response(request_id, 0, 300));
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_duplicate_response_or_an_older_confirmation_changes_no_freshness() {
+fn duplicate_responses_and_older_confirmations_leave_the_freshness_unchanged() {
     let mut gossip = gossip();
     let request_id = tick(&mut gossip, at(1_000))[0];
     receive(&mut gossip, at(1_010), 2, response(request_id, 0, 300));
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn freshness_of_a_newer_configuration_does_not_apply_to_the_local_one() {
+fn the_freshness_of_a_newer_configuration_does_not_apply_to_the_local_one() {
     let mut gossip = gossip();
     let request_id = tick(&mut gossip, at(1_000))[0];
     let actions = receive(&mut gossip, at(1_010), 2, response(request_id, 5, 0));
@@ -100,11 +100,11 @@
 }
 
 #[test]
-fn one_fetch_is_in_flight_until_its_timeout_which_grows_with_the_size() {
+fn a_second_fetch_waits_for_a_timeout_that_grows_with_the_document() {
     let mut gossip = gossip();
     let document = "x".repeat(50 * 1_024);
     receive(&mut gossip, at(0), 2, GossipMessage::Configuration(configuration(1, &document)));
-    // 120 ms and 1 ms for each of the 50 KiB.
+    // The timeout is 120 ms plus 1 ms for each of the 50 KiB.
     assert!(is_fetch(&receive(&mut gossip, at(10), 2, GossipMessage::Announce { index: 2 })[0], 2));
     assert!(receive(&mut gossip, at(179), 3, GossipMessage::Announce { index: 2 }).is_empty());
     assert!(is_fetch(&receive(&mut gossip, at(180), 3, GossipMessage::Announce { index: 2 })[0], 3));
@@ -119,14 +119,14 @@
 }
 
 #[test]
-fn a_member_of_the_core_confirms_what_was_announced_before_the_request() {
+fn a_core_member_confirms_only_announcements_made_before_the_request() {
     let mut gossip = gossip();
     gossip.observe_core(CoreHint { term: 1, sequence: 1, primary: address(2), members: vec![address(2)] });
     let early_request_id = tick(&mut gossip, at(1_000))[0];
     let announcement = gossip.announce(at(1_010), "i");
     let request_id = tick(&mut gossip, at(1_010))[0];
     let confirmed = GossipAction::AnnouncementConfirmed(announcement);
-    // Sent before the announcement, or confirmed by the majority before it.
+    // Neither a request sent before the announcement nor a majority contact that precedes it confirms the announcement.
     let early = receive(&mut gossip, at(1_020), 2, response(early_request_id, 0, 0));
     assert!(!early.contains(&confirmed));
     let aged = receive(&mut gossip, at(1_020), 2, response(request_id, 0, 1));
@@ -138,7 +138,7 @@
 
 // ---- Configurations as deltas ----
 
-/// A document that is far longer than some deltas together, one item of which is that of the index.
+/// Returns a document far longer than several deltas together, with one item that depends on the index.
 fn long_document(index: u64) -> String {
     let item = |number: u64| format!(r#"{{"name":"r-{number}","text":"{}"}}"#, "x".repeat(60));
     let mut items: Vec<String> = (0..60).map(item).collect();
@@ -150,7 +150,7 @@
     configuration(index, &long_document(index))
 }
 
-/// The sidecar of host 1 after it has got these configurations as the core committed them.
+/// Creates the sidecar at host 1 after it has observed the commits of these configurations as a member of the core.
 fn source(indexes: std::ops::RangeInclusive<u64>) -> Gossip {
     let mut gossip = gossip();
     for index in indexes {
@@ -160,66 +160,71 @@
     gossip
 }
 
-/// What a sidecar sends upon a fetch.
-fn transferred(gossip: &mut Gossip, have: u64, accepts_deltas: bool) -> GossipMessage {
+/// Returns the message that a sidecar sends in response to a fetch.
+fn fetch_response(gossip: &mut Gossip, have: u64, accepts_deltas: bool) -> GossipMessage {
     let actions = receive(gossip, at(10), 3, GossipMessage::Fetch { have, accepts_deltas });
     match actions.as_slice() {
         [GossipAction::Send { message, .. }] => message.clone(),
-        other => panic!("not one message: {other:?}"),
+        other => panic!("expected a single message, found {other:?}"),
     }
 }
 
 #[test]
-fn who_is_some_changes_behind_gets_deltas_and_passes_them_on() {
-    let deltas = transferred(&mut source(1..=4), 1, true);
+fn a_sidecar_a_few_changes_behind_receives_deltas_and_forwards_them() {
+    let deltas = fetch_response(&mut source(1..=4), 1, true);
     let GossipMessage::ConfigurationDeltas(sent) = &deltas else { panic!("{deltas:?}") };
     assert_eq!(sent.len(), 3);
     let mut relay = gossip();
     receive(&mut relay, at(0), 2, GossipMessage::Configuration(long_configuration(1)));
     let actions = receive(&mut relay, at(20), 2, deltas.clone());
     assert!(actions.contains(&GossipAction::Configured(long_configuration(4))), "{actions:?}");
-    assert_eq!(transferred(&mut relay, 1, true), deltas, "it holds what it received");
-    let GossipMessage::ConfigurationDeltas(last) = transferred(&mut relay, 3, true) else { panic!() };
+    assert_eq!(fetch_response(&mut relay, 1, true), deltas, "the relay forwards the deltas that it received");
+    let GossipMessage::ConfigurationDeltas(last) = fetch_response(&mut relay, 3, true) else { panic!() };
     assert_eq!(last, sent[2..]);
 }
 
 #[rstest]
-#[case::it_has_none(0, true)]
-#[case::it_takes_no_deltas(3, false)]
-#[case::it_is_too_far_behind(2, true)]
-fn who_can_not_be_sent_deltas_gets_the_whole_document(#[case] have: u64, #[case] accepts_deltas: bool) {
-    let whole = GossipMessage::Configuration(long_configuration(40));
-    assert_eq!(transferred(&mut source(1..=40), have, accepts_deltas), whole);
+#[case::no_configuration(0, true)]
+#[case::deltas_not_accepted(3, false)]
+#[case::too_far_behind(2, true)]
+fn a_sidecar_that_can_not_use_deltas_receives_the_complete_document(
+    #[case] have: u64,
+    #[case] accepts_deltas: bool,
+) {
+    let complete = GossipMessage::Configuration(long_configuration(40));
+    assert_eq!(fetch_response(&mut source(1..=40), have, accepts_deltas), complete);
 }
 
 #[test]
-fn a_document_that_is_replaced_is_sent_as_a_whole() {
+fn a_replaced_document_is_sent_completely() {
     let mut gossip = source(1..=1);
     let replaced = configuration(2, "{}");
     gossip.observe_committed(at(5), Some(&replaced), Some(at(5)), &mut Vec::new());
-    assert_eq!(transferred(&mut gossip, 1, true), GossipMessage::Configuration(replaced));
+    assert_eq!(fetch_response(&mut gossip, 1, true), GossipMessage::Configuration(replaced));
 }
 
-// Guards against a sidecar that stays behind, or takes a wrong document, because deltas don't fit its own.
+// Guards against a sidecar that stays behind or accepts a wrong document because the deltas do not apply to its own.
 #[rstest]
-#[case::it_missed_a_change(Some(long_configuration(1)))]
-#[case::it_has_none(None)]
-fn deltas_that_do_not_fit_make_it_fetch_the_whole_document(#[case] held: Option<CommittedConfiguration>) {
-    let deltas = transferred(&mut source(1..=4), 2, true);
+#[case::missed_change(Some(long_configuration(1)))]
+#[case::no_configuration(None)]
+fn deltas_that_do_not_apply_lead_to_a_fetch_of_the_complete_document(
+    #[case] current: Option<CommittedConfiguration>,
+) {
+    let deltas = fetch_response(&mut source(1..=4), 2, true);
     let mut gossip = gossip();
-    if let Some(held) = held.clone() {
-        receive(&mut gossip, at(0), 2, GossipMessage::Configuration(held));
+    if let Some(current) = current.clone() {
+        receive(&mut gossip, at(0), 2, GossipMessage::Configuration(current));
     }
     let actions = receive(&mut gossip, at(20), 2, deltas);
-    let have = held.as_ref().map_or(0, |held| held.index);
+    let have = current.as_ref().map_or(0, |current| current.index);
     let fetch = GossipMessage::Fetch { have, accepts_deltas: false };
     assert_eq!(actions, [GossipAction::Send { to: address(2), addressee: None, message: fetch }]);
-    assert_eq!(gossip.configuration(), held.as_ref());
+    assert_eq!(gossip.configuration(), current.as_ref());
 }
 
 #[test]
-fn deltas_that_arrive_twice_change_nothing() {
-    let deltas = transferred(&mut source(1..=3), 2, true);
+fn duplicate_deltas_have_no_effect() {
+    let deltas = fetch_response(&mut source(1..=3), 2, true);
     let mut gossip = gossip();
     receive(&mut gossip, at(0), 2, GossipMessage::Configuration(long_configuration(2)));
     receive(&mut gossip, at(20), 2, deltas.clone());
@@ -232,9 +237,9 @@
     CommittedConfiguration { service_versions, ..configuration }
 }
 
-// Guards against a sidecar that gets a document by deltas and doesn't learn which version is in service.
+// Guards against a sidecar that receives a document by deltas without learning the version in service.
 #[test]
-fn the_versions_in_service_come_with_the_whole_document_and_with_deltas() {
+fn versions_in_service_are_sent_with_the_complete_document_and_with_deltas() {
     let mut source = gossip();
     let committed = [
         long_configuration(1),
@@ -244,9 +249,9 @@
     for configuration in &committed {
         source.observe_committed(at(0), Some(configuration), Some(at(0)), &mut Vec::new());
     }
-    let whole = transferred(&mut source, 0, true);
-    assert_eq!(whole, GossipMessage::Configuration(committed[2].clone()));
-    let deltas = transferred(&mut source, 1, true);
+    let complete = fetch_response(&mut source, 0, true);
+    assert_eq!(complete, GossipMessage::Configuration(committed[2].clone()));
+    let deltas = fetch_response(&mut source, 1, true);
     assert!(matches!(&deltas, GossipMessage::ConfigurationDeltas(sent) if sent.len() == 2), "{deltas:?}");
     let mut relay = gossip();
     receive(&mut relay, at(0), 2, GossipMessage::Configuration(committed[0].clone()));
@@ -254,19 +259,19 @@
     assert_eq!(relay.configuration(), Some(&committed[2]));
 }
 
-// Guards against versions lost where a delta was passed on by a sidecar of an earlier build, which drops them.
+// Guards against losing the versions in service when a sidecar of an earlier build, which drops them, forwards a delta.
 #[test]
-fn a_delta_without_versions_leaves_those_that_are_known() {
-    let deltas = transferred(&mut source(1..=2), 1, true);
+fn a_delta_without_versions_keeps_the_known_ones() {
+    let deltas = fetch_response(&mut source(1..=2), 1, true);
     let mut gossip = gossip();
-    let held = with_version(long_configuration(1), "v1");
-    receive(&mut gossip, at(0), 2, GossipMessage::Configuration(held));
+    let current = with_version(long_configuration(1), "v1");
+    receive(&mut gossip, at(0), 2, GossipMessage::Configuration(current));
     receive(&mut gossip, at(20), 2, deltas);
     assert_eq!(gossip.configuration(), Some(&with_version(long_configuration(2), "v1")));
 }
 
-/// The addresses that digest requests are sent to when the timers advance.
-fn contacted(gossip: &mut Gossip, now: Duration) -> Vec<SocketAddrV4> {
+/// Fires the due timers and returns the addresses that digest requests are sent to.
+fn contacted_peers(gossip: &mut Gossip, now: Duration) -> Vec<SocketAddrV4> {
     let mut actions = Vec::new();
     gossip.tick(now, &mut actions);
     let contact = |action: &GossipAction| match action {
@@ -276,21 +281,22 @@
     actions.iter().filter_map(contact).collect()
 }
 
-// Guards against groups that never meet after all have lost power, because the seeds of each name none of the other.
+// Guards against a fleet that stays partitioned after all machines lost power, because the seeds of each group list no machine
+// of the other.
 #[test]
-fn peers_from_before_a_restart_are_contacted_in_turn_until_they_respond_or_the_time_is_over() {
+fn restored_peers_are_contacted_in_turn_until_they_respond_or_the_contact_period_ends() {
     let mut gossip = gossip();
     gossip.restore_peers(at(0), (11..=16).map(address).chain([address(1)]).collect());
-    let kept: Vec<_> = (11..=16).map(address).collect();
-    assert_eq!(gossip.known_peers().into_iter().collect::<Vec<_>>(), kept, "they may yet respond");
-    let mut seen: Vec<SocketAddrV4> = contacted(&mut gossip, at(0));
+    let restored: Vec<_> = (11..=16).map(address).collect();
+    assert_eq!(gossip.known_peers().into_iter().collect::<Vec<_>>(), restored, "they may still respond");
+    let mut seen: Vec<SocketAddrV4> = contacted_peers(&mut gossip, at(0));
     receive(&mut gossip, at(10), 12, GossipMessage::Announce { index: 0 });
     for round in 1..4 {
-        seen.extend(contacted(&mut gossip, at(400 * round)));
+        seen.extend(contacted_peers(&mut gossip, at(400 * round)));
     }
-    assert!(kept.iter().all(|peer| seen.contains(peer)), "{seen:?}");
-    assert!(!seen.contains(&address(1)), "nobody contacts itself");
-    let late: Vec<_> = (40..50).flat_map(|round| contacted(&mut gossip, at(400 * round))).collect();
-    assert!(late.iter().all(|peer| !kept.contains(peer) || *peer == address(12)), "{late:?}");
+    assert!(restored.iter().all(|peer| seen.contains(peer)), "{seen:?}");
+    assert!(!seen.contains(&address(1)), "the sidecar contacts itself");
+    let late: Vec<_> = (40..50).flat_map(|round| contacted_peers(&mut gossip, at(400 * round))).collect();
+    assert!(late.iter().all(|peer| !restored.contains(peer) || *peer == address(12)), "{late:?}");
     assert_eq!(gossip.known_peers().into_iter().collect::<Vec<_>>(), [address(12)]);
 }
--- a/crates/router/dissemination/tests/load.rs
+++ b/crates/router/dissemination/tests/load.rs
@@ -1,10 +1,10 @@
-//! Outcome counters decay with time.
+//! Tests of the decay of outcome counters over time.
 
 use passrelay_dissemination::{DecayingOutcomes, OutcomeCounts};
 use std::time::Duration;
 
 #[test]
-fn outcomes_lose_the_factor_e_in_three_seconds() {
+fn outcome_counts_decay_by_a_factor_of_e_in_three_seconds() {
     let mut outcomes = DecayingOutcomes::default();
     outcomes.add(Duration::ZERO, 10, 2);
     let later = Duration::from_secs(3);
--- a/crates/router/dissemination/tests/partial_view.rs
+++ b/crates/router/dissemination/tests/partial_view.rs
@@ -1,4 +1,4 @@
-//! The partial view: its bound, expiry, and which peers are selected first.
+//! Tests of the partial view: its size limit, expiry and the order of selection.
 
 use passrelay_dissemination::{PartialView, PeerDescriptor};
 use rand::SeedableRng;
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_peer_expires_by_its_last_contact_with_any_sidecar() {
+fn a_peer_expires_after_its_last_contact_with_any_sidecar() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut view = PartialView::new(address(1));
     let now = Duration::from_secs(60);
--- a/crates/router/dissemination/tests/registry.rs
+++ b/crates/router/dissemination/tests/registry.rs
@@ -1,4 +1,4 @@
-//! The endpoint registry: late heartbeats, expiry and its refutation, reused addresses, digests, restarts.
+//! Tests of the endpoint registry: late heartbeats, expiry and its refutation, reused addresses, digests, restarts.
 
 use passrelay_dissemination::{EndpointRecord, EndpointState, Heartbeat, Registry};
 use std::time::Duration;
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_late_heartbeat_changes_nothing_neither_after_draining_nor_after_removal() {
+fn a_late_heartbeat_has_no_effect_after_draining_or_removal() {
     let mut registry = Registry::new(HEARTBEAT_INTERVAL);
     registry.heartbeat(at(0), &heartbeat("i", 1, EndpointState::Ready, 3));
     assert_eq!(registry.heartbeat(at(10), &heartbeat("i", 1, EndpointState::Draining, 4)).len(), 1);
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn only_changes_of_state_are_broadcast() {
+fn only_state_changes_are_broadcast() {
     let mut registry = Registry::new(HEARTBEAT_INTERVAL);
     assert_eq!(registry.heartbeat(at(0), &heartbeat("i", 1, EndpointState::Ready, 1)).len(), 1);
     for sequence in 2..10 {
@@ -53,12 +53,12 @@
 }
 
 #[test]
-fn an_endpoint_without_heartbeats_is_expired_until_a_later_one_is_known() {
+fn an_endpoint_without_heartbeats_stays_expired_until_a_later_heartbeat_is_known() {
     let mut first = Registry::new(HEARTBEAT_INTERVAL);
     let mut second = Registry::new(HEARTBEAT_INTERVAL);
     let changed = first.heartbeat(at(0), &heartbeat("i", 1, EndpointState::Ready, 1));
     second.merge(at(1), changed);
-    // The endpoint goes on at the second sidecar, and the broadcast of that is lost.
+    // The endpoint continues its heartbeats at the second sidecar, whose broadcast is lost.
     second.heartbeat(at(1_200), &heartbeat("i", 1, EndpointState::Ready, 2));
     let expired = first.expire(at(5_000));
     assert_eq!(expired[0].state, EndpointState::Expired);
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn an_address_belongs_to_the_endpoint_that_registered_it_last() {
+fn an_address_belongs_to_the_endpoint_that_registered_last() {
     let mut registry = Registry::new(HEARTBEAT_INTERVAL);
     registry.heartbeat(at(0), &heartbeat("old", 1, EndpointState::Ready, 1));
     let changed = registry.heartbeat(at(10), &heartbeat("new", 1, EndpointState::Ready, 1));
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn digests_find_what_a_broadcast_missed() {
+fn digests_reveal_records_that_a_broadcast_missed() {
     let mut first = Registry::new(HEARTBEAT_INTERVAL);
     let mut second = Registry::new(HEARTBEAT_INTERVAL);
     for number in 0..20 {
