--- a/crates/router/node/src/background_tasks.rs
+++ b/crates/router/node/src/background_tasks.rs
@@ -16,17 +16,17 @@
 
 /// Minimum time without contact to the primary after which another is elected.
 const ELECTION_TIMEOUT: Duration = Duration::from_millis(320);
-/// Lower bound of the pause between the coordinator's timers, so that a timer that stays due can't take the
+/// Minimum delay between ticks of the coordinator, so that a timer that stays due cannot monopolize the
 /// processor.
 const MIN_TICK_INTERVAL: Duration = Duration::from_millis(5);
-/// Interval of quota requests ahead of demand.
+/// Interval of quota requests, which are sent ahead of demand.
 const QUOTA_REQUEST_INTERVAL: Duration = Duration::from_millis(100);
-/// Interval of reports to the controller of roll-outs; shares live about three times as long.
+/// Interval of reports to the rollout controller. Traffic shares are valid for about three times as long.
 const ROLLOUT_REPORT_INTERVAL: Duration = Duration::from_millis(400);
-/// Interval of the log lines with the status.
+/// Interval at which the status is logged.
 const STATUS_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Starts the loop that takes the storage thread's events.
+/// Starts the loop that processes the events of the storage thread.
 pub fn start_storage_events(
     tasks: &BackgroundTasks,
     driver: &Rc<CoordinatorDriver>,
@@ -49,7 +49,7 @@
     });
 }
 
-/// Starts all loops that drive the coordinator but for the storage events.
+/// Starts all loops that drive the coordinator, except the one for storage events.
 pub fn start(tasks: &BackgroundTasks, driver: &Rc<CoordinatorDriver>, transport: &Rc<Transport>) {
     start_receivers(tasks, driver, transport);
     let ticking = driver.clone();
@@ -85,7 +85,7 @@
     tasks.spawn_periodic(
         "status_log",
         || STATUS_LOG_INTERVAL,
-        // JSON after the event's name, not fields.
+        // The status follows the event name as JSON rather than as key-value fields.
         move || log::info!("event=status {}", status.status()),
     );
 }
@@ -106,7 +106,7 @@
     });
 }
 
-/// Accepts the connections that bring one large frame each.
+/// Accepts connections that each carry one large frame.
 async fn accept_frames(driver: Rc<CoordinatorDriver>, transport: Rc<Transport>, spawner: Spawner) {
     loop {
         let stream = transport.accept().await;
@@ -121,7 +121,7 @@
     }
 }
 
-/// The store is open: from now on this machine takes part in replication.
+/// Attaches the replica once the store is open; from then on this machine takes part in replication.
 fn attach_replica(driver: &CoordinatorDriver, settings: &CurrentSettings, opened: StoreContents) {
     let StoreContents { identity: id, bootstrapping, bootstrap_seeds, durable, endpoints, peers } = opened;
     let replica = {
--- a/crates/router/node/src/client_connections.rs
+++ b/crates/router/node/src/client_connections.rs
@@ -1,7 +1,7 @@
-//! Connections of clients: which are open, what each is doing, and since when.
+//! Tracks the open client connections, the phase of each and when the phase began.
 //!
-//! Idle connections and slow heads are closed after a timeout; a request in flight is bounded by its own
-//! deadline.
+//! Connections that are idle or receive a request head too slowly are closed after a timeout. A request in
+//! flight is bounded by its own deadline.
 
 use smol::channel::{Receiver, Sender};
 use std::cell::{Cell, RefCell};
@@ -9,63 +9,63 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Commands that a connection's queue holds: one to finish and one to close. Further ones repeat these and
-/// are dropped.
+/// Capacity of a connection's command queue: one command to finish and one to close. Further commands would
+/// only repeat these and are dropped.
 const MAX_PENDING_COMMANDS: usize = 2;
 
 /// A command to the task of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionCommand {
-    /// Close once the request in flight has its response.
+    /// Close once the response to the request in flight is complete.
     Finish,
-    /// Close now.
+    /// Close immediately, unless a request is in flight.
     Close,
 }
 
-/// How long a connection may stay in the phases that depend on the client.
+/// How long a connection may stay in each phase that depends on the client.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionTimeouts {
-    /// From the first byte of a head to its last.
+    /// Maximum time from the first to the last byte of a request head.
     pub header: Duration,
-    /// Without any byte of a request.
+    /// Maximum time without receiving any byte of a request.
     pub idle: Duration,
 }
 
 #[derive(Clone, Copy, Debug)]
 enum Phase {
-    /// No request since this time.
+    /// No request has been in progress since this time.
     Idle(Duration),
-    /// A head is being received since this time.
+    /// A request head has been arriving since this time.
     Header(Duration),
     /// A request is being served.
     Busy,
 }
 
-/// One connection, shared by its socket, its requests and the sweep.
+/// State of a connection, shared by its socket, its requests and the timeout sweep.
 pub struct ClientConnection {
     phase: Cell<Phase>,
     commands: Sender<ConnectionCommand>,
 }
 
 impl ClientConnection {
-    /// Bytes have arrived.
+    /// Records the arrival of bytes, which starts a request head if the connection was idle.
     pub fn bytes_received(&self, now: Duration) {
         if let Phase::Idle(_) = self.phase.get() {
             self.phase.set(Phase::Header(now));
         }
     }
 
-    /// A complete head has been read.
+    /// Records that a complete request head has been read.
     pub fn request_started(&self) {
         self.phase.set(Phase::Busy);
     }
 
-    /// The response has been written, or given up.
+    /// Records that the response has been written or abandoned.
     pub fn request_finished(&self, now: Duration) {
         self.phase.set(Phase::Idle(now));
     }
 
-    /// Whether a request is being served.
+    /// Returns whether a request is being served.
     pub fn is_busy(&self) -> bool {
         matches!(self.phase.get(), Phase::Busy)
     }
@@ -79,17 +79,17 @@
     }
 }
 
-/// A connection that has just been opened.
+/// A newly registered connection.
 pub struct OpenedConnection {
-    /// Identifies it among the open ones.
+    /// Identifier of the connection, for [`ClientConnections::closed`].
     pub id: u64,
-    /// The connection.
+    /// State of the connection.
     pub connection: Rc<ClientConnection>,
-    /// Commands to the task that serves it.
+    /// Commands to the task that serves the connection.
     pub commands: Receiver<ConnectionCommand>,
 }
 
-/// All open connections.
+/// All open client connections.
 #[derive(Default)]
 pub struct ClientConnections {
     open: RefCell<HashMap<u64, Rc<ClientConnection>>>,
@@ -97,7 +97,7 @@
 }
 
 impl ClientConnections {
-    /// Registers a connection.
+    /// Registers a new connection.
     pub fn open(&self, now: Duration) -> OpenedConnection {
         let (commands, received) = smol::channel::bounded(MAX_PENDING_COMMANDS);
         let connection = Rc::new(ClientConnection { phase: Cell::new(Phase::Idle(now)), commands });
@@ -107,29 +107,29 @@
         OpenedConnection { id, connection, commands: received }
     }
 
-    /// A connection has been closed.
+    /// Removes a connection that has been closed.
     pub fn closed(&self, id: u64) {
         self.open.borrow_mut().remove(&id);
     }
 
-    /// Number of open connections.
+    /// Returns the number of open connections.
     pub fn len(&self) -> usize {
         self.open.borrow().len()
     }
 
-    /// Whether none is open.
+    /// Returns whether no connection is open.
     pub fn is_empty(&self) -> bool {
         self.open.borrow().is_empty()
     }
 
-    /// Has all connections close once their request in flight has its response.
+    /// Requests every connection to close once the response to its request in flight is complete.
     pub fn finish_all(&self) {
         for connection in self.open.borrow().values() {
             let _ = connection.commands.try_send(ConnectionCommand::Finish);
         }
     }
 
-    /// Closes the connections whose timeout has passed.
+    /// Requests the connections whose timeout has expired to close.
     pub fn sweep(&self, now: Duration, timeouts: ConnectionTimeouts) {
         for connection in self.open.borrow().values() {
             if connection.is_expired(now, timeouts) {
--- a/crates/router/node/src/client_listener.rs
+++ b/crates/router/node/src/client_listener.rs
@@ -1,4 +1,4 @@
-//! Clients' connections: accepts them, serves requests on them and ends them.
+//! Accepts client connections, serves requests on them and closes them.
 
 use crate::client_connections::{ClientConnection, ConnectionCommand, ConnectionTimeouts};
 use crate::listener::accept_all;
@@ -22,21 +22,21 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-/// Interval of the check for connections that have been idle for too long.
+/// Interval of the check for connections whose timeout has expired.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
-/// Minimum size of a connection's buffer that the HTTP library accepts, in bytes.
+/// Minimum buffer size of a connection that the HTTP library accepts, in bytes.
 const MIN_BUFFER_BYTES: usize = 8_192;
-/// Maximum size of a head while there is no configuration.
+/// Maximum size of a request head while there is no configuration, in bytes.
 const DEFAULT_MAX_HEADER_BYTES: usize = 16 * 1024;
-/// Timeouts while there is no configuration.
+/// Connection timeouts while there is no configuration.
 const DEFAULT_TIMEOUTS: ConnectionTimeouts =
     ConnectionTimeouts { header: Duration::from_secs(3), idle: Duration::from_secs(15) };
 
-/// Opens the clients' port, if this process has one.
+/// Opens the port for clients and starts serving it, if `address` is given.
 ///
 /// # Errors
 ///
-/// Returns the operating system's error where the port can't be opened.
+/// Returns the operating system's error if the port cannot be opened.
 pub async fn start(
     tasks: &BackgroundTasks,
     context: &Rc<RequestContext>,
@@ -52,7 +52,7 @@
     Ok(())
 }
 
-/// Closes connections, of clients and to endpoints, that have been idle for too long.
+/// Closes timed-out client connections and idle connections to endpoints.
 fn sweep(context: &RequestContext) {
     let snapshot = context.data_plane.configuration.snapshot();
     let timeouts = snapshot.map_or(DEFAULT_TIMEOUTS, |snapshot| {
@@ -95,8 +95,8 @@
         };
         match command {
             Some(ConnectionCommand::Finish) => serving.as_mut().graceful_shutdown(),
-            // A request may have come between the command and now: it is served, and a later sweep closes the
-            // connection.
+            // A request may have arrived since the command was sent. It is served, and a later sweep closes
+            // the connection.
             Some(ConnectionCommand::Close) if connection.is_busy() => {}
             Some(ConnectionCommand::Close) | None => break,
         }
@@ -117,7 +117,7 @@
     Ok(response.map(|body| -> Body { Box::pin(TrackedBody { body, connection, context }) }))
 }
 
-/// A client's socket; notifies the connection when bytes arrive.
+/// A client socket that notifies its connection when bytes arrive.
 struct TrackedStream {
     stream: TcpStream,
     connection: Rc<ClientConnection>,
@@ -160,7 +160,7 @@
     }
 }
 
-/// The body of a response; notifies the connection when it has been written or given up.
+/// A response body that notifies its connection once it has been written or abandoned.
 struct TrackedBody {
     body: Body,
     connection: Rc<ClientConnection>,
--- a/crates/router/node/src/clock.rs
+++ b/crates/router/node/src/clock.rs
@@ -1,20 +1,20 @@
-//! The monotonic clock of a process: all bounds inside it are durations since its start.
+//! The monotonic clock of the process. All points in time within the process are durations since its start.
 
 use std::time::{Duration, Instant};
 
-/// Monotonic time since the process started.
+/// A clock that measures the monotonic time since the process started.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     started: Instant,
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Creates a clock that starts now.
     pub fn start() -> Self {
         Clock { started: Instant::now() }
     }
 
-    /// Time since the start.
+    /// Returns the time since the start.
     pub fn now(&self) -> Duration {
         self.started.elapsed()
     }
--- a/crates/router/node/src/control_api.rs
+++ b/crates/router/node/src/control_api.rs
@@ -1,5 +1,5 @@
-//! The HTTP interface for endpoints and operators: registration, configuration, status; and the readiness
-//! probe.
+//! The HTTP API for endpoints and operators: registration, configuration, rollouts and status, and the
+//! readiness probe.
 
 use crate::coordinator_driver::CoordinatorDriver;
 use crate::endpoint_registration::EndpointRegistration;
@@ -27,35 +27,34 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Maximum length of a heartbeat's body.
+/// Maximum length of a heartbeat's body, in bytes.
 const MAX_HEARTBEAT_BYTES: usize = 16 * 1024;
-/// Maximum length of an endpoint's version, in bytes: it is replicated.
+/// Maximum length of an endpoint's version, in bytes. Bounded because versions are replicated.
 const MAX_VERSION_BYTES: usize = 256;
-/// Maximum length of a configuration change's body.
+/// Maximum length of a configuration change's body, in bytes.
 const MAX_CONFIGURATION_CHANGE_BYTES: usize = 16 << 20;
-/// A connection takes no further call this long after it was opened.
+/// Time after which a connection accepts no further call.
 const CONNECTION_LIFETIME: Duration = Duration::from_secs(60);
-/// A call that is in flight at the end of its connection's lifetime has this long to end.
+/// Time that a call in flight at the end of its connection's lifetime has to complete.
 const LAST_CALL_TIMEOUT: Duration = Duration::from_secs(15);
+/// Maximum length of a rollout order's body, in bytes.
+const MAX_ROLLOUT_ORDER_BYTES: usize = 64 * 1024;
 
-/// Maximum length of an order's body.
-const MAX_ORDER_BYTES: usize = 64 * 1024;
-
-/// What the interface serves.
+/// Components that serve the calls of the control API.
 pub struct ControlApi {
-    /// Takes endpoints' calls.
+    /// Processes calls of endpoints.
     pub registration: EndpointRegistration,
     /// Answers the readiness probe.
     pub readiness: Rc<Readiness>,
-    /// Takes operators' calls.
+    /// Processes calls of operators.
     pub driver: Rc<CoordinatorDriver>,
 }
 
-/// Opens the ports for readiness and control; both serve the same.
+/// Opens the ports for readiness probes and control, as far as they are configured. Both serve the same API.
 ///
 /// # Errors
 ///
-/// Returns the operating system's error where a port can't be opened.
+/// Returns the operating system's error if a port cannot be opened.
 pub async fn start(
     tasks: &BackgroundTasks,
     api: &Rc<ControlApi>,
@@ -83,16 +82,16 @@
     let connection =
         hyper::server::conn::http1::Builder::new().serve_connection(FuturesIo::new(stream), handler);
     let mut connection = pin!(connection);
-    if ends_within(CONNECTION_LIFETIME, connection.as_mut()).await {
+    if completes_within(CONNECTION_LIFETIME, connection.as_mut()).await {
         return;
     }
     connection.as_mut().graceful_shutdown();
-    ends_within(LAST_CALL_TIMEOUT, connection).await;
+    completes_within(LAST_CALL_TIMEOUT, connection).await;
 }
 
-/// Whether a future ends within some time.
-async fn ends_within(time: Duration, future: impl Future) -> bool {
-    let ended = async {
+/// Returns whether a future completes within `time`.
+async fn completes_within(time: Duration, future: impl Future) -> bool {
+    let completed = async {
         future.await;
         true
     };
@@ -100,7 +99,7 @@
         Timer::after(time).await;
         false
     };
-    smol::future::or(ended, timed_out).await
+    smol::future::or(completed, timed_out).await
 }
 
 async fn respond(api: &ControlApi, request: Request<Incoming>) -> Response<Body> {
@@ -145,7 +144,7 @@
 }
 
 async fn order_rollout(api: &ControlApi, request: Request<Incoming>) -> Response<Body> {
-    let Ok(body) = Limited::new(request.into_body(), MAX_ORDER_BYTES).collect().await else {
+    let Ok(body) = Limited::new(request.into_body(), MAX_ROLLOUT_ORDER_BYTES).collect().await else {
         return error(StatusCode::PAYLOAD_TOO_LARGE, "the order is too long, or was cut off");
     };
     match RolloutOrder::read(&body.to_bytes()) {
@@ -154,7 +153,7 @@
     }
 }
 
-/// The response to an endpoint.
+/// Returns the response to an endpoint's call.
 fn acknowledgement(acknowledged: bool) -> Response<Body> {
     if acknowledged {
         json(StatusCode::OK, "{}".to_owned())
@@ -217,7 +216,7 @@
     }
 }
 
-/// The heartbeat of a JSON body; none where a required key is missing or has no valid value.
+/// Parses a heartbeat from a JSON body. Returns `None` if a required key is missing or a value is invalid.
 fn parse_heartbeat(id: &str, body: &Value) -> Option<Heartbeat> {
     let text = |name: &str| body.get(name).and_then(Value::as_str);
     let integer = |name: &str| body.get(name).and_then(Value::as_u64);
@@ -241,7 +240,7 @@
     })
 }
 
-/// The version that an endpoint reports, empty where it reports none; `None` where it is no version.
+/// Parses the version that an endpoint reports, empty if it reports none. Returns `None` if the value is invalid.
 fn parse_version(value: Option<&Value>) -> Option<String> {
     match value {
         None | Some(Value::Null) => Some(String::new()),
--- a/crates/router/node/src/control_client.rs
+++ b/crates/router/node/src/control_client.rs
@@ -1,4 +1,4 @@
-//! HTTP client of the operators' command line for the control port of a sidecar.
+//! HTTP client for the control port of a sidecar, used by the operators' command line.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -11,24 +11,24 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Timeout of a call.
+/// Timeout of a call, including the connection.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Why a call has no response.
+/// Error of a call that received no complete response.
 #[derive(Debug, Error)]
 pub enum CallError {
-    /// The connection can't be opened, or the call timed out.
+    /// The connection could not be opened, or the call timed out.
     #[error("{address}: {source}")]
     Connection {
-        /// The sidecar.
+        /// Address of the sidecar's control port.
         address: SocketAddr,
         /// The operating system's error.
         source: std::io::Error,
     },
-    /// The request or the response is not valid HTTP, or the connection broke in between.
+    /// The request or the response is not valid HTTP, or the connection broke during the call.
     #[error("{address}: {source}")]
     Protocol {
-        /// The sidecar.
+        /// Address of the sidecar's control port.
         address: SocketAddr,
         /// The HTTP library's error.
         source: Box<dyn std::error::Error + Send + Sync>,
@@ -38,22 +38,22 @@
 /// A call to a control port.
 #[derive(Clone, Debug)]
 pub struct ControlCall {
-    /// Its method.
+    /// HTTP method.
     pub method: Method,
-    /// Its path.
+    /// Path of the resource, such as `/config`.
     pub path: String,
-    /// The generation that a change is based on.
+    /// Generation that a change is based on, sent as `If-Match`; `None` for other calls.
     pub if_match: Option<u64>,
-    /// The body, JSON.
+    /// Request body as JSON text; empty for calls without a body.
     pub body: String,
 }
 
 /// The response to a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ControlResponse {
-    /// Its HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// Its body, usually JSON.
+    /// Response body, usually JSON text.
     pub body: String,
 }
 
@@ -61,7 +61,7 @@
 ///
 /// # Errors
 ///
-/// Returns why there is none.
+/// Returns a [`CallError`] if there is no complete response within `CALL_TIMEOUT`.
 pub fn call(address: SocketAddr, call: ControlCall) -> Result<ControlResponse, CallError> {
     let executor = LocalExecutor::new();
     let timeout = async {
@@ -76,10 +76,10 @@
     address: SocketAddr,
     call: ControlCall,
 ) -> Result<ControlResponse, CallError> {
-    let broken = |source| CallError::Connection { address, source };
-    let protocol = |error: hyper::Error| CallError::Protocol { address, source: error.into() };
-    let stream = TcpStream::connect(address).await.map_err(broken)?;
-    let (mut sender, connection) = handshake(FuturesIo::new(stream)).await.map_err(protocol)?;
+    let connection_error = |source| CallError::Connection { address, source };
+    let protocol_error = |error: hyper::Error| CallError::Protocol { address, source: error.into() };
+    let stream = TcpStream::connect(address).await.map_err(connection_error)?;
+    let (mut sender, connection) = handshake(FuturesIo::new(stream)).await.map_err(protocol_error)?;
     executor
         .spawn(async move {
             let _ = connection.await;
@@ -93,8 +93,8 @@
     let request = request
         .body(Full::new(Bytes::from(call.body)))
         .map_err(|error| CallError::Protocol { address, source: error.into() })?;
-    let response = sender.send_request(request).await.map_err(protocol)?;
+    let response = sender.send_request(request).await.map_err(protocol_error)?;
     let status = response.status().as_u16();
-    let body = response.into_body().collect().await.map_err(protocol)?.to_bytes();
+    let body = response.into_body().collect().await.map_err(protocol_error)?.to_bytes();
     Ok(ControlResponse { status, body: String::from_utf8_lossy(&body).into_owned() })
 }
--- a/crates/router/node/src/coordinator_driver.rs
+++ b/crates/router/node/src/coordinator_driver.rs
@@ -1,8 +1,8 @@
-//! Drives the coordinator of the control plane: hands it events and the time, and applies the actions that it
-//! returns.
+//! Drives the coordinator of the control plane: passes events and the time to it and applies the actions that
+//! it emits.
 //!
-//! The coordinator decides without I/O. This is the only place that mutates it, so that every change is
-//! followed, before any other task runs, by its actions and by the update of what the request path reads:
+//! The coordinator performs no I/O. Only this module mutates it, so that before any other task runs, every
+//! change is followed by the resulting actions and by an update of the state that the request path reads:
 //! endpoints and freshness.
 
 use crate::clock::Clock;
@@ -26,27 +26,27 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// An announcement on its way to the core.
-pub struct Confirmation {
-    /// Which announcement.
+/// A confirmation by the core that is awaited.
+pub struct PendingConfirmation {
+    /// Identifier of the announcement to confirm.
     pub announcement: AnnouncementId,
-    /// Notified once the core has confirmed it.
+    /// Notified once the core has confirmed the announcement.
     pub confirmed: Receiver<()>,
 }
 
-/// What the coordinator's actions are applied to.
+/// Components that the coordinator's actions are applied to.
 pub struct ActionTargets {
     /// Sends messages to other processes.
     pub transport: Rc<Transport>,
-    /// Writes the replica's state; none on a machine without a vote.
+    /// Writes the replica's state; `None` on a machine without a vote or without a disk.
     pub storage: Option<Storage>,
-    /// Takes configurations, grants and endpoints.
+    /// Receives configurations, grants and endpoints.
     pub data_plane: Rc<DataPlane>,
-    /// Takes the time at which the configuration was last known to be current.
+    /// Receives the time at which the configuration was last known to be current.
     pub freshness: Rc<Freshness>,
 }
 
-/// The coordinator, and what is pending at it.
+/// The coordinator with its pending calls and announcements.
 pub struct CoordinatorDriver {
     clock: Clock,
     coordinator: RefCell<Coordinator>,
@@ -56,15 +56,15 @@
     load_reporter: LoadReporter,
     endpoint_persistence: EndpointPersistence,
     peer_persistence: PeerPersistence,
-    /// Revision of the endpoint registry that the balancer has.
+    /// Revision of the endpoint registry that the balancer was last updated with.
     balancer_revision: Cell<u64>,
     held_back_versions: HeldBackVersions,
     /// Whether this process was the established primary after the last step.
-    leads: Cell<bool>,
+    is_primary: Cell<bool>,
 }
 
 impl CoordinatorDriver {
-    /// Drives a coordinator.
+    /// Creates a driver for a coordinator.
     pub fn new(clock: Clock, coordinator: Coordinator, targets: ActionTargets) -> Self {
         let driver = CoordinatorDriver {
             clock,
@@ -77,13 +77,13 @@
             peer_persistence: PeerPersistence::default(),
             balancer_revision: Cell::new(0),
             held_back_versions: HeldBackVersions::default(),
-            leads: Cell::new(false),
+            is_primary: Cell::new(false),
         };
         driver.publish_freshness();
         driver
     }
 
-    /// Runs one event at the coordinator, advances its timers and applies its actions.
+    /// Passes one event to the coordinator, advances its timers and applies the resulting actions.
     pub fn step<T>(&self, event: impl FnOnce(&mut Coordinator, Duration, &mut Vec<Action>) -> T) -> T {
         let mut actions = Vec::new();
         let now = self.clock.now();
@@ -102,46 +102,46 @@
         result
     }
 
-    /// A message from another process.
+    /// Processes a message from another process.
     pub fn receive(&self, message: ReceivedMessage) {
         let ReceivedMessage { from, envelope } = message;
         self.step(|coordinator, now, actions| coordinator.receive(now, from, envelope, actions));
     }
 
-    /// Advances the coordinator's timers. Returns the time until the next call is due.
+    /// Advances the coordinator's timers. Returns the time until this method is next due.
     pub fn tick(&self) -> Duration {
         let now = self.clock.now();
         let due = self.step(|coordinator, now, actions| coordinator.tick(now, actions));
         due.saturating_sub(now)
     }
 
-    /// Runs an operator's call; the answer comes through the channel.
+    /// Starts an operator's call. The returned channel receives the answer.
     pub fn operator_call(&self, request: OperatorRequest) -> Receiver<OperatorAnswer> {
         let (call, answer) = self.operator_calls.register();
         self.step(|coordinator, now, actions| coordinator.operator_call(now, call, request, actions));
         answer
     }
 
-    /// Has the core confirm that it knows the state of an endpoint as it is known here.
-    pub fn announce(&self, endpoint: &str) -> Confirmation {
-        // Registered inside the step: the coordinator's tick may confirm at once.
+    /// Requests the core to confirm that it knows the local state of an endpoint.
+    pub fn announce(&self, endpoint: &str) -> PendingConfirmation {
+        // Registered within the step, because the coordinator's tick may confirm immediately.
         self.step(|coordinator, now, _| {
             let announcement = coordinator.announce(now, endpoint);
-            Confirmation { announcement, confirmed: self.announcements.register(announcement) }
+            PendingConfirmation { announcement, confirmed: self.announcements.register(announcement) }
         })
     }
 
-    /// Nobody waits for this announcement any more.
+    /// Drops an announcement whose confirmation is no longer awaited.
     pub fn forget_announcement(&self, announcement: &AnnouncementId) {
         self.announcements.remove(announcement);
     }
 
-    /// Whether the endpoint registry has any record of an endpoint, also of one that is gone.
+    /// Returns whether the endpoint registry holds a record of an endpoint, including one that has been removed.
     pub fn knows_endpoint(&self, id: &str) -> bool {
         self.coordinator.borrow().gossip().registry().contains(id)
     }
 
-    /// Requests the tokens that are wanted now from the quota's grantor.
+    /// Requests the currently wanted tokens from the quota's grantor.
     pub fn request_quota(&self) {
         if let Some(request) = self.targets.data_plane.quota.next_request(self.clock.now()) {
             self.step(|coordinator, now, actions| coordinator.request_tokens(now, request, actions));
@@ -156,7 +156,7 @@
         });
     }
 
-    /// Reports the outcomes of the roll-outs that run to their controller, and asks for shares.
+    /// Reports the outcomes of running rollouts to the rollout controller and requests traffic shares.
     pub fn report_rollouts(&self) {
         let data_plane = &self.targets.data_plane;
         if !data_plane.rollout_shares.borrow().is_active() {
@@ -174,12 +174,12 @@
         });
     }
 
-    /// Time until the next load report is due.
+    /// Returns the time until the next load report is due.
     pub fn load_report_interval(&self) -> Duration {
         self.load_reporter.interval()
     }
 
-    /// Persists the endpoints, if they have changed since the last time and this machine has storage.
+    /// Persists the endpoints if they have changed since the last call and this machine has storage.
     pub fn persist_endpoints(&self) {
         if let Some(storage) = &self.targets.storage {
             let coordinator = self.coordinator.borrow();
@@ -188,7 +188,7 @@
         }
     }
 
-    /// Persists the addresses of known processes, if they have changed since the last time and this machine has storage.
+    /// Persists the addresses of known peers if they have changed since the last call and this machine has storage.
     pub fn persist_peers(&self) {
         if let Some(storage) = &self.targets.storage {
             let peers = self.coordinator.borrow().gossip().known_peers();
@@ -196,16 +196,16 @@
         }
     }
 
-    /// Takes other seeds.
+    /// Replaces the seeds.
     pub fn set_seeds(&self, seeds: Vec<SocketAddrV4>) {
         self.coordinator.borrow_mut().set_seeds(seeds);
     }
 
-    /// Status of the control plane as JSON, for operators.
+    /// Returns the status of the control plane as JSON, for operators.
     pub fn status(&self) -> String {
         let status = self.coordinator.borrow().status(self.clock.now());
         let mut status = serde_json::to_value(&status).unwrap_or_default();
-        status["frames_dropped"] = self.targets.transport.dropped().into();
+        status["frames_dropped"] = self.targets.transport.dropped_frames().into();
         let data_plane = &self.targets.data_plane;
         status["requests_sent"] = serde_json::json!(data_plane.balancer.borrow().request_counts());
         status["denials"] = data_plane.denials.proven.get().into();
@@ -239,13 +239,13 @@
         }
     }
 
-    /// Logs when this process becomes the established primary, or is it no longer.
+    /// Logs when this process becomes the established primary or ceases to be it.
     fn log_leadership(&self) {
         let coordinator = self.coordinator.borrow();
         let Some(replica) = coordinator.replica() else { return };
-        let leads = replica.is_established();
-        if self.leads.replace(leads) != leads {
-            log_event!(info, "leadership", leads = leads, term = replica.state().version.term);
+        let is_primary = replica.is_established();
+        if self.is_primary.replace(is_primary) != is_primary {
+            log_event!(info, "leadership", leads = is_primary, term = replica.state().version.term);
         }
     }
 
--- a/crates/router/node/src/data_plane.rs
+++ b/crates/router/node/src/data_plane.rs
@@ -1,7 +1,7 @@
-//! State that requests are routed by: configuration, endpoints, quota shares, retry budget, traffic splits.
+//! State used to route requests: configuration, endpoints, quota shares, retry budget, traffic splits.
 //!
-//! The coordinator driver updates it, the request path reads and books in it. It knows neither sockets nor
-//! messages.
+//! The coordinator driver updates the state; the request path reads it and accounts for requests in it. This
+//! module uses neither sockets nor messages.
 
 use crate::configuration_snapshot::{ConfigurationSnapshot, CurrentConfiguration};
 use crate::denials::Denials;
@@ -24,20 +24,20 @@
     pub configuration: CurrentConfiguration,
     /// Endpoints and their load as seen by this process.
     pub balancer: RefCell<Balancer>,
-    /// Retries that may still be sent, by service.
+    /// Number of retries that may still be sent, by service.
     pub retry_budget: RefCell<RetryBudget>,
     /// Weighted round-robin state of each route with a traffic split.
     pub traffic_splits: RefCell<TrafficSplits>,
-    /// Shares of requests for versions that are rolled out.
+    /// Shares of requests for the target versions of rollouts.
     pub rollout_shares: RefCell<RolloutShares>,
     /// Quota shares granted to this process.
     pub quota: QuotaClient,
-    /// Requests denied so far.
+    /// Number of requests denied since the start of the process.
     pub denials: Denials,
 }
 
 impl DataPlane {
-    /// Without configuration and endpoints.
+    /// Creates the state without a configuration and without endpoints.
     pub fn new(zone: &str, retry_budget_ratio: f64, split_seed: u64) -> Self {
         DataPlane {
             configuration: CurrentConfiguration::default(),
@@ -51,7 +51,8 @@
     }
 
     /// Puts a committed configuration in force and drops the state of tenants, services and routes that it no
-    /// longer has. One that this version can't read is logged and ignored: the one before stays in force.
+    /// longer contains. A configuration that this version cannot read is logged and ignored; the previous one
+    /// stays in force.
     pub fn apply_configuration(&self, now: Duration, committed: &CommittedConfiguration) {
         let document = parse_document(committed.document.as_bytes());
         match document.and_then(|document| Configuration::read(&document)) {
@@ -74,12 +75,12 @@
         }
     }
 
-    /// Logs the roll-outs whose phase is another than in the configuration before.
+    /// Logs the rollouts whose phase differs from that in the previous configuration.
     fn log_rollouts(&self, committed: &CommittedConfiguration) {
-        let before = self.configuration.snapshot();
-        for (service, of_service) in committed.rollouts.iter() {
-            for rollout in of_service.all() {
-                let known = before.as_ref().and_then(|snapshot| snapshot.rollouts.find(rollout.id));
+        let previous = self.configuration.snapshot();
+        for (service, service_rollouts) in committed.rollouts.iter() {
+            for rollout in service_rollouts.all() {
+                let known = previous.as_ref().and_then(|snapshot| snapshot.rollouts.find(rollout.id));
                 if known.map(|known| known.phase) != Some(rollout.phase) {
                     log_event!(
                         info,
@@ -105,7 +106,8 @@
     }
 }
 
-/// The recorded versions, but for those that the configuration sets itself: a change binds before it is recorded.
+/// Returns the recorded versions, overridden by the versions that the configuration sets itself. A version set
+/// by a configuration change takes effect before it is recorded.
 fn versions_in_force(committed: &CommittedConfiguration, configuration: &Configuration) -> ServiceVersions {
     let mut versions = committed.service_versions.clone();
     for service in &configuration.services {
--- a/crates/router/node/src/denials.rs
+++ b/crates/router/node/src/denials.rs
@@ -1,15 +1,16 @@
-//! How many requests the configuration denied, by whether it was known to be current at that moment.
+//! Counts the requests denied by the configuration, by whether it was known to be current at that moment.
 //!
-//! Only then are they answered with 401 or 404, which clients don't retry; the others get 503 and come again.
+//! Only if it was is the response 401 or 404, which clients do not retry. Otherwise the response is 503, so that
+//! clients retry.
 
 use std::cell::Cell;
 
-/// Counters since the start of the process.
+/// Denied requests since the start of the process.
 #[derive(Debug, Default)]
 pub struct Denials {
-    /// By a configuration that was proven current within the bound for changes to be in force.
+    /// Requests denied by a configuration proven to be current within the bound for applying changes.
     pub proven: Cell<u64>,
-    /// By one whose last proof was older.
+    /// Requests denied by a configuration whose last proof was older than that.
     pub unproven: Cell<u64>,
 }
 
--- a/crates/router/node/src/endpoint_announcements.rs
+++ b/crates/router/node/src/endpoint_announcements.rs
@@ -1,32 +1,32 @@
-//! Announcements of endpoints that wait until the core has confirmed them.
+//! Endpoint announcements that await confirmation by the core.
 
 use passrelay_dissemination::AnnouncementId;
 use smol::channel::{Receiver, Sender};
 use std::cell::RefCell;
 use std::collections::HashMap;
 
-/// Announcements that the core has not confirmed yet.
+/// The announcements that the core has not confirmed yet, each with the channel to notify.
 #[derive(Default)]
 pub struct PendingAnnouncements {
     pending: RefCell<HashMap<AnnouncementId, Sender<()>>>,
 }
 
 impl PendingAnnouncements {
-    /// Waits for the confirmation of an announcement; it comes through the channel.
+    /// Registers an announcement. The returned channel is notified of its confirmation.
     pub fn register(&self, announcement: AnnouncementId) -> Receiver<()> {
         let (confirmed, confirmation) = smol::channel::bounded(1);
         self.pending.borrow_mut().insert(announcement, confirmed);
         confirmation
     }
 
-    /// The core has confirmed an announcement.
+    /// Notifies the waiter of an announcement that the core has confirmed.
     pub fn confirm(&self, announcement: &AnnouncementId) {
-        if let Some(waiting) = self.pending.borrow_mut().remove(announcement) {
-            let _ = waiting.try_send(());
+        if let Some(confirmed) = self.pending.borrow_mut().remove(announcement) {
+            let _ = confirmed.try_send(());
         }
     }
 
-    /// Nobody waits for this announcement any more.
+    /// Drops an announcement whose confirmation is no longer awaited.
     pub fn remove(&self, announcement: &AnnouncementId) {
         self.pending.borrow_mut().remove(announcement);
     }
--- a/crates/router/node/src/endpoint_persistence.rs
+++ b/crates/router/node/src/endpoint_persistence.rs
@@ -1,26 +1,24 @@
-//! Persistence of the endpoint registry, so that a restarted machine knows endpoints before their next
-//! heartbeat.
+//! Persists the endpoint registry, so that a restarted machine knows endpoints before their next heartbeat.
 //!
-//! Best effort: nobody waits for the write, and no decision rests on what was stored.
+//! Persistence is best effort: no task waits for the write, and no decision depends on the stored endpoints.
 
 use crate::storage::Storage;
 use passrelay_dissemination::{EndpointRecord, EndpointState};
 use std::cell::Cell;
 use std::time::Duration;
 
-/// Interval of the check whether the registry differs from what is stored; bounds the write rate.
+/// Interval at which the registry is compared with the stored revision; bounds the write rate.
 pub const ENDPOINT_PERSISTENCE_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Which revision of the registry is stored.
+/// Tracks the revision of the registry that is stored.
 #[derive(Default)]
 pub struct EndpointPersistence {
-    /// Revision of the registry that was last handed to the storage.
+    /// Revision of the registry that was last passed to the storage.
     persisted_revision: Cell<u64>,
 }
 
 impl EndpointPersistence {
-    /// Hands the records of endpoints that have not expired to the storage, if the registry has changed since
-    /// the last time.
+    /// Passes the records of live endpoints to the storage if the registry has changed since the last call.
     pub fn persist_if_changed<'a>(
         &self,
         storage: &Storage,
@@ -31,7 +29,7 @@
             return;
         }
         self.persisted_revision.set(revision);
-        let alive = records.filter(|record| record.state < EndpointState::Expired);
-        storage.persist_endpoints(alive.cloned().collect());
+        let live = records.filter(|record| record.state < EndpointState::Expired);
+        storage.persist_endpoints(live.cloned().collect());
     }
 }
--- a/crates/router/node/src/endpoint_registration.rs
+++ b/crates/router/node/src/endpoint_registration.rs
@@ -1,7 +1,7 @@
-//! Registration of endpoints: heartbeats and planned deregistration.
+//! Registration of endpoints by heartbeats, and their deregistration.
 //!
-//! That an endpoint drains binds all sidecars once it is acknowledged, so the core has to know of it first.
-//! An endpoint without an acknowledgement repeats its call at another sidecar.
+//! Once the draining of an endpoint is acknowledged, no sidecar may send it new requests, so the core has to
+//! know of it first. An endpoint without an acknowledgement repeats its call at another sidecar.
 
 use crate::coordinator_driver::CoordinatorDriver;
 use passrelay_dissemination::{EndpointState, Heartbeat};
@@ -9,36 +9,36 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Timeout for the core to confirm that an endpoint drains or is gone; then 503. Endpoints time out after 1
-/// s, so this stays below it.
+/// Timeout for the core to confirm that an endpoint is draining or removed, after which the response is 503.
+/// Must be below the endpoints' own timeout of 1 s.
 const DRAIN_CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Takes endpoints' calls.
+/// Processes the calls of endpoints.
 pub struct EndpointRegistration {
     driver: Rc<CoordinatorDriver>,
 }
 
 impl EndpointRegistration {
-    /// Registers at the coordinator.
+    /// Creates a registration that reports to the coordinator through `driver`.
     pub fn new(driver: Rc<CoordinatorDriver>) -> Self {
         EndpointRegistration { driver }
     }
 
-    /// A heartbeat of an endpoint. Returns whether it may be acknowledged: at once, but for one that drains
-    /// only after the core has confirmed it.
+    /// Processes a heartbeat. Returns whether it may be acknowledged: immediately for a ready endpoint, and only
+    /// after confirmation by the core for a draining one.
     pub async fn heartbeat(&self, heartbeat: &Heartbeat) -> bool {
         self.driver.step(|coordinator, now, actions| coordinator.heartbeat(now, heartbeat, actions));
         heartbeat.record.state != EndpointState::Draining || self.is_confirmed(&heartbeat.record.id).await
     }
 
-    /// An endpoint has ended as planned, or is about to. Returns whether that may be acknowledged; not for an
-    /// endpoint that is unknown here, because nobody could be notified of its end.
+    /// Deregisters an endpoint. Returns whether this may be acknowledged. It may not for an endpoint that is
+    /// unknown here, because no other sidecar could be notified of its removal.
     pub async fn deregister(&self, id: &str) -> bool {
         self.driver.step(|coordinator, now, actions| coordinator.deregister(now, id, actions));
         self.driver.knows_endpoint(id) && self.is_confirmed(id).await
     }
 
-    /// Waits until the core has confirmed the endpoint's state as it is known here; false after the timeout.
+    /// Waits until the core has confirmed the local state of an endpoint. Returns false after the timeout.
     async fn is_confirmed(&self, id: &str) -> bool {
         let confirmation = self.driver.announce(id);
         let timeout = async {
--- a/crates/router/node/src/held_back_versions.rs
+++ b/crates/router/node/src/held_back_versions.rs
@@ -1,4 +1,4 @@
-//! Logs when endpoints of a version that is not in service appear, and when there are none left.
+//! Logs when endpoints of a version that is not in service appear and when the last of them disappears.
 
 use crate::configuration_snapshot::ConfigurationSnapshot;
 use crate::logging::log_event;
@@ -7,30 +7,30 @@
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 
-/// A version of a service.
+/// A service together with one of its versions.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ServiceVersion {
     service: String,
     version: String,
 }
 
-/// The versions that are held back, with the number of their ready endpoints.
+/// Tracks the held-back versions: versions with ready endpoints that are not in service.
 #[derive(Default)]
 pub struct HeldBackVersions {
+    /// Number of ready endpoints by held-back version, as of the last update.
     logged: RefCell<BTreeMap<ServiceVersion, usize>>,
-    /// Index of the configuration and revision of the registry that were examined last.
+    /// Index of the configuration and revision of the registry as of the last update.
     examined: Cell<(u64, u64)>,
 }
 
 impl HeldBackVersions {
-    /// Takes the endpoints and the versions in service, and logs which versions are held back now and were not before, and the
-    /// other way round.
+    /// Compares the endpoints with the versions in service, and logs versions that are newly held back or no longer held back.
     pub fn update(&self, snapshot: &ConfigurationSnapshot, registry: &Registry) {
         let examined = (snapshot.index, registry.revision());
         if self.examined.replace(examined) == examined {
             return;
         }
-        let held_back = held_back(&snapshot.service_versions, registry.records());
+        let held_back = count_held_back(&snapshot.service_versions, registry.records());
         let mut logged = self.logged.borrow_mut();
         for (held, endpoints) in held_back.iter().filter(|(held, _)| !logged.contains_key(held)) {
             let ServiceVersion { service, version } = held;
@@ -50,7 +50,8 @@
     }
 }
 
-fn held_back<'a>(
+/// Returns the number of ready endpoints of each version that is not in service.
+fn count_held_back<'a>(
     versions: &ServiceVersions,
     records: impl Iterator<Item = &'a EndpointRecord>,
 ) -> BTreeMap<ServiceVersion, usize> {
--- a/crates/router/node/src/lib.rs
+++ b/crates/router/node/src/lib.rs
@@ -1,21 +1,21 @@
-//! One process of the router fleet: executor, sockets, clock, signals, storage, settings and logs around the
-//! decisions of the other crates. The only crate of the fleet with I/O.
+//! A process of the router fleet: provides executor, sockets, clock, signals, storage, settings and logging for
+//! the logic in the other crates. The only router crate that performs I/O.
 //!
-//! Who owns what, from the bottom up; a module uses only those above it in this list:
+//! Modules by layer, lowest layer first; a module uses only modules of the same or an earlier row:
 //!
-//! | modules | job |
+//! | modules | responsibility |
 //! |---|---|
-//! | `clock`, `logging`, `tasks`, `settings`, `responses` | what all others use |
+//! | `clock`, `logging`, `tasks`, `settings`, `responses` | utilities used by all other modules |
 //! | `transport`, `storage`, `listener`, `upstream`, `client_connections` | sockets and disk |
-//! | `configuration_snapshot`, `quota_client`, `load_reporter`, `data_plane` | state that requests are routed by |
-//! | `freshness`, `graceful_shutdown`, `readiness` | whether requests may be forwarded |
-//! | `operator_calls`, `endpoint_announcements`, `endpoint_persistence` | what is pending at the coordinator |
-//! | `coordinator_driver`, `endpoint_registration` | events to the coordinator, its actions to all of the above |
-//! | `request_context`, `request`, `client_listener` | the path of clients' requests |
-//! | `control_api`, `signals`, `background_tasks` | all other events |
-//! | `process` | composition and start-up |
+//! | `configuration_snapshot`, `quota_client`, `load_reporter`, `data_plane` | state used to route requests |
+//! | `freshness`, `graceful_shutdown`, `readiness` | decide whether requests may be forwarded |
+//! | `operator_calls`, `endpoint_announcements`, `endpoint_persistence` | calls, announcements and writes pending at the coordinator |
+//! | `coordinator_driver`, `endpoint_registration` | pass events to the coordinator and apply its actions |
+//! | `request_context`, `request`, `client_listener` | serving client requests |
+//! | `control_api`, `signals`, `background_tasks` | all other event sources |
+//! | `process` | composition and startup |
 //!
-//! `control_client` is the operators' side of `control_api`, for the command line.
+//! `control_client` is the client side of `control_api`, used by the command line.
 
 mod background_tasks;
 mod client_connections;
--- a/crates/router/node/src/listener.rs
+++ b/crates/router/node/src/listener.rs
@@ -1,4 +1,4 @@
-//! Accepting connections, the same way on every port that serves HTTP.
+//! Accept loop shared by all ports that serve HTTP.
 
 use crate::logging::{log_event, Quoted};
 use crate::tasks::Spawner;
@@ -7,11 +7,11 @@
 use std::future::Future;
 use std::time::Duration;
 
-/// Pause after the operating system refused a connection, for want of descriptors for instance.
+/// Delay after a failed accept, for example because file descriptors are exhausted.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Accepts connections for ever and serves each in a task of its own, which ends with the connection. `name`
-/// is for the log.
+/// Accepts connections indefinitely and serves each in its own task, which ends with the connection. `name`
+/// identifies the listener in the log.
 pub async fn accept_all<F>(
     spawner: Spawner,
     listener: TcpListener,
--- a/crates/router/node/src/load_reporter.rs
+++ b/crates/router/node/src/load_reporter.rs
@@ -1,7 +1,7 @@
-//! Load reports of this process to the primary, and the totals that come back.
+//! Sends load reports of this process to the primary and applies the totals that it returns.
 //!
-//! A total includes this process's own report; the balancer needs that very report to subtract it. So only
-//! totals that answer the last report are applied.
+//! A total includes this process's own report, which the balancer subtracts. Only totals that respond to the
+//! last report are applied, because only then is the included report known.
 
 use passrelay_control_plane::load::LoadMessage;
 use passrelay_data_plane::balancer::Balancer;
@@ -12,39 +12,39 @@
 
 /// Base interval between load reports.
 const LOAD_REPORT_INTERVAL: Duration = Duration::from_millis(50);
-/// Added to the interval for each reporting sidecar, so that the primary's work stays bounded in a large
+/// Extension of the interval for each reporting sidecar, which bounds the load on the primary in a large
 /// fleet.
 const LOAD_REPORT_INTERVAL_PER_SIDECAR: Duration = Duration::from_millis(2);
 
-/// Load of this process on each endpoint.
+/// A report of the load that this process puts on each endpoint.
 #[derive(Clone, Debug, Default)]
 pub struct LoadReport {
-    /// Sequence number of the report, from 1; totals repeat it.
+    /// Sequence number of the report, starting at 1. The totals echo it.
     pub request_id: u64,
-    /// Load by endpoint.
+    /// Load and outcomes for each endpoint with anything to report.
     pub loads: Vec<EndpointLoad>,
 }
 
-/// Numbers the load reports and applies the totals.
+/// Creates numbered load reports and applies the totals.
 pub struct LoadReporter {
-    /// Last load report sent to the primary; before the first its sequence number is 0.
+    /// Last load report sent to the primary. Its sequence number is 0 before the first report.
     last_load_report: RefCell<LoadReport>,
-    /// Sidecars that report to the primary, at least 1.
+    /// Number of sidecars that report to the primary; at least 1.
     reporting_sidecars: Cell<u32>,
 }
 
 impl LoadReporter {
-    /// No report sent yet.
+    /// Creates a reporter that has not sent a report yet.
     pub fn new() -> Self {
         LoadReporter { last_load_report: RefCell::default(), reporting_sidecars: Cell::new(1) }
     }
 
-    /// Time until the next report is due.
+    /// Returns the time until the next report is due.
     pub fn interval(&self) -> Duration {
         LOAD_REPORT_INTERVAL + LOAD_REPORT_INTERVAL_PER_SIDECAR * self.reporting_sidecars.get()
     }
 
-    /// The next report, to be sent to the primary now.
+    /// Returns the next report, which the caller sends to the primary.
     pub fn next_report(&self, balancer: &RefCell<Balancer>) -> LoadReport {
         let loads = balancer.borrow_mut().take_load_report();
         let request_id = self.last_load_report.borrow().request_id + 1;
@@ -53,7 +53,7 @@
         report
     }
 
-    /// Applies the totals of all sidecars to the balancer; those that answer an earlier report are ignored.
+    /// Applies the totals of all sidecars to the balancer. Responses to earlier reports are ignored.
     pub fn apply_totals(&self, now: Duration, balancer: &RefCell<Balancer>, totals: LoadMessage) {
         let LoadMessage::Totals { request_id, sidecars, loads } = totals else { return };
         let report = self.last_load_report.borrow();
--- a/crates/router/node/src/logging.rs
+++ b/crates/router/node/src/logging.rs
@@ -1,12 +1,12 @@
-//! Log lines of the form `event=name key=value`, formatted in one place.
+//! Formatting of log lines of the form `event=name key=value`.
 //!
-//! The line is formatted only if its level is enabled, so that an event on the request path costs a
-//! comparison. Levels and sinks are chosen by the program, not here.
+//! A line is formatted only if its level is enabled, so that a disabled event on the request path costs a single
+//! comparison. The program chooses levels and sinks.
 
 use std::fmt;
 
-/// A value in double quotes, for text that may contain spaces. Quotes inside are written as they are: the
-/// lines are for people and for `grep`, not for a parser.
+/// Displays a value in double quotes, for text that may contain spaces. Quotes within the text are not escaped,
+/// because the lines are meant for people and `grep` rather than for a parser.
 pub struct Quoted<T>(pub T);
 
 impl<T: fmt::Display> fmt::Display for Quoted<T> {
--- a/crates/router/node/src/logging/tests.rs
+++ b/crates/router/node/src/logging/tests.rs
@@ -1,4 +1,4 @@
-//! The lines as operators read them.
+//! Tests of the format of log lines.
 
 use super::Quoted;
 use std::cell::RefCell;
@@ -7,10 +7,10 @@
     static LINES: RefCell<Vec<String>> = const { RefCell::new(Vec::new()) };
 }
 
-/// Keeps the lines of each thread.
-struct Capture;
+/// Captures the lines that the current thread logs.
+struct CapturingLogger;
 
-impl log::Log for Capture {
+impl log::Log for CapturingLogger {
     fn enabled(&self, _: &log::Metadata) -> bool {
         true
     }
@@ -23,8 +23,8 @@
 }
 
 #[test]
-fn an_event_is_one_line_of_keys_and_values() {
-    log::set_logger(&Capture).expect("the only logger of this program");
+fn an_event_is_logged_as_one_line_of_keys_and_values() {
+    log::set_logger(&CapturingLogger).expect("the only logger of this program");
     log::set_max_level(log::LevelFilter::Info);
     log_event!(info, "reloaded");
     log_event!(warn, "accept_failed", listener = "control", problem = Quoted("too many open files"));
--- a/crates/router/node/src/operator_calls.rs
+++ b/crates/router/node/src/operator_calls.rs
@@ -1,4 +1,4 @@
-//! Operators' calls in flight: each waits for the answer that the coordinator produces, possibly from the
+//! Operator calls in flight. Each waits for the answer from the coordinator, which may forward the call to the
 //! primary.
 
 use passrelay_control_plane::{CallId, OperatorAnswer};
@@ -6,19 +6,19 @@
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 
-/// Pending calls by identifier.
+/// Pending operator calls, each with the channel for its answer.
 pub struct PendingOperatorCalls {
     pending: RefCell<HashMap<CallId, Sender<OperatorAnswer>>>,
     next_call: Cell<u64>,
 }
 
 impl PendingOperatorCalls {
-    /// None pending.
+    /// Creates an empty set of pending calls.
     pub fn new() -> Self {
         PendingOperatorCalls { pending: RefCell::default(), next_call: Cell::new(1) }
     }
 
-    /// Registers a call under a new identifier. The answer comes through the channel.
+    /// Registers a call under a new identifier. The returned channel receives the answer.
     pub fn register(&self) -> (CallId, Receiver<OperatorAnswer>) {
         let (answer, receiver) = smol::channel::bounded(1);
         let call = CallId(self.next_call.get());
@@ -27,10 +27,10 @@
         (call, receiver)
     }
 
-    /// Delivers an answer. A call that is not pending, or whose client has gone, is ignored.
+    /// Delivers an answer. Has no effect if the call is not pending or its client has disconnected.
     pub fn complete(&self, call: CallId, answer: OperatorAnswer) {
-        if let Some(waiting) = self.pending.borrow_mut().remove(&call) {
-            let _ = waiting.try_send(answer);
+        if let Some(sender) = self.pending.borrow_mut().remove(&call) {
+            let _ = sender.try_send(answer);
         }
     }
 }
--- a/crates/router/node/src/peer_persistence.rs
+++ b/crates/router/node/src/peer_persistence.rs
@@ -1,7 +1,7 @@
-//! Persistence of the addresses of known processes, so that a machine that lost power with all others finds them again, whatever
-//! the seeds of each name.
+//! Persists the addresses of known peers, so that a machine that lost power together with all others finds them again regardless
+//! of the seeds configured on each.
 //!
-//! Best effort: nobody waits for the write, and no decision rests on what was stored.
+//! Persistence is best effort: no task waits for the write, and no decision depends on the stored addresses.
 
 use crate::storage::Storage;
 use std::cell::RefCell;
@@ -9,18 +9,19 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// Interval of the check whether the known peers differ from what is stored; bounds the write rate. Views change with every exchange.
+/// Interval at which the known peers are compared with the stored ones. Bounds the write rate, because partial views change with
+/// every exchange.
 pub const PEER_PERSISTENCE_INTERVAL: Duration = Duration::from_secs(3);
 
-/// Which peers are stored.
+/// Tracks the peers that are stored.
 #[derive(Default)]
 pub struct PeerPersistence {
-    /// The peers that were last handed to the storage.
+    /// The peers that were last passed to the storage.
     persisted: RefCell<BTreeSet<SocketAddrV4>>,
 }
 
 impl PeerPersistence {
-    /// Hands the peers to the storage, if they have changed since the last time. None are never stored over some.
+    /// Passes the peers to the storage if they have changed since the last call. An empty set never overwrites stored peers.
     pub fn persist_if_changed(&self, storage: &Storage, peers: BTreeSet<SocketAddrV4>) {
         let mut persisted = self.persisted.borrow_mut();
         if peers.is_empty() || *persisted == peers {
--- a/crates/router/node/src/process.rs
+++ b/crates/router/node/src/process.rs
@@ -1,7 +1,7 @@
-//! Composition and start-up of one process: builds every part, opens the ports, starts the loops and waits
-//! for the end.
+//! Composition and startup of the process: builds all components, opens the ports, starts the background loops
+//! and waits for the shutdown.
 //!
-//! Nothing here decides about requests, endpoints or replication.
+//! This module contains no logic for requests, endpoints or replication.
 
 use crate::background_tasks;
 use crate::client_listener;
@@ -29,40 +29,41 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Why a process ends with an error.
+/// Error that prevents the process from starting or ends it.
 #[derive(Debug, Error)]
 pub enum NodeError {
     /// The settings are invalid.
     #[error("{0}")]
     Settings(#[from] SettingsError),
-    /// The operating system refuses a socket, a thread or a signal handler.
-    #[error("{what}: {source}")]
+    /// The operating system refused a socket, a thread or a signal handler.
+    #[error("{resource}: {source}")]
     System {
-        /// What was requested.
-        what: &'static str,
+        /// The requested resource, such as `control port`.
+        resource: &'static str,
         /// The operating system's error.
         source: std::io::Error,
     },
 }
 
-fn system(what: &'static str) -> impl FnOnce(std::io::Error) -> NodeError {
-    move |source| NodeError::System { what, source }
+fn system_error(resource: &'static str) -> impl FnOnce(std::io::Error) -> NodeError {
+    move |source| NodeError::System { resource, source }
 }
 
-/// Runs one process until its graceful shutdown is complete.
+/// Runs the process until its graceful shutdown is complete.
 ///
 /// # Errors
 ///
-/// Returns why it couldn't start.
+/// Returns an error if the settings are invalid, or if the operating system refuses a socket, a thread or signal
+/// handling.
 pub fn run() -> Result<(), NodeError> {
-    let signals = signals::register().map_err(system("signals"))?;
+    let signals = signals::register().map_err(system_error("signal handlers"))?;
     let settings = NodeSettings::from_environment()?;
-    // Lives as long as the process: tasks refer to it.
+    // Leaked on purpose: tasks hold references to the executor for the lifetime of the process.
     let executor: &'static LocalExecutor<'static> = Box::leak(Box::new(LocalExecutor::new()));
     smol::block_on(executor.run(serve(settings, signals, Spawner::new(executor))))
 }
 
-/// The parts that are started after they have all been built.
+/// The components that are started once all of them have been built.
 struct Process {
     settings: Rc<CurrentSettings>,
     transport: Rc<Transport>,
@@ -79,22 +80,24 @@
         background_tasks::start_storage_events(&tasks, &process.driver, &process.settings, events);
     }
     background_tasks::start(&tasks, &process.driver, &process.transport);
-    control_api::start(&tasks, &process.control, &process.settings).await.map_err(system("control port"))?;
+    control_api::start(&tasks, &process.control, &process.settings)
+        .await
+        .map_err(system_error("control port"))?;
     let client_address = process.settings.borrow().listen_front;
     client_listener::start(&tasks, &process.requests, client_address)
         .await
-        .map_err(system("clients' port"))?;
+        .map_err(system_error("client port"))?;
     log_started(&process.settings);
     signals::run_until_shutdown(signals, &process.requests, &process.settings, &process.driver)
         .await
-        .map_err(system("signals"))
+        .map_err(system_error("signal handlers"))
 }
 
-/// Builds all parts, the sockets for messages between processes and the storage thread among them.
+/// Builds all components, including the sockets for internal messages and the storage thread.
 async fn build(settings: NodeSettings, spawner: Spawner) -> Result<Process, NodeError> {
     let clock = Clock::start();
     let transport =
-        Transport::open(settings.internal_address(), spawner).await.map_err(system("internal port"))?;
+        Transport::open(settings.internal_address(), spawner).await.map_err(system_error("internal port"))?;
     let transport = Rc::new(transport);
     let coordinator = Coordinator::new(Duration::ZERO, coordinator_settings(&settings));
     let data_plane = Rc::new(DataPlane::new(&settings.zone, settings.retry_budget_ratio, rand::random()));
@@ -125,7 +128,7 @@
         gossip: GossipSettings {
             own_address: settings.internal_address(),
             seeds: settings.internal_seeds(),
-            heartbeat_interval: settings.heartbeat,
+            heartbeat_interval: settings.heartbeat_interval,
             accepts_deltas: true,
             random_seed: rand::random(),
             mutation: Default::default(),
@@ -135,12 +138,12 @@
         is_voter: settings.counts_for_quorum && settings.data_dir.is_some(),
         tolerated_losses: settings.tolerated_losses,
         quota_bounds: settings.quota_bounds,
-        records_versions: settings.orders_versions,
+        records_versions: settings.rollouts_enabled,
         exposure_bound: settings.exposure_bound,
     }
 }
 
-/// Starts the storage thread on a machine with a vote and a disk.
+/// Starts the storage thread if this machine has a vote and a data directory.
 fn start_storage(settings: &NodeSettings) -> Result<Option<(Storage, Receiver<StorageEvent>)>, NodeError> {
     let data_dir = settings.data_dir.clone().filter(|_| settings.counts_for_quorum);
     let Some(data_dir) = data_dir else { return Ok(None) };
@@ -150,7 +153,7 @@
     } else {
         StartKind::Join
     };
-    let storage = Storage::start(data_dir, start, events).map_err(system("thread of the disk"))?;
+    let storage = Storage::start(data_dir, start, events).map_err(system_error("storage thread"))?;
     Ok(Some((storage, received)))
 }
 
--- a/crates/router/node/src/quota_client.rs
+++ b/crates/router/node/src/quota_client.rs
@@ -1,8 +1,7 @@
-//! Client side of tenants' quotas: the tokens granted to this process, and the wake-up of requests that wait
-//! for them.
+//! Client side of tenant quotas: holds the tokens granted to this process and wakes the requests that wait for
+//! them.
 //!
-//! Requests to the grantor are composed here and sent by the coordinator driver, which also delivers the
-//! grants.
+//! Requests to the grantor are created here and sent by the coordinator driver, which also delivers the grants.
 
 use event_listener::{Event, EventListener};
 use passrelay_control_plane::quota::{QuotaMessage, TenantGrant, TenantKey, GRANT_LIFETIME};
@@ -19,17 +18,17 @@
 }
 
 impl QuotaClient {
-    /// No grants and no demand.
+    /// Creates a client without grants and without demand.
     pub fn new() -> Self {
         QuotaClient { shares: RefCell::new(QuotaShares::new(GRANT_LIFETIME)), granted: Event::new() }
     }
 
-    /// Completes at the next grant after this call, for whichever tenant.
+    /// Returns a listener that completes at the next grant after this call, for any tenant.
     pub fn next_grant(&self) -> EventListener {
         self.granted.listen()
     }
 
-    /// The request for the tokens that are wanted now; none where none are wanted or a request is pending.
+    /// Returns the request for the currently wanted tokens, or `None` if none are wanted or a request is pending.
     pub fn next_request(&self, now: Duration) -> Option<QuotaMessage> {
         let TokenRequest { request_id, wanted, overdrawn } = self.shares.borrow_mut().next_request(now)?;
         let keyed = |amounts: Vec<TenantTokens>| {
@@ -38,15 +37,15 @@
         Some(QuotaMessage::Request { request_id, wanted: keyed(wanted), overdrawn: keyed(overdrawn) })
     }
 
-    /// Books a grant and wakes the requests that wait for tokens. Other messages are ignored.
+    /// Applies a grant and wakes the requests that wait for tokens. Other messages are ignored.
     pub fn apply_grant(&self, now: Duration, grant: QuotaMessage) {
         let QuotaMessage::Grant { request_id, granted, .. } = grant else { return };
-        let share = |grant: TenantGrant| Grant {
+        let to_grant = |grant: TenantGrant| Grant {
             tenant: grant.tenant.0,
             tokens: grant.tokens,
             reserve: grant.reserve,
         };
-        let grants: Vec<Grant> = granted.into_iter().map(share).collect();
+        let grants: Vec<Grant> = granted.into_iter().map(to_grant).collect();
         self.shares.borrow_mut().apply_grants(now, request_id, &grants);
         self.granted.notify(usize::MAX);
     }
--- a/crates/router/node/src/request/attempts.rs
+++ b/crates/router/node/src/request/attempts.rs
@@ -1,8 +1,7 @@
-//! The attempts of one request: select an endpoint, connect, check that all still holds, send, and judge the
-//! response.
+//! The attempts of a request: select an endpoint, connect, check that the request may still be sent, send it, and
+//! classify the response.
 //!
-//! Whether there is a next attempt, and which failure the client gets otherwise, is decided in
-//! `retry_policy`.
+//! `retry_policy` decides whether there is a next attempt and which failure the client receives otherwise.
 
 use super::admission::{self, Admission};
 use super::endpoint_call::EndpointCall;
@@ -23,47 +22,48 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Timeout for reading the rest of a rejected attempt's response, so that its connection can be reused.
+/// Timeout for reading the remaining response of a rejected attempt, so that its connection can be reused.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// The head of an endpoint's response, and what belongs to the call.
-pub struct Answered {
-    /// Head and body.
+/// An endpoint's response to an executed request, with its connection and call.
+pub struct EndpointResponse {
+    /// Response head, with the body still to be read.
     pub response: Response<Incoming>,
-    /// The connection that it comes on.
+    /// Connection that the response arrives on.
     pub connection: Connection,
-    /// The call in the balancer's accounts.
+    /// Accounting of the call at the balancer.
     pub call: EndpointCall,
 }
 
-/// How one attempt ended.
-enum Outcome {
-    /// The endpoint has executed the request.
-    Answered(Box<Answered>),
-    /// The endpoint has not executed it and never will; another one may.
+/// Outcome of an attempt.
+enum AttemptOutcome {
+    /// The endpoint has executed the request and responds.
+    Executed(Box<EndpointResponse>),
+    /// The endpoint has not executed the request and will not; another endpoint may be attempted.
     NotExecuted,
-    /// The endpoint may have executed it.
+    /// The endpoint may have executed the request.
     Unknown,
-    /// The deadline, or the last moment of this process, has come; the endpoint may have executed it.
+    /// The deadline, or the time of the last responses before this process ends, has passed. The endpoint may have
+    /// executed the request.
     TimedOut,
 }
 
-/// An endpoint that was selected, and why.
-struct Selected {
+/// A selected endpoint and the reason for its version.
+struct SelectedEndpoint {
     pick: Pick,
-    /// The version that was asked for; empty where any was.
+    /// The requested version; empty if any version was accepted.
     version: String,
     choice: VersionChoice,
 }
 
-/// Why a request goes to a version.
+/// Reason for sending a request to a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum VersionChoice {
-    /// It is the one in service.
+    /// The version is in service, or the service has none recorded.
     InService,
-    /// It is rolled out, and this router has a share.
+    /// The version is being rolled out, and this router holds a share of its traffic.
     Canary,
-    /// It is rolled out, and one of its endpoints is tested under load.
+    /// The version is being rolled out, and one of its endpoints is load-tested.
     LoadTest,
 }
 
@@ -72,47 +72,47 @@
     context: Rc<RequestContext>,
     inbound: Rc<InboundRequest>,
     deadline: Duration,
-    /// Endpoints that are not selected again.
+    /// Ids of the endpoints that are not selected again.
     attempted: Vec<Arc<str>>,
-    /// The service of the first attempt.
+    /// Service of the previous attempt; `None` before the first one.
     service: Option<String>,
     history: AttemptHistory,
 }
 
 impl Attempts {
-    /// No attempt yet.
+    /// Creates the state before the first attempt.
     pub fn new(context: Rc<RequestContext>, inbound: Rc<InboundRequest>, deadline: Duration) -> Self {
         let history = AttemptHistory::default();
         Attempts { context, inbound, deadline, attempted: Vec::new(), service: None, history }
     }
 
-    /// When the request has to be over, on the process's clock.
+    /// Returns the deadline of the request, on the clock of the process.
     pub fn deadline(&self) -> Duration {
         self.deadline
     }
 
-    /// The context that the request is served in.
+    /// Returns the context that the request is served in.
     pub fn context(&self) -> &Rc<RequestContext> {
         &self.context
     }
 
-    /// Whether any endpoint may have executed the request.
+    /// Returns whether any endpoint may have executed the request.
     pub fn may_have_executed(&self) -> bool {
         self.history.may_have_executed()
     }
 
-    /// The endpoint that answered has broken off; its execution counts.
+    /// Records that the endpoint's response broke off. The request counts as possibly executed.
     pub fn record_broken_response(&mut self) {
         self.history.possibly_executed += 1;
     }
 
-    /// Attempts endpoints until one answers. `last_event_id` is that of the last event that the client has,
-    /// where a stream is resumed.
+    /// Attempts endpoints until one has executed the request and responds. When a stream is resumed,
+    /// `last_event_id` identifies the last event that the client has received.
     ///
     /// # Errors
     ///
-    /// Returns the failure that the client gets.
-    pub async fn next(&mut self, last_event_id: Option<&str>) -> Result<Answered, Failure> {
+    /// Returns the failure to report to the client.
+    pub async fn next(&mut self, last_event_id: Option<&str>) -> Result<EndpointResponse, Failure> {
         loop {
             let now = self.context.now();
             if now >= self.deadline {
@@ -123,10 +123,10 @@
             self.history.check_next(&self.conditions(&admission))?;
             let service = self.assign_service(&admission);
             match self.attempt(&admission, &service, last_event_id).await? {
-                Outcome::Answered(answered) => return Ok(*answered),
-                Outcome::NotExecuted => {}
-                Outcome::Unknown => self.history.possibly_executed += 1,
-                Outcome::TimedOut => {
+                AttemptOutcome::Executed(response) => return Ok(*response),
+                AttemptOutcome::NotExecuted => {}
+                AttemptOutcome::Unknown => self.history.possibly_executed += 1,
+                AttemptOutcome::TimedOut => {
                     self.history.possibly_executed += 1;
                     return Err(Failure::TimedOut);
                 }
@@ -142,8 +142,8 @@
         }
     }
 
-    /// The service of the next attempt. A request stays with its service as long as its route leads there, so
-    /// that a retry does not change the traffic split.
+    /// Returns the service of the next attempt. A request stays with its service as long as its route has that
+    /// service as a backend, so that retries do not skew the traffic split.
     fn assign_service(&mut self, admission: &Admission) -> String {
         let assigned = self.service.take().filter(|service| admission.has_service(service));
         let service = assigned.unwrap_or_else(|| admission.choose_service(&self.context));
@@ -160,26 +160,26 @@
         admission: &Admission,
         service: &str,
         last_event_id: Option<&str>,
-    ) -> Result<Outcome, Failure> {
+    ) -> Result<AttemptOutcome, Failure> {
         let context = self.context.clone();
-        let Selected { pick, version, choice } =
+        let SelectedEndpoint { pick, version, choice } =
             self.select_endpoint(admission, service).ok_or(self.history.exhausted_failure())?;
         self.history.attempts += 1;
         let Some(mut connection) = connect(&context, &pick).await else {
             context.data_plane.balancer.borrow_mut().connect_failed(context.now(), &pick.id);
             self.attempted.push(pick.id);
-            return Ok(Outcome::NotExecuted);
+            return Ok(AttemptOutcome::NotExecuted);
         };
-        // All that the forwarding rests on has to hold now, after the wait for the connection.
+        // Opening the connection may have taken some time, so all preconditions are checked again.
         let may_send = admission.is_valid(&context)
             && context.data_plane.balancer.borrow().may_send(&pick.id)
             && (choice == VersionChoice::InService
                 || context.data_plane.rollout_shares.borrow().may_send(context.now(), service));
         if !may_send {
             context.upstream.put(context.now(), connection);
-            return Ok(Outcome::NotExecuted);
+            return Ok(AttemptOutcome::NotExecuted);
         }
-        // Every arrival at an endpoint beyond the first draws on the budget that all sidecars share.
+        // Every request sent to an endpoint after the first one is charged to the budget that all sidecars share.
         let is_retry = self.history.next_is_retry();
         if is_retry && !context.data_plane.retry_budget.borrow_mut().withdraw(service) {
             context.upstream.put(context.now(), connection);
@@ -187,7 +187,7 @@
         }
         let fields = AttemptFields {
             endpoint: &pick.id,
-            time_left: self.deadline.saturating_sub(context.now()),
+            time_remaining: self.deadline.saturating_sub(context.now()),
             last_event_id,
         };
         let request = outbound::compose(&self.inbound, admission, &fields);
@@ -208,27 +208,27 @@
         };
         let result = smol::future::or(async { Some(connection.send(request).await) }, timeout).await;
         self.attempted.push(pick.id);
-        Ok(self.judge_result(result, connection, call))
+        Ok(self.classify_result(result, connection, call))
     }
 
-    /// Selects an endpoint: of a version that is rolled out where the share says so, else of that in service. Further attempts go to
-    /// the version in service: one that is rolled out may be what failed.
-    fn select_endpoint(&self, admission: &Admission, service: &str) -> Option<Selected> {
+    /// Selects an endpoint of a version being rolled out if this router's share provides for it, and otherwise of the version in
+    /// service. Retries always go to the version in service, because the version being rolled out may have caused the failure.
+    fn select_endpoint(&self, admission: &Admission, service: &str) -> Option<SelectedEndpoint> {
         if self.history.attempts == 0 {
             let now = self.context.now();
             let choice = self.context.data_plane.rollout_shares.borrow_mut().choose(now, service);
             if let Some(CanaryChoice { version, endpoint_share, is_load_test }) = choice {
                 let choice = if is_load_test { VersionChoice::LoadTest } else { VersionChoice::Canary };
                 if let Some(pick) = self.pick(admission, service, Some(&version), Some(endpoint_share)) {
-                    return Some(Selected { pick, version, choice });
+                    return Some(SelectedEndpoint { pick, version, choice });
                 }
             }
         }
-        // An endpoint registers by itself, so its version counts only if it is the one in service.
+        // Endpoints report their own version, so they receive requests only if it is the version in service.
         let version = admission.snapshot.service_versions.get(service);
         let pick = self.pick(admission, service, version, None)?;
         let version = version.unwrap_or_default().to_owned();
-        Some(Selected { pick, version, choice: VersionChoice::InService })
+        Some(SelectedEndpoint { pick, version, choice: VersionChoice::InService })
     }
 
     fn pick(
@@ -245,18 +245,17 @@
         self.context.data_plane.balancer.borrow_mut().pick(self.context.now(), &request)
     }
 
-    /// `result` is `None` after the timeout.
-    fn judge_result(
+    /// Classifies the result of sending a request; `None` stands for a timeout.
+    fn classify_result(
         &mut self,
         result: Option<Result<Response<Incoming>, SendError>>,
         connection: Connection,
         call: EndpointCall,
-    ) -> Outcome {
+    ) -> AttemptOutcome {
         match result {
-            None => Outcome::TimedOut,
+            None => AttemptOutcome::TimedOut,
             Some(Err(SendError::NotSent)) => {
-                // A reused connection may just have been closed by the endpoint, which says nothing about its
-                // health.
+                // The endpoint may just have closed a reused connection, which does not indicate a failure.
                 call.end(if connection.is_reused {
                     RequestOutcome::Rejected
                 } else {
@@ -265,26 +264,26 @@
                 if connection.is_reused {
                     self.attempted.pop();
                 }
-                Outcome::NotExecuted
+                AttemptOutcome::NotExecuted
             }
-            Some(Err(SendError::Broken)) => {
+            Some(Err(SendError::ConnectionBroken)) => {
                 call.end(RequestOutcome::Failed);
-                Outcome::Unknown
+                AttemptOutcome::Unknown
             }
-            Some(Ok(response)) => self.judge_response(response, connection, call),
+            Some(Ok(response)) => self.classify_response(response, connection, call),
         }
     }
 
-    fn judge_response(
+    fn classify_response(
         &mut self,
         response: Response<Incoming>,
         connection: Connection,
         call: EndpointCall,
-    ) -> Outcome {
+    ) -> AttemptOutcome {
         if response.headers().get(&REQUEST_ID) != self.inbound.headers.get(&REQUEST_ID) {
-            // The response to another request.
+            // The response belongs to another request.
             call.end(RequestOutcome::Failed);
-            return Outcome::Unknown;
+            return AttemptOutcome::Unknown;
         }
         let load = response.headers().get(&INSTANCE_LOAD).and_then(|value| value.to_str().ok());
         let report = load.and_then(LoadReport::parse);
@@ -292,17 +291,17 @@
         let executed = !misdirected && !response.headers().contains_key(&NOT_EXECUTED);
         call.record_response(report, executed && response.status().is_server_error());
         if executed {
-            return Outcome::Answered(Box::new(Answered { response, connection, call }));
+            return AttemptOutcome::Executed(Box::new(EndpointResponse { response, connection, call }));
         }
         call.end(if misdirected { RequestOutcome::Failed } else { RequestOutcome::Rejected });
         self.history.rejected += 1;
         let context = self.context.clone();
         self.context.spawner.spawn_bounded(drain(context, response, connection));
-        Outcome::NotExecuted
+        AttemptOutcome::NotExecuted
     }
 }
 
-/// An idle connection, or a new one.
+/// Returns an idle connection to the picked endpoint, or opens one. `None` if it cannot be opened.
 async fn connect(context: &RequestContext, pick: &Pick) -> Option<Connection> {
     match context.upstream.take(context.now(), pick.address) {
         Some(connection) => Some(connection),
@@ -310,7 +309,7 @@
     }
 }
 
-/// Reads the rest of a response that is not relayed, so that its connection can be reused.
+/// Reads the remaining body of a response that is not relayed, so that its connection can be reused.
 async fn drain(context: Rc<RequestContext>, response: Response<Incoming>, connection: Connection) {
     let read = async { response.into_body().collect().await.is_ok() };
     let timeout = async {
--- a/crates/router/node/src/request/endpoint_call.rs
+++ b/crates/router/node/src/request/endpoint_call.rs
@@ -1,4 +1,4 @@
-//! One call to an endpoint in the balancer's accounts.
+//! Accounting of a call to an endpoint: load at the balancer, and outcome and latency for rollouts.
 
 use crate::request_context::RequestContext;
 use passrelay_data_plane::balancer::{LoadReport, Pick, RequestOutcome};
@@ -9,13 +9,13 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A call that counts as in flight until its end; one that is dropped before was abandoned by the client.
+/// A call that counts as in flight until [`EndpointCall::end`]. Dropping it earlier means that the client abandoned it.
 pub struct EndpointCall {
     context: Rc<RequestContext>,
     pick: Pick,
     has_response: Cell<bool>,
     in_flight: Cell<bool>,
-    /// Where a roll-out compares its outcome.
+    /// Set if a rollout compares the outcome of this call.
     observed: Option<ObservedRequest>,
     sent_at: Duration,
     has_first_byte: Cell<bool>,
@@ -23,7 +23,7 @@
 }
 
 impl EndpointCall {
-    /// The request is sent now.
+    /// Begins the accounting of a request that is about to be sent.
     pub fn begin(
         context: &Rc<RequestContext>,
         pick: Pick,
@@ -44,7 +44,8 @@
         }
     }
 
-    /// The head of the response has come, with the endpoint's load report.
+    /// Records the arrival of the response head and the endpoint's load report. `failed` tells whether the response
+    /// shows an error of the endpoint.
     pub fn record_response(&self, report: Option<LoadReport>, failed: bool) {
         self.has_response.set(true);
         self.is_error.set(failed);
@@ -52,7 +53,7 @@
         balancer.response_head_received(self.context.now(), &self.pick, report, failed);
     }
 
-    /// A chunk of the response's body has come.
+    /// Records the arrival of a chunk of the response body.
     pub fn record_progress(&self) {
         self.record_first_byte();
         self.context
@@ -62,18 +63,18 @@
             .response_chunk_received(self.context.now(), &self.pick.id);
     }
 
-    /// The call is over. Further calls have no effect.
-    pub fn end(&self, end: RequestOutcome) {
+    /// Ends the accounting with the given outcome. Has no effect if it has already ended.
+    pub fn end(&self, outcome: RequestOutcome) {
         if self.in_flight.replace(false) {
             let now = self.context.now();
             let mut balancer = self.context.data_plane.balancer.borrow_mut();
-            balancer.request_ended(now, &self.pick, self.has_response.get(), end);
+            balancer.request_ended(now, &self.pick, self.has_response.get(), outcome);
             drop(balancer);
-            self.record_outcome(end);
+            self.record_outcome(outcome);
         }
     }
 
-    /// The first part of the body has come, or will never come.
+    /// Records the latency of the first chunk of the body, or of the end of a call without one.
     fn record_first_byte(&self) {
         if !self.has_first_byte.replace(true) {
             self.record_latency(LatencyMeasure::FirstByte);
@@ -87,16 +88,16 @@
         }
     }
 
-    /// Counts the outcome in the roll-out of the service; a request that was rejected without running has none.
-    fn record_outcome(&self, end: RequestOutcome) {
-        let Some(observed) = self.observed.as_ref().filter(|_| end != RequestOutcome::Rejected) else {
+    /// Counts the outcome for the rollout of the service, unless the endpoint rejected the request without executing it.
+    fn record_outcome(&self, outcome: RequestOutcome) {
+        let Some(observed) = self.observed.as_ref().filter(|_| outcome != RequestOutcome::Rejected) else {
             return;
         };
         self.record_first_byte();
-        if end == RequestOutcome::Completed {
+        if outcome == RequestOutcome::Completed {
             self.record_latency(LatencyMeasure::Complete);
         }
-        let failed = self.is_error.get() || end == RequestOutcome::Failed;
+        let failed = self.is_error.get() || outcome == RequestOutcome::Failed;
         self.context.data_plane.rollout_shares.borrow_mut().record_end(observed, failed);
     }
 }
--- a/crates/router/node/src/request/inbound.rs
+++ b/crates/router/node/src/request/inbound.rs
@@ -1,4 +1,4 @@
-//! A client's request as parsed from its head, before any configuration is looked at.
+//! A client's request as parsed from its head, independent of any configuration.
 
 use super::headers::{DEADLINE, PREFIX_HASH, TOKEN_USAGE};
 use crate::responses::Failure;
@@ -10,40 +10,40 @@
 use passrelay_data_plane::prompt::Prompt;
 use std::time::Duration;
 
-/// Timeout of a request that gives none.
+/// Timeout of a request that specifies none.
 pub const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
-/// Upper bound of the timeout that a client may give, in seconds.
+/// Maximum timeout that a client may specify, in seconds.
 const MAX_TIMEOUT_S: f64 = 3_600.0;
 
 /// A client's request.
 pub struct InboundRequest {
-    /// Its method.
+    /// HTTP method.
     pub method: Method,
     /// Path and query, as forwarded.
     pub uri: Uri,
-    /// The host that routes are matched by.
+    /// Host that routes are matched against.
     pub host: String,
-    /// All header fields.
+    /// All header fields, as received.
     pub headers: HeaderMap,
-    /// The bearer key, if there is one.
+    /// The bearer key, if the request has one.
     pub key: Option<String>,
-    /// What the header fields say of the prompt.
+    /// Description of the prompt in the header fields.
     pub prompt: Prompt,
     /// The complete body; empty until it has been read.
     pub body: Bytes,
-    /// When the head had been read, on the process's clock.
+    /// When the head had been read, on the clock of the process.
     pub arrived: Duration,
-    /// How long the client waits from then on.
+    /// How long the client waits after `arrived`.
     pub timeout: Duration,
 }
 
 impl InboundRequest {
-    /// Parses a head.
+    /// Parses a request head.
     ///
     /// # Errors
     ///
-    /// Returns [`Failure::BadRequest`] without a host, or where a field can't be read; [`Failure::BadPrompt`] where that is
-    /// the declared size of the prompt.
+    /// Returns [`Failure::BadRequest`] if the host is missing or a field is malformed, and [`Failure::BadPrompt`] if that field
+    /// is the declared size of the prompt.
     pub fn parse(parts: Parts, arrived: Duration) -> Result<Self, Failure> {
         let text = |name: &HeaderName| parts.headers.get(name).and_then(|value| value.to_str().ok());
         let host = parts.uri.host().or_else(|| text(&HOST)).ok_or(Failure::BadRequest)?.to_owned();
@@ -66,17 +66,17 @@
         })
     }
 
-    /// When the request has to be over on a route, on the process's clock.
+    /// Returns the deadline of the request on a route, on the clock of the process.
     pub fn deadline(&self, route: &Route) -> Duration {
         self.arrived + self.timeout.min(Duration::from_millis(route.timeout_ms))
     }
 }
 
-/// The time that a client waits, by its deadline header.
+/// Parses the client's timeout from the deadline header. Returns [`DEFAULT_TIMEOUT`] without a header.
 ///
 /// # Errors
 ///
-/// Returns [`Failure::BadRequest`] where the header is no number of milliseconds.
+/// Returns [`Failure::BadRequest`] if the header is not a non-negative number of milliseconds.
 pub(super) fn parse_timeout(header: Option<&str>) -> Result<Duration, Failure> {
     let Some(text) = header else { return Ok(DEFAULT_TIMEOUT) };
     let milliseconds: f64 = text.trim().parse().map_err(|_| Failure::BadRequest)?;
--- a/crates/router/node/src/request/inbound_body.rs
+++ b/crates/router/node/src/request/inbound_body.rs
@@ -1,4 +1,4 @@
-//! Reads a request's body whole: a retry has to be able to send it again.
+//! Reads a request's body completely, because a retry has to be able to send it again.
 
 use crate::responses::Failure;
 use bytes::Bytes;
@@ -12,8 +12,8 @@
 ///
 /// # Errors
 ///
-/// Returns [`Failure::BodyTooLong`] over the limit, [`Failure::TooSlow`] where no byte comes for the header
-/// timeout, and [`Failure::BadRequest`] where the client breaks off.
+/// Returns [`Failure::BodyTooLong`] if the body exceeds the limit, [`Failure::BodyTimeout`] if no part of it arrives
+/// within the header timeout, and [`Failure::BadRequest`] if the client disconnects.
 pub async fn read(limits: &Limits, mut body: Incoming) -> Result<Bytes, Failure> {
     let max_length = limits.max_body_bytes;
     let frame_timeout = Duration::from_millis(limits.header_timeout_ms.max(1));
@@ -28,7 +28,7 @@
     loop {
         let timeout = async {
             Timer::after(frame_timeout).await;
-            Err(Failure::TooSlow)
+            Err(Failure::BodyTimeout)
         };
         let frame = smol::future::or(async { Ok(body.frame().await) }, timeout).await?;
         let Some(frame) = frame else { break };
@@ -39,6 +39,6 @@
         }
         chunks.push(chunk);
     }
-    // The usual body is one chunk, which is passed on without a copy.
+    // A body usually is a single chunk, which is used without copying.
     Ok(if chunks.len() == 1 { chunks.remove(0) } else { chunks.concat().into() })
 }
--- a/crates/router/node/src/request/mod.rs
+++ b/crates/router/node/src/request/mod.rs
@@ -1,19 +1,19 @@
-//! The life of a client's request: from its head to the response, in phases that run in this order.
+//! Processing of a client's request from its head to the response, in phases that run in this order:
 //!
-//! | phase | module | ends the request with |
+//! | phase | module | may fail with |
 //! |---|---|---|
-//! | wait for start-up | here | - |
+//! | wait for startup | this module | - |
 //! | parse the head | `inbound` | 400 |
 //! | match route, authenticate, check freshness | `admission` | 401, 404, 503 |
-//! | check the graceful shutdown | here | 503 |
+//! | check the graceful shutdown | this module | 503 |
 //! | read the body | `inbound_body` | 400, 408, 413 |
-//! | admit once more: reading may have taken long | `admission` | as above |
+//! | admit again, because reading may have taken long | `admission` | as above |
 //! | reserve quota | `quota` | 429, 503 |
 //! | select an endpoint, attempt, retry | `attempts`, by the rules in `retry_policy` | 502, 503, 504 |
-//! | relay the response, resume a stream | `relay_body` | the connection breaks off |
+//! | relay the response, resume a stream | `relay_body` | a closed connection |
 //!
-//! 429 and 503 promise that the request has not been executed and never will be; what may have been executed
-//! ends with 502 or 504.
+//! Status codes 429 and 503 promise that the request has not been and will not be executed. A request that may have
+//! been executed ends with 502 or 504.
 
 mod admission;
 mod attempts;
@@ -39,14 +39,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A process counts as just started for this long.
+/// Time after the start of the process during which requests wait for it to become ready.
 const STARTUP_PERIOD: Duration = Duration::from_secs(5);
-/// Fraction of its timeout that a request waits for a process that has just started.
+/// Fraction of its timeout that a request waits at most during startup.
 const STARTUP_WAIT_FRACTION: f64 = 0.35;
-/// Interval of the check whether a process that has just started can serve.
+/// Interval of the check whether the process can serve during startup.
 const STARTUP_POLL_INTERVAL: Duration = Duration::from_millis(15);
 
-/// Serves one request.
+/// Serves a request. The response reports any failure.
 pub async fn handle(context: &Rc<RequestContext>, request: Request<Incoming>) -> Response<Body> {
     let arrived = context.now();
     wait_for_startup(context, &request).await;
@@ -56,11 +56,11 @@
     }
 }
 
-/// A process that has just started gets its configuration and endpoints within moments: a request waits for
-/// them, for a fraction of its timeout.
+/// Waits until the process can serve, for at most a fraction of the request's timeout. A process that has just
+/// started usually receives its configuration and endpoints shortly.
 async fn wait_for_startup(context: &RequestContext, request: &Request<Incoming>) {
     let header = request.headers().get(&DEADLINE).and_then(|value| value.to_str().ok());
-    // A header that can't be read is refused once the head is parsed, whatever the wait before.
+    // A malformed header is rejected when the head is parsed, regardless of the wait before.
     let timeout = inbound::parse_timeout(header).unwrap_or(DEFAULT_TIMEOUT);
     let until = context.now() + timeout.mul_f64(STARTUP_WAIT_FRACTION);
     while context.now() < until.min(STARTUP_PERIOD) && !context.readiness.can_serve() {
@@ -77,7 +77,7 @@
     let mut inbound = InboundRequest::parse(parts, arrived)?;
     let admission = admission::admit(context, &inbound)?;
     if !context.shutdown.accepts(inbound.deadline(&admission.route)) {
-        return Err(Failure::Ending);
+        return Err(Failure::ShuttingDown);
     }
     inbound.body = inbound_body::read(admission.snapshot.table.limits(), body).await?;
     let inbound = Rc::new(inbound);
@@ -88,7 +88,7 @@
     drop(admission);
     let mut attempts = Attempts::new(context.clone(), inbound, deadline);
     match attempts.next(None).await {
-        Ok(answered) => Ok(relay_body::respond(answered, attempts, resumable)),
+        Ok(response) => Ok(relay_body::respond(response, attempts, resumable)),
         Err(failure) => {
             if let Some(reservation) = reservation.filter(|_| !attempts.may_have_executed()) {
                 reservation.refund(context);
--- a/crates/router/node/src/request/outbound.rs
+++ b/crates/router/node/src/request/outbound.rs
@@ -1,4 +1,4 @@
-//! The request as it goes to an endpoint.
+//! Builds the request that is sent to an endpoint.
 
 use super::admission::Admission;
 use super::headers::{end_to_end, DEADLINE, LAST_EVENT_ID, PRIORITY, TARGET_INSTANCE, TENANT};
@@ -9,18 +9,18 @@
 use hyper::Request;
 use std::time::Duration;
 
-/// What differs from attempt to attempt.
+/// The fields of a request that differ between attempts.
 pub struct AttemptFields<'a> {
-    /// Identifier of the endpoint.
+    /// Identifier of the selected endpoint.
     pub endpoint: &'a str,
-    /// Time that is left until the deadline.
-    pub time_left: Duration,
-    /// Identifier of the last event that the client has, where a stream is resumed.
+    /// Time remaining until the deadline.
+    pub time_remaining: Duration,
+    /// Identifier of the last event that the client has received, if a stream is resumed.
     pub last_event_id: Option<&'a str>,
 }
 
-/// Composes the request: the client's own, less hop-by-hop fields and what only a sidecar may set, and with
-/// the sidecar's fields.
+/// Builds the request to an endpoint from the client's request: removes hop-by-hop fields and fields that only a
+/// sidecar may set, and adds the sidecar's fields.
 pub fn compose(inbound: &InboundRequest, admission: &Admission, attempt: &AttemptFields) -> UpstreamRequest {
     let mut request = Request::new(Full::new(inbound.body.clone()));
     *request.method_mut() = inbound.method.clone();
@@ -30,12 +30,12 @@
     for name in [CONTENT_LENGTH, TENANT, TARGET_INSTANCE, PRIORITY] {
         headers.remove(name);
     }
-    // Keys stay within the fleet wherever it checks them.
+    // Keys must not leave the fleet if the fleet checks them.
     if admission.tenant.is_some() || !admission.snapshot.table.tenants().is_empty() {
         headers.remove(AUTHORIZATION);
     }
-    let time_left = u64::try_from(attempt.time_left.as_millis()).unwrap_or(u64::MAX);
-    headers.insert(DEADLINE, HeaderValue::from(time_left));
+    let remaining_ms = u64::try_from(attempt.time_remaining.as_millis()).unwrap_or(u64::MAX);
+    headers.insert(DEADLINE, HeaderValue::from(remaining_ms));
     headers.insert(PRIORITY, HeaderValue::from(admission.priority));
     let tenant = admission.tenant.as_ref().map(|tenant| tenant.name.as_str());
     let optional =
--- a/crates/router/node/src/request/quota.rs
+++ b/crates/router/node/src/request/quota.rs
@@ -1,5 +1,5 @@
-//! Reserves the tokens of a request from its tenant's quota; waits a little where this process has none
-//! granted.
+//! Reserves the tokens of a request from its tenant's quota, waiting briefly if this process holds no granted
+//! tokens.
 
 use super::admission::Admission;
 use super::inbound::InboundRequest;
@@ -11,25 +11,25 @@
 use smol::Timer;
 use std::time::Duration;
 
-/// Fraction of the route's latency target that a request waits for quota.
+/// Fraction of the route's latency target that a request waits for quota at most.
 const QUOTA_WAIT_FRACTION: f64 = 0.2;
-/// A request that waits for quota repeats its request for a grant at this interval.
+/// Interval at which a request that waits for quota repeats its request for a grant.
 const QUOTA_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Tokens that were spent for a request.
+/// Tokens reserved for a request.
 pub struct QuotaReservation {
     tenant: TenantKey,
     spent: SpentTokens,
 }
 
 impl QuotaReservation {
-    /// Returns the tokens of a request that was not executed anywhere.
+    /// Returns the tokens of a request that no endpoint has executed.
     pub fn refund(self, context: &RequestContext) {
         context.data_plane.quota.shares.borrow_mut().refund(context.now(), self.tenant.0, self.spent);
     }
 }
 
-/// Demand of a request that waits for tokens; withdrawn when dropped.
+/// Demand of a request that waits for tokens, withdrawn on drop.
 struct PendingDemand<'a> {
     context: &'a RequestContext,
     tenant: TenantKey,
@@ -49,43 +49,43 @@
     }
 }
 
-/// Reserves the tokens that a request counts; none are needed without a tenant or without a limit.
+/// Reserves the tokens that a request costs. Returns `None` if the request has no tenant or the tenant no limit.
 ///
 /// # Errors
 ///
-/// Returns [`Failure::OverQuota`] where the grantor has granted less than wanted since the request came, and
-/// [`Failure::NoGrantor`] where it does not answer.
+/// Returns [`Failure::OverQuota`] if the grantor has granted less than wanted since the request arrived, and
+/// [`Failure::NoGrantor`] if the grantor does not respond in time.
 pub async fn reserve(
     context: &RequestContext,
     inbound: &InboundRequest,
     admission: &Admission,
 ) -> Result<Option<QuotaReservation>, Failure> {
-    let limited = admission.tenant.as_ref().filter(|tenant| tenant.is_limited());
-    let Some(tenant) = limited else { return Ok(None) };
+    let limited_tenant = admission.tenant.as_ref().filter(|tenant| tenant.is_limited());
+    let Some(tenant) = limited_tenant else { return Ok(None) };
     let key = TenantKey::of(&tenant.name);
     let tokens = match tenant.unit {
         TokenUnit::Requests => 1,
         TokenUnit::TokenUsage => inbound.prompt.total_tokens().unwrap_or(tenant.uncached_tokens),
     };
-    let began = context.now();
+    let started_at = context.now();
     let quota = &context.data_plane.quota;
     let demand = PendingDemand::register(context, key, tokens);
     context.request_quota();
     let target = Duration::from_millis(admission.route.target_latency_ms);
     let timeout = target.mul_f64(QUOTA_WAIT_FRACTION);
     loop {
-        // Listens before it looks: a grant that comes in between is not missed.
+        // Listen before trying to spend, so that a grant that arrives in between is not missed.
         let granted = quota.next_grant();
         let spent = quota.shares.borrow_mut().spend(context.now(), key.0, tokens);
         if let Some(spent) = spent {
             drop(demand);
             return Ok(Some(QuotaReservation { tenant: key, spent }));
         }
-        if quota.shares.borrow().is_exhausted_since(key.0, began) {
+        if quota.shares.borrow().is_exhausted_since(key.0, started_at) {
             return Err(Failure::OverQuota);
         }
         let now = context.now();
-        if now >= began + timeout || quota.shares.borrow().is_grantor_unreachable(key.0, now) {
+        if now >= started_at + timeout || quota.shares.borrow().is_grantor_unreachable(key.0, now) {
             return Err(Failure::NoGrantor);
         }
         context.request_quota();
--- a/crates/router/node/src/request/relay_body.rs
+++ b/crates/router/node/src/request/relay_body.rs
@@ -1,9 +1,9 @@
-//! Relays the body of an endpoint's response to the client, chunk by chunk as it comes.
+//! Relays the body of an endpoint's response to the client, chunk by chunk as it arrives.
 //!
-//! A resumable stream is relayed in complete events; when its endpoint breaks off, another one continues
-//! after the last event that was relayed, inside the same response.
+//! A resumable stream is relayed in complete events. If the connection to its endpoint breaks, another endpoint
+//! resumes the stream after the last relayed event, within the same response.
 
-use super::attempts::{Answered, Attempts};
+use super::attempts::{Attempts, EndpointResponse};
 use super::endpoint_call::EndpointCall;
 use super::event_buffer::EventBuffer;
 use super::headers::end_to_end;
@@ -19,20 +19,20 @@
 use smol::stream;
 use smol::Timer;
 
-/// The client's response from an endpoint's.
-pub fn respond(answered: Answered, attempts: Attempts, resumable: bool) -> Response<Body> {
-    let Answered { response, connection, call } = answered;
+/// Returns the response to the client, which relays the endpoint's response.
+pub fn respond(endpoint_response: EndpointResponse, attempts: Attempts, resumable: bool) -> Response<Body> {
+    let EndpointResponse { response, connection, call } = endpoint_response;
     let (parts, incoming) = response.into_parts();
-    let complete_events =
+    let can_resume =
         resumable && parts.status == StatusCode::OK && !parts.headers.contains_key(CONTENT_LENGTH);
-    let time_left = attempts.deadline().saturating_sub(attempts.context().now());
+    let time_remaining = attempts.deadline().saturating_sub(attempts.context().now());
     let is_empty = incoming.is_end_stream();
     let mut relay = BodyRelay {
         incoming,
         connection: Some(connection),
         call,
-        events: complete_events.then(EventBuffer::default),
-        deadline: Timer::after(time_left),
+        events: can_resume.then(EventBuffer::default),
+        deadline: Timer::after(time_remaining),
         attempts,
         ended: false,
     };
@@ -54,21 +54,21 @@
 
 struct BodyRelay {
     incoming: Incoming,
-    /// The connection of `incoming`, until its body has been read whole.
+    /// The connection of `incoming`, until its body has been read completely.
     connection: Option<Connection>,
     call: EndpointCall,
-    /// Where the stream can be resumed.
+    /// Buffer for complete events, if the stream can be resumed.
     events: Option<EventBuffer>,
     deadline: Timer,
     attempts: Attempts,
     ended: bool,
 }
 
-/// What came first while waiting for the endpoint.
+/// The first event while waiting for the endpoint.
 enum Received {
     Frame(Frame<Bytes>),
     EndOfBody,
-    Broken,
+    ConnectionBroken,
     DeadlinePassed,
 }
 
@@ -81,8 +81,7 @@
                     return Some(Err(BodyError::TimedOut));
                 }
                 Received::Frame(frame) => {
-                    // The client's connection doesn't poll a body of known length once its last byte is
-                    // written.
+                    // The client's connection does not poll a body of known length again after its last byte.
                     if self.events.is_none() && self.incoming.is_end_stream() {
                         self.finish();
                     }
@@ -90,16 +89,16 @@
                         return Some(Ok(chunk));
                     }
                 }
-                Received::Broken => {
+                Received::ConnectionBroken => {
                     self.call.end(RequestOutcome::Failed);
                     if !self.resume().await {
                         self.ended = true;
-                        return Some(Err(BodyError::BrokeOff));
+                        return Some(Err(BodyError::EndpointDisconnected));
                     }
                 }
                 Received::EndOfBody => {
                     self.finish();
-                    return self.events.as_mut().and_then(EventBuffer::take_rest).map(Ok);
+                    return self.events.as_mut().and_then(EventBuffer::take_remaining).map(Ok);
                 }
             }
         }
@@ -111,7 +110,7 @@
         let frame = async {
             match self.incoming.frame().await {
                 Some(Ok(frame)) => Received::Frame(frame),
-                Some(Err(_)) => Received::Broken,
+                Some(Err(_)) => Received::ConnectionBroken,
                 None => Received::EndOfBody,
             }
         };
@@ -122,7 +121,7 @@
         smol::future::or(frame, deadline).await
     }
 
-    /// What can be relayed after a chunk has come.
+    /// Processes a chunk and returns the bytes that can now be relayed.
     fn relayable(&mut self, data: Bytes) -> Option<Bytes> {
         self.call.record_progress();
         match &mut self.events {
@@ -131,7 +130,7 @@
         }
     }
 
-    /// The response is complete.
+    /// Ends a complete response and returns its connection to the pool.
     fn finish(&mut self) {
         self.ended = true;
         self.call.end(RequestOutcome::Completed);
@@ -141,20 +140,20 @@
         }
     }
 
-    /// Has another endpoint continue the stream. Returns whether one does.
+    /// Resumes the stream at another endpoint. Returns whether one responded with status 200.
     async fn resume(&mut self) -> bool {
         let Some(events) = &mut self.events else { return false };
         events.discard_partial();
         let last_event_id = events.last_id().map(str::to_owned);
         self.attempts.record_broken_response();
-        let Ok(answered) = self.attempts.next(last_event_id.as_deref()).await else { return false };
-        if answered.response.status() != StatusCode::OK {
+        let Ok(resumed) = self.attempts.next(last_event_id.as_deref()).await else { return false };
+        if resumed.response.status() != StatusCode::OK {
             return false;
         }
         log_event!(debug, "resumed", after = last_event_id.as_deref().unwrap_or("start"));
-        self.incoming = answered.response.into_body();
-        self.connection = Some(answered.connection);
-        self.call = answered.call;
+        self.incoming = resumed.response.into_body();
+        self.connection = Some(resumed.connection);
+        self.call = resumed.call;
         true
     }
 }
--- a/crates/router/node/src/request/retry_policy.rs
+++ b/crates/router/node/src/request/retry_policy.rs
@@ -1,60 +1,61 @@
-//! Whether a request may be attempted once more, and which failure ends it.
+//! Decides whether a request may be attempted again and which failure ends it otherwise.
 //!
-//! What decides is whether the request may already have been executed. 429 and 503 promise the client that it
-//! has not been and never will be, so once an endpoint may have executed it only 502 and 504 are left:
+//! The decision depends on whether the request may already have been executed. Status codes 429 and 503 promise the
+//! client that the request has not been and will not be executed, so once an endpoint may have executed it, only 502
+//! and 504 may be returned:
 //!
-//! | what happened | nothing executed | may have been executed |
+//! | condition | not executed | possibly executed |
 //! |---|---|---|
 //! | deadline passed before an attempt | 503 `NoEndpoint` | 504 `TimedOut` |
-//! | admission withdrawn (configuration, key, freshness) | the admission's own failure | 502 `NoAnswer` |
-//! | route not idempotent, or its executions used up | attempt | 502 `NoAnswer` |
-//! | this process ends before the deadline | 503 `Ending` | attempt |
-//! | too many attempts, no endpoint left, or no retry budget | 503 `NoEndpoint` | 502 `NoAnswer` |
-//! | deadline passed within an attempt | - | 504 `TimedOut` |
+//! | admission withdrawn (configuration, key, freshness) | the admission's own failure | 502 `NoResponse` |
+//! | route not idempotent, or its executions exhausted | attempt | 502 `NoResponse` |
+//! | this process ends before the deadline | 503 `ShuttingDown` | attempt |
+//! | too many attempts, no endpoint left, or no retry budget | 503 `NoEndpoint` | 502 `NoResponse` |
+//! | deadline passed during an attempt | - | 504 `TimedOut` |
 //!
 //! The rows are checked in this order.
 
 use crate::responses::Failure;
 
-/// Attempts of one request, refused connections among them. Bounds the work that a request causes while all
-/// endpoints reject.
+/// Maximum number of attempts of one request, including refused connections. Bounds the work that a request
+/// causes while all endpoints reject requests.
 pub const MAX_ATTEMPTS_PER_REQUEST: usize = 4;
 
-/// What the attempts of one request have come to so far.
+/// The results of a request's attempts so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AttemptHistory {
-    /// Endpoints that were selected, whether or not the request reached them.
+    /// Number of selected endpoints, whether or not the request reached them.
     pub attempts: usize,
-    /// Attempts that may have been executed.
+    /// Number of attempts that endpoints may have executed.
     pub possibly_executed: u64,
-    /// Attempts that endpoints rejected without executing them.
+    /// Number of attempts that endpoints rejected without executing them.
     pub rejected: u64,
 }
 
-/// What decides on the next attempt beside the history.
+/// The conditions for the next attempt, apart from the history.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptConditions {
     /// Whether the route's requests may be executed more than once.
     pub idempotent: bool,
-    /// Upper bound of executions on the route.
+    /// Maximum number of executions on the route.
     pub max_executions: u64,
-    /// Whether the graceful shutdown leaves the time until the deadline.
+    /// Whether a graceful shutdown, if any, leaves enough time until the deadline.
     pub accepted_by_shutdown: bool,
 }
 
 impl AttemptHistory {
-    /// Whether any endpoint may have executed the request.
+    /// Returns whether any endpoint may have executed the request.
     pub fn may_have_executed(&self) -> bool {
         self.possibly_executed > 0
     }
 
-    /// Whether the next attempt reaches an endpoint after another one did, so that it draws on the retry
+    /// Returns whether the request has already reached an endpoint, so that the next attempt is charged to the retry
     /// budget.
     pub fn next_is_retry(&self) -> bool {
         self.possibly_executed + self.rejected > 0
     }
 
-    /// The deadline has passed between two attempts.
+    /// Returns the failure if the deadline has passed between two attempts.
     pub fn deadline_failure(&self) -> Failure {
         if self.may_have_executed() {
             Failure::TimedOut
@@ -63,25 +64,25 @@
         }
     }
 
-    /// The configuration in force no longer admits the request.
+    /// Returns the failure if the configuration in force no longer admits the request.
     pub fn admission_failure(&self, denied: Failure) -> Failure {
         if self.may_have_executed() {
-            Failure::NoAnswer
+            Failure::NoResponse
         } else {
             denied
         }
     }
 
-    /// No further endpoint can be attempted.
+    /// Returns the failure if no further endpoint can be attempted.
     pub fn exhausted_failure(&self) -> Failure {
         if self.may_have_executed() {
-            Failure::NoAnswer
+            Failure::NoResponse
         } else {
             Failure::NoEndpoint
         }
     }
 
-    /// Whether one more attempt may begin.
+    /// Checks whether another attempt may begin.
     ///
     /// # Errors
     ///
@@ -89,10 +90,10 @@
     pub fn check_next(&self, conditions: &AttemptConditions) -> Result<(), Failure> {
         if self.may_have_executed() {
             if !conditions.idempotent || self.possibly_executed >= conditions.max_executions {
-                return Err(Failure::NoAnswer);
+                return Err(Failure::NoResponse);
             }
         } else if !conditions.accepted_by_shutdown {
-            return Err(Failure::Ending);
+            return Err(Failure::ShuttingDown);
         }
         if self.attempts >= MAX_ATTEMPTS_PER_REQUEST {
             return Err(self.exhausted_failure());
--- a/crates/router/node/src/request/retry_policy/tests.rs
+++ b/crates/router/node/src/request/retry_policy/tests.rs
@@ -1,12 +1,12 @@
-//! The table of retries and failures, row by row.
+//! Tests of the table of retries and failures, row by row.
 
 use super::*;
 use rstest::rstest;
 
-const REPEATABLE: AttemptConditions =
+const IDEMPOTENT: AttemptConditions =
     AttemptConditions { idempotent: true, max_executions: 3, accepted_by_shutdown: true };
-const ONCE: AttemptConditions = AttemptConditions { idempotent: false, ..REPEATABLE };
-const SHUTTING_DOWN: AttemptConditions = AttemptConditions { accepted_by_shutdown: false, ..REPEATABLE };
+const NOT_IDEMPOTENT: AttemptConditions = AttemptConditions { idempotent: false, ..IDEMPOTENT };
+const SHUTTING_DOWN: AttemptConditions = AttemptConditions { accepted_by_shutdown: false, ..IDEMPOTENT };
 
 fn history(attempts: usize, possibly_executed: u64, rejected: u64) -> AttemptHistory {
     AttemptHistory { attempts, possibly_executed, rejected }
@@ -14,23 +14,23 @@
 
 #[rstest]
 // The first attempt of any request.
-#[case(history(0, 0, 0), REPEATABLE, Ok(()))]
-#[case(history(0, 0, 0), ONCE, Ok(()))]
-#[case(history(0, 0, 0), SHUTTING_DOWN, Err(Failure::Ending))]
-// Rejected attempts were not executed: also a request that may run only once goes on.
-#[case(history(3, 0, 3), ONCE, Ok(()))]
-#[case(history(3, 0, 3), SHUTTING_DOWN, Err(Failure::Ending))]
-#[case(history(4, 0, 4), REPEATABLE, Err(Failure::NoEndpoint))]
-#[case(history(4, 0, 0), REPEATABLE, Err(Failure::NoEndpoint))]
-// Once it may have been executed, only idempotent requests go on, up to the route's bound, also during a
-// shutdown.
-#[case(history(1, 1, 0), ONCE, Err(Failure::NoAnswer))]
-#[case(history(1, 1, 0), REPEATABLE, Ok(()))]
-#[case(history(2, 2, 0), REPEATABLE, Ok(()))]
-#[case(history(3, 3, 0), REPEATABLE, Err(Failure::NoAnswer))]
+#[case(history(0, 0, 0), IDEMPOTENT, Ok(()))]
+#[case(history(0, 0, 0), NOT_IDEMPOTENT, Ok(()))]
+#[case(history(0, 0, 0), SHUTTING_DOWN, Err(Failure::ShuttingDown))]
+// Rejected attempts were not executed, so even a request that may be executed only once is retried.
+#[case(history(3, 0, 3), NOT_IDEMPOTENT, Ok(()))]
+#[case(history(3, 0, 3), SHUTTING_DOWN, Err(Failure::ShuttingDown))]
+#[case(history(4, 0, 4), IDEMPOTENT, Err(Failure::NoEndpoint))]
+#[case(history(4, 0, 0), IDEMPOTENT, Err(Failure::NoEndpoint))]
+// Once a request may have been executed, only idempotent requests are retried, up to the route's limit and even
+// during a shutdown.
+#[case(history(1, 1, 0), NOT_IDEMPOTENT, Err(Failure::NoResponse))]
+#[case(history(1, 1, 0), IDEMPOTENT, Ok(()))]
+#[case(history(2, 2, 0), IDEMPOTENT, Ok(()))]
+#[case(history(3, 3, 0), IDEMPOTENT, Err(Failure::NoResponse))]
 #[case(history(1, 1, 0), SHUTTING_DOWN, Ok(()))]
-#[case(history(4, 1, 3), REPEATABLE, Err(Failure::NoAnswer))]
-fn an_attempt_begins_only_where_the_table_allows_it(
+#[case(history(4, 1, 3), IDEMPOTENT, Err(Failure::NoResponse))]
+fn an_attempt_begins_only_if_the_table_allows_it(
     #[case] history: AttemptHistory,
     #[case] conditions: AttemptConditions,
     #[case] expected: Result<(), Failure>,
@@ -40,8 +40,8 @@
 
 #[rstest]
 #[case(history(2, 0, 2), Failure::NoEndpoint, Failure::UnknownKey, Failure::NoEndpoint)]
-#[case(history(2, 1, 1), Failure::TimedOut, Failure::NoAnswer, Failure::NoAnswer)]
-fn nothing_that_may_have_been_executed_ends_with_a_promise_that_it_was_not(
+#[case(history(2, 1, 1), Failure::TimedOut, Failure::NoResponse, Failure::NoResponse)]
+fn a_possibly_executed_request_never_fails_with_a_promise_of_no_execution(
     #[case] history: AttemptHistory,
     #[case] after_deadline: Failure,
     #[case] after_denial: Failure,
@@ -57,7 +57,7 @@
 #[case(history(2, 0, 0), false)]
 #[case(history(1, 0, 1), true)]
 #[case(history(1, 1, 0), true)]
-fn every_arrival_at_an_endpoint_beyond_the_first_is_a_retry(
+fn every_request_that_reaches_an_endpoint_after_the_first_is_a_retry(
     #[case] history: AttemptHistory,
     #[case] retry: bool,
 ) {
--- a/crates/router/node/src/request_context.rs
+++ b/crates/router/node/src/request_context.rs
@@ -1,4 +1,4 @@
-//! What the path of a client's request may use of the process, and nothing else: no settings, no storage, no
+//! The parts of the process that the request path may use. It has no access to settings, storage or the
 //! coordinator.
 
 use crate::client_connections::ClientConnections;
@@ -13,29 +13,29 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Shared by the client listener, its connections and their requests.
+/// State shared by the client listener, its connections and their requests.
 pub struct RequestContext {
-    /// The process's clock.
+    /// Clock of the process.
     pub clock: Clock,
-    /// For tasks that end with a connection.
+    /// Spawner for tasks that end with a connection.
     pub spawner: Spawner,
     /// Configuration, endpoints, quota shares and budgets.
     pub data_plane: Rc<DataPlane>,
-    /// Whether requests with keys may be forwarded.
+    /// Decides whether requests with keys may be forwarded.
     pub freshness: Rc<Freshness>,
-    /// Whether requests can be forwarded at all.
+    /// Decides whether requests can be forwarded at all.
     pub readiness: Rc<Readiness>,
-    /// Whether, and until when, requests are accepted.
+    /// Decides which requests are accepted during a graceful shutdown.
     pub shutdown: Rc<GracefulShutdown>,
-    /// Connections to endpoints.
+    /// Pool of connections to endpoints.
     pub upstream: ConnectionPool,
-    /// Connections of clients.
+    /// Open client connections.
     pub clients: ClientConnections,
     driver: Rc<CoordinatorDriver>,
 }
 
 impl RequestContext {
-    /// A context with no connections yet.
+    /// Creates a context without connections.
     pub fn new(
         clock: Clock,
         spawner: Spawner,
@@ -58,12 +58,12 @@
         }
     }
 
-    /// Time since the process started.
+    /// Returns the time since the process started.
     pub fn now(&self) -> Duration {
         self.clock.now()
     }
 
-    /// Requests the tokens that are wanted now from the quota's grantor.
+    /// Requests the currently wanted tokens from the quota's grantor.
     pub fn request_quota(&self) {
         self.driver.request_quota();
     }
--- a/crates/router/node/src/settings.rs
+++ b/crates/router/node/src/settings.rs
@@ -1,6 +1,6 @@
-//! The settings file of a process: lines of the form `a.b=value`, list items separated by commas.
+//! The settings file of a process: lines of the form `a.b=value`, with list items separated by commas.
 //!
-//! Only this module knows the keys, their units and their defaults.
+//! All keys, their units and their defaults are defined in this module.
 
 use passrelay_control_plane::quota::QuotaBounds;
 use passrelay_control_plane::rollout::ExposureBound;
@@ -14,119 +14,119 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// The environment variable that names the settings file.
-pub const PATH_VARIABLE: &str = "PASSRELAY_CONFIG";
+/// Environment variable that holds the path of the settings file.
+pub const SETTINGS_PATH_VARIABLE: &str = "PASSRELAY_CONFIG";
 
-/// The contract under which versions of a service are moved by orders.
+/// The item of `contracts` that lets operators change the version of a service by rollout orders.
 const ROLLOUT_CONTRACT: &str = "rollout";
 
-/// Why a process can't start with its settings.
+/// Error in the settings of a process.
 #[derive(Debug, Error)]
 pub enum SettingsError {
-    /// The variable isn't set.
-    #[error("the variable {PATH_VARIABLE} has to name the settings file")]
-    NoPath,
-    /// The file can't be opened.
+    /// The environment variable is not set.
+    #[error("the environment variable {SETTINGS_PATH_VARIABLE} is not set; it must hold the path of the settings file")]
+    PathNotSet,
+    /// The file cannot be opened.
     #[error("{path}: {source}")]
     Unreadable {
-        /// The file.
+        /// Path of the settings file.
         path: PathBuf,
         /// The operating system's error.
         source: std::io::Error,
     },
-    /// The file is not made of lines `key=value`.
+    /// The file does not consist of lines `key=value`.
     #[error("{path}: {source}")]
     Malformed {
-        /// The file.
+        /// Path of the settings file.
         path: PathBuf,
         /// The parser's error.
         source: java_properties::PropertiesError,
     },
     /// A key has an invalid value.
     #[error("{path}: {key}: has the value '{value}', should be {expected}")]
-    BadValue {
-        /// The file.
+    InvalidValue {
+        /// Path of the settings file.
         path: PathBuf,
-        /// The key.
+        /// Name of the key.
         key: String,
-        /// Its value.
+        /// The invalid value.
         value: String,
-        /// What is expected.
+        /// Description of the valid values.
         expected: &'static str,
     },
     /// A required key is missing.
     #[error("{path}: {key}: is missing")]
     Missing {
-        /// The file.
+        /// Path of the settings file.
         path: PathBuf,
-        /// The key.
+        /// Name of the key.
         key: String,
     },
 }
 
-/// Settings of a process, read at its start and after SIGHUP. Unknown keys are ignored.
+/// Settings of a process, read at startup and after SIGHUP. Unknown keys are ignored.
 #[derive(Clone, Debug)]
 pub struct NodeSettings {
-    /// Name of the machine, for logs.
+    /// Name of the machine in log lines.
     pub node_name: String,
-    /// The failure domain it is in.
+    /// Failure domain that the machine is in; empty if not set.
     pub zone: String,
-    /// Its address.
+    /// Address of the machine for internal messages.
     pub ip: Ipv4Addr,
-    /// Where clients connect, if this process serves them.
+    /// Address for client connections, if this process serves clients.
     pub listen_front: Option<SocketAddrV4>,
-    /// Where the platform probes readiness.
+    /// Address for readiness probes by the platform, if any.
     pub listen_readiness: Option<SocketAddrV4>,
-    /// Where endpoints and operators call, if this process serves them.
+    /// Address for calls of endpoints and operators, if this process serves them.
     pub listen_control: Option<SocketAddrV4>,
-    /// Port for messages between processes, the same on all machines.
+    /// Port for internal messages, the same on all machines.
     pub internal_port: u16,
-    /// Machines from which the membership is discovered.
+    /// Addresses of machines through which this process discovers the fleet; their ports are ignored.
     pub seeds: Vec<SocketAddrV4>,
-    /// Whether the whole fleet starts for the first time.
+    /// Whether the fleet as a whole starts for the first time.
     pub bootstrap: bool,
-    /// Whether this machine is a voter: its loss counts against `tolerated_losses`.
+    /// Whether this machine is a voter, so that its loss counts against `tolerated_losses`.
     pub counts_for_quorum: bool,
-    /// Directory for the store, if this machine has a disk.
+    /// Directory of the store, if this machine has a disk.
     pub data_dir: Option<PathBuf>,
-    /// Voters that may be lost at one time.
+    /// Number of voters that may be lost at the same time.
     pub tolerated_losses: usize,
-    /// Whether versions of a service are moved by the operators' orders (`rollout` among the contracts).
-    pub orders_versions: bool,
-    /// What a version may get before it is judged.
+    /// Whether operators change the version of a service by rollout orders (`contracts` contains `rollout`).
+    pub rollouts_enabled: bool,
+    /// Bound on the requests that a version may receive before it is judged.
     pub exposure_bound: ExposureBound,
-    /// Interval between heartbeats of an endpoint.
-    pub heartbeat: Duration,
-    /// Bound within which a change has to be in force at all machines in touch.
-    pub config_apply: Duration,
-    /// Bound within which a revoked key has to be out of force everywhere.
-    pub revoke: Duration,
-    /// Whether the bound also holds on machines that are partitioned from the core.
+    /// Interval at which an endpoint sends heartbeats.
+    pub heartbeat_interval: Duration,
+    /// Time within which a configuration change has to be in force on all machines in contact with the core.
+    pub config_apply_bound: Duration,
+    /// Time within which a revoked key has to be rejected everywhere.
+    pub revocation_bound: Duration,
+    /// Whether the revocation bound also holds on machines that are partitioned from the core.
     pub strict_revocation: bool,
-    /// Grace period between SIGTERM and SIGKILL.
-    pub grace: Duration,
+    /// Time between SIGTERM and SIGKILL.
+    pub grace_period: Duration,
     /// Maximum number of retries, as a fraction of the requests.
     pub retry_budget_ratio: f64,
-    /// Bounds on exceeding a quota.
+    /// Bounds on how far a quota may be exceeded.
     pub quota_bounds: QuotaBounds,
 }
 
 impl NodeSettings {
-    /// Reads the file that the environment variable names.
+    /// Reads the file whose path is in the environment variable `SETTINGS_PATH_VARIABLE`.
     ///
     /// # Errors
     ///
-    /// Returns the first fault, with file and key.
+    /// Returns the first error found, with path and key.
     pub fn from_environment() -> Result<Self, SettingsError> {
-        let path = std::env::var_os(PATH_VARIABLE).ok_or(SettingsError::NoPath)?;
+        let path = std::env::var_os(SETTINGS_PATH_VARIABLE).ok_or(SettingsError::PathNotSet)?;
         Self::read(Path::new(&path))
     }
 
-    /// Reads a file.
+    /// Reads the settings file at `path`.
     ///
     /// # Errors
     ///
-    /// Returns the first fault, with file and key.
+    /// Returns the first error found, with path and key.
     pub fn read(path: &Path) -> Result<Self, SettingsError> {
         let file =
             File::open(path).map_err(|source| SettingsError::Unreadable { path: path.to_owned(), source })?;
@@ -135,18 +135,18 @@
         SettingsFile { path, values }.parse()
     }
 
-    /// Address of this process for messages between processes.
+    /// Returns the address of this process for internal messages.
     pub fn internal_address(&self) -> SocketAddrV4 {
         SocketAddrV4::new(self.ip, self.internal_port)
     }
 
-    /// Addresses of the seeds for messages between processes.
+    /// Returns the addresses of the seeds for internal messages.
     pub fn internal_seeds(&self) -> Vec<SocketAddrV4> {
         self.seeds.iter().map(|seed| SocketAddrV4::new(*seed.ip(), self.internal_port)).collect()
     }
 }
 
-/// The parsed lines of a settings file, for lookups that report file and key in their errors.
+/// The key-value pairs of a settings file, with lookups that report path and key in their errors.
 struct SettingsFile<'a> {
     path: &'a Path,
     values: HashMap<String, String>,
@@ -170,16 +170,16 @@
             counts_for_quorum: self.flag("counts-for-quorum")?,
             data_dir: self.text("data-dir").filter(|text| !text.is_empty()).map(PathBuf::from),
             tolerated_losses: self.value("fault-tolerance.machines", "a whole number")?.unwrap_or(0),
-            orders_versions: self.has_contract(ROLLOUT_CONTRACT),
+            rollouts_enabled: self.has_contract(ROLLOUT_CONTRACT),
             exposure_bound: ExposureBound {
                 ratio: self.number("bounds.exposure-ratio", 0.1)?,
                 slack: self.number("bounds.exposure-slack", 0.0)?,
             },
-            heartbeat: self.duration("heartbeat-ms", 1.0, 1_200.0)?,
-            config_apply: self.duration("bounds.config-apply-ms", 1.0, 2_500.0)?,
-            revoke: self.duration("bounds.revoke-ms", 1.0, 5_000.0)?,
+            heartbeat_interval: self.duration("heartbeat-ms", 1.0, 1_200.0)?,
+            config_apply_bound: self.duration("bounds.config-apply-ms", 1.0, 2_500.0)?,
+            revocation_bound: self.duration("bounds.revoke-ms", 1.0, 5_000.0)?,
             strict_revocation: self.flag("bounds.strict-revocation")?,
-            grace: self.duration("bounds.grace-s", 1_000.0, 8.0)?,
+            grace_period: self.duration("bounds.grace-s", 1_000.0, 8.0)?,
             retry_budget_ratio: self.number("bounds.retry-budget-ratio", 0.2)?,
             quota_bounds: QuotaBounds {
                 window_s: self.number("bounds.quota-window-s", 8.0)?,
@@ -189,12 +189,12 @@
         })
     }
 
-    /// The trimmed value of a key, possibly empty.
+    /// Returns the trimmed value of a key, possibly empty, or `None` if the key is missing.
     fn text(&self, key: &str) -> Option<&str> {
         self.values.get(key).map(|value| value.trim())
     }
 
-    /// Whether a contract is in force.
+    /// Returns whether `contracts` contains an item.
     fn has_contract(&self, name: &str) -> bool {
         let contracts = self.text("contracts").unwrap_or_default();
         contracts.split(',').any(|contract| contract.trim() == name)
@@ -204,8 +204,8 @@
         SettingsError::Missing { path: self.path.to_owned(), key: key.to_owned() }
     }
 
-    fn bad_value(&self, key: &str, value: &str, expected: &'static str) -> SettingsError {
-        SettingsError::BadValue {
+    fn invalid_value(&self, key: &str, value: &str, expected: &'static str) -> SettingsError {
+        SettingsError::InvalidValue {
             path: self.path.to_owned(),
             key: key.to_owned(),
             value: value.to_owned(),
@@ -213,60 +213,60 @@
         }
     }
 
-    /// The parsed value of a key; none where it is missing or empty.
+    /// Returns the parsed value of a key, or `None` if it is missing or empty.
     fn value<T: FromStr>(&self, key: &str, expected: &'static str) -> Result<Option<T>, SettingsError> {
         match self.text(key) {
             None | Some("") => Ok(None),
-            Some(text) => text.parse().map(Some).map_err(|_| self.bad_value(key, text, expected)),
+            Some(text) => text.parse().map(Some).map_err(|_| self.invalid_value(key, text, expected)),
         }
     }
 
-    /// The parsed items of a list; empty where the key is missing.
+    /// Returns the parsed items of a list, empty if the key is missing.
     fn list<T: FromStr>(&self, key: &str, expected: &'static str) -> Result<Vec<T>, SettingsError> {
         let items =
             self.text(key).unwrap_or_default().split(',').map(str::trim).filter(|item| !item.is_empty());
-        items.map(|item| item.parse().map_err(|_| self.bad_value(key, item, expected))).collect()
+        items.map(|item| item.parse().map_err(|_| self.invalid_value(key, item, expected))).collect()
     }
 
-    /// A flag, off where the key is missing.
+    /// Returns a flag, false if the key is missing.
     fn flag(&self, key: &str) -> Result<bool, SettingsError> {
         Ok(self.value(key, "true or false")?.unwrap_or(false))
     }
 
-    /// A finite number that is not negative.
+    /// Returns a finite, non-negative number, `default` if the key is missing.
     fn number(&self, key: &str, default: f64) -> Result<f64, SettingsError> {
         let expected = "a number from 0 up";
         let number: f64 = self.value(key, expected)?.unwrap_or(default);
         if number.is_finite() && number >= 0.0 {
             return Ok(number);
         }
-        Err(self.bad_value(key, &number.to_string(), expected))
+        Err(self.invalid_value(key, &number.to_string(), expected))
     }
 
-    /// A duration in units of `unit_ms` milliseconds.
+    /// Returns a duration given in units of `unit_ms` milliseconds. `default` is in the same unit.
     fn duration(&self, key: &str, unit_ms: f64, default: f64) -> Result<Duration, SettingsError> {
         Ok(Duration::from_secs_f64(self.number(key, default)? * unit_ms / 1_000.0))
     }
 }
 
-/// The settings in force, replaced whole at SIGHUP. What is used only at the start keeps the value of the
-/// start.
+/// The settings in force, replaced as a whole after SIGHUP. Settings that are used only at startup have no further
+/// effect.
 pub struct CurrentSettings {
     settings: RefCell<NodeSettings>,
 }
 
 impl CurrentSettings {
-    /// The settings of the start.
+    /// Creates the holder with the settings read at startup.
     pub fn new(settings: NodeSettings) -> Self {
         CurrentSettings { settings: RefCell::new(settings) }
     }
 
-    /// The settings in force. Not to be held across an await: `replace` would panic.
+    /// Borrows the settings in force. Must not be held across an await, because `replace` would panic.
     pub fn borrow(&self) -> Ref<'_, NodeSettings> {
         self.settings.borrow()
     }
 
-    /// Puts other settings in force.
+    /// Replaces the settings in force.
     pub fn replace(&self, settings: NodeSettings) {
         *self.settings.borrow_mut() = settings;
     }
--- a/crates/router/node/src/signals.rs
+++ b/crates/router/node/src/signals.rs
@@ -1,4 +1,4 @@
-//! SIGHUP reloads the settings; SIGTERM and SIGINT begin the graceful shutdown.
+//! Signal handling: SIGHUP reloads the settings; SIGTERM and SIGINT begin the graceful shutdown.
 
 use crate::coordinator_driver::CoordinatorDriver;
 use crate::graceful_shutdown::ShutdownSchedule;
@@ -10,18 +10,18 @@
 use smol::Timer;
 use std::time::Duration;
 
-/// Idle client connections stay open for this long after SIGTERM: it takes a while until the platform sends
-/// clients elsewhere.
+/// Idle client connections stay open for this long after SIGTERM, because the platform needs some time to
+/// redirect clients.
 const KEEP_ALIVE_PERIOD: Duration = Duration::from_millis(2_600);
-/// Interval of the check whether all client connections have ended.
+/// Interval of the check whether all client connections are closed.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Takes signals over. The first thing that a process does: until then SIGHUP ends it, as the system's default is. What arrives before
-/// [`run_until_shutdown`] is handled there.
+/// Registers the signal handlers. Must be the first action of a process, because until then SIGHUP terminates it by default.
+/// Signals that arrive before [`run_until_shutdown`] are handled there.
 ///
 /// # Errors
 ///
-/// Returns the operating system's error where signals can't be handled.
+/// Returns the operating system's error if the handlers cannot be registered.
 pub fn register() -> std::io::Result<Signals> {
     Signals::new([Signal::Term, Signal::Int, Signal::Hup])
 }
@@ -30,7 +30,7 @@
 ///
 /// # Errors
 ///
-/// Returns the operating system's error where signals can't be received.
+/// Returns the operating system's error if signals cannot be received.
 pub async fn run_until_shutdown(
     mut signals: Signals,
     requests: &RequestContext,
@@ -44,12 +44,13 @@
             break;
         }
     }
-    let grace = settings.borrow().grace;
-    shut_down(requests, grace).await;
+    let grace_period = settings.borrow().grace_period;
+    shut_down(requests, grace_period).await;
     Ok(())
 }
 
-/// Reads the settings again. Seeds, bounds and grace period take effect at once, all else only at a start.
+/// Reloads the settings. Seeds, bounds and grace period take effect immediately, all other settings only at the next
+/// start.
 fn reload(settings: &CurrentSettings, driver: &CoordinatorDriver) {
     match NodeSettings::from_environment() {
         Ok(reloaded) => {
@@ -61,11 +62,11 @@
     }
 }
 
-async fn shut_down(requests: &RequestContext, grace: Duration) {
+async fn shut_down(requests: &RequestContext, grace_period: Duration) {
     log_event!(info, "draining", clients = requests.clients.len());
-    let schedule = ShutdownSchedule::new(requests.now(), grace);
+    let schedule = ShutdownSchedule::new(requests.now(), grace_period);
     requests.shutdown.begin(schedule);
-    Timer::after(KEEP_ALIVE_PERIOD.min(grace / 2)).await;
+    Timer::after(KEEP_ALIVE_PERIOD.min(grace_period / 2)).await;
     requests.clients.finish_all();
     while requests.now() < schedule.ends_at() && !requests.clients.is_empty() {
         Timer::after(SHUTDOWN_POLL_INTERVAL).await;
--- a/crates/router/node/src/storage/error.rs
+++ b/crates/router/node/src/storage/error.rs
@@ -1,62 +1,65 @@
-//! Errors of the store, and which of them mean that it is damaged.
+//! Errors of the store, and the classification of those that mean that it is damaged.
 
 use thiserror::Error;
 
-/// Why an operation on the store failed.
+/// Error of an operation on the store.
 #[derive(Debug, Error)]
 pub enum StoreError {
-    /// The database refuses.
+    /// The database reported an error.
     #[error("{0}")]
     Database(#[source] Box<redb::Error>),
-    /// A value can't be encoded.
+    /// A value could not be encoded.
     #[error("{0}")]
     Encoding(#[source] ciborium::ser::Error<std::io::Error>),
-    /// The file system refuses.
+    /// The file system reported an error.
     #[error("{0}")]
     File(#[from] std::io::Error),
-    /// A value can't be decoded.
-    #[error("the value of '{key}' is damaged")]
+    /// A value could not be decoded.
+    #[error("the value of key '{key}' cannot be decoded")]
     Undecodable {
-        /// The key of the value.
+        /// Key of the value.
         key: &'static str,
         /// The decoder's error.
         source: ciborium::de::Error<std::io::Error>,
     },
     /// Another program has written the database.
-    #[error("it is another program's: its tables are {}", tables.join(", "))]
-    Foreign {
-        /// The names of its tables.
+    #[error("the database belongs to another program; its tables are {}", tables.join(", "))]
+    ForeignDatabase {
+        /// Names of the tables in the database.
         tables: Vec<String>,
     },
-    /// A later version of the program has written the store.
-    #[error("its format is {found}, this program knows {known} and earlier")]
-    Newer {
-        /// The format version found.
+    /// A later version of this program has written the store.
+    #[error(
+        "the store has format version {found}, but this program supports only versions up to {supported}"
+    )]
+    NewerFormat {
+        /// Format version of the store.
         found: u32,
-        /// The latest version that this program reads.
-        known: u32,
+        /// Latest format version that this program reads.
+        supported: u32,
     },
 }
 
 impl StoreError {
-    /// Wraps any error of the database.
+    /// Wraps an error of the database.
     pub fn database(error: impl Into<redb::Error>) -> Self {
         StoreError::Database(Box::new(error.into()))
     }
 
-    /// Whether the store is damaged, so that no retry can help. Not for undecodable values, which always are.
+    /// Returns whether the error means that the store is damaged, so that a retry cannot succeed. Does not cover
+    /// undecodable values, which always mean damage.
     ///
-    /// Decided by the text of the source, because redb reports damage in several ways: as `Corrupted`, as an
-    /// I/O error of the kind `InvalidData` where the file is no database, and as `UpgradeRequired` for a
-    /// format that it no longer reads. Anything else, a full or failing disk for instance, may pass.
+    /// The decision is based on the text of the source error, because redb reports damage in several ways: as
+    /// `Corrupted`, as an I/O error of kind `InvalidData` if the file is not a database, and as `UpgradeRequired` for
+    /// a format that redb no longer reads. Other errors, such as a full or failing disk, may be temporary.
     pub fn is_damage(&self) -> bool {
         match self {
             StoreError::Database(source) => indicates_damage(&source.to_string()),
             StoreError::Encoding(source) => indicates_damage(&source.to_string()),
             StoreError::File(_)
             | StoreError::Undecodable { .. }
-            | StoreError::Foreign { .. }
-            | StoreError::Newer { .. } => false,
+            | StoreError::ForeignDatabase { .. }
+            | StoreError::NewerFormat { .. } => false,
         }
     }
 }
--- a/crates/router/node/src/storage/format.rs
+++ b/crates/router/node/src/storage/format.rs
@@ -1,4 +1,4 @@
-//! Format of the store: one redb table from key to CBOR value, with a format version.
+//! Format of the store: a single redb table that maps keys to CBOR values, one of which is the format version.
 
 use super::error::StoreError;
 use passrelay_control_plane::replication::DurableWrite;
@@ -9,29 +9,29 @@
 use std::net::SocketAddrV4;
 
 const TABLE: TableDefinition<&str, &[u8]> = TableDefinition::new("replica");
-/// This machine's identity.
+/// Key of this machine's identity.
 pub const IDENTITY: &str = "identity";
-/// Version of the encoding of all values. Stores without it are of [`UNVERSIONED_FORMAT`].
+/// Key of the version of the encoding of all values. Stores without it have [`UNVERSIONED_FORMAT`].
 pub const FORMAT: &str = "format";
-/// Whether the store was created while the whole fleet was bootstrapped; written with the identity.
+/// Key of the flag whether the store was created while the fleet was bootstrapped; written with the identity.
 pub const BOOTSTRAPPING: &str = "founding";
-/// The seeds of the fleet's first start; written with the identity of a machine that took part in it.
+/// Key of the seeds at the first start of the fleet; written with the identity of a machine that took part in it.
 pub const BOOTSTRAP_SEEDS: &str = "founding-seeds";
-/// The replica's state as a witness.
+/// Key of the replica's state as a witness.
 pub const WITNESS: &str = "witness";
-/// The replicated state.
+/// Key of the replicated state.
 pub const STATE: &str = "state";
-/// The endpoints that were known last.
+/// Key of the last known endpoints.
 pub const ENDPOINTS: &str = "endpoints";
-/// The addresses of processes that were known last.
+/// Key of the last known peer addresses.
 pub const PEERS: &str = "peers";
 
-/// The format version that this program writes; it reads earlier ones.
+/// Format version that this program writes. It reads earlier versions as well.
 pub const FORMAT_VERSION: u32 = 2;
-/// Format version of stores from before the version was stored.
+/// Format version of stores that were written before the version was stored.
 pub const UNVERSIONED_FORMAT: u32 = 1;
 
-/// A key with its encoded value.
+/// A key and its encoded value.
 pub struct EncodedValue {
     key: &'static str,
     bytes: Vec<u8>,
@@ -48,12 +48,13 @@
     Ok(EncodedValue { key, bytes })
 }
 
-/// Checks that no other program has written the database. Reads only: what is foreign stays as it is.
+/// Checks that no other program has written the database. Performs only reads, so a foreign database is left
+/// unchanged.
 ///
 /// # Errors
 ///
-/// Returns [`StoreError::Foreign`] where the database holds tables, and none or another kind of this program's, or
-/// this program's without an identity; or the database's error.
+/// Returns [`StoreError::ForeignDatabase`] if the database holds tables, but this program's table is missing, has
+/// other types or lacks an identity. Otherwise returns the database's error, if any.
 pub fn check_owner(database: &Database) -> Result<(), StoreError> {
     let transaction = database.begin_read().map_err(StoreError::database)?;
     let tables: Vec<String> = transaction
@@ -67,24 +68,24 @@
     let table = match transaction.open_table(TABLE) {
         Ok(table) => table,
         Err(TableError::TableDoesNotExist(_) | TableError::TableTypeMismatch { .. }) => {
-            return Err(StoreError::Foreign { tables });
+            return Err(StoreError::ForeignDatabase { tables });
         }
         Err(error) => return Err(StoreError::database(error)),
     };
-    // The identity is written by the transaction that creates the table.
+    // The transaction that creates the table also writes the identity.
     let has_identity = table.get(IDENTITY).map_err(StoreError::database)?.is_some();
     if has_identity || table.is_empty().map_err(StoreError::database)? {
         Ok(())
     } else {
-        Err(StoreError::Foreign { tables })
+        Err(StoreError::ForeignDatabase { tables })
     }
 }
 
-/// Reads the value of a key, if there is one.
+/// Reads the value of a key. Returns `None` if there is none.
 ///
 /// # Errors
 ///
-/// Returns the database's error, or that the value can't be decoded.
+/// Returns the database's error, or [`StoreError::Undecodable`] if the value cannot be decoded.
 pub fn read<T: DeserializeOwned>(database: &Database, key: &'static str) -> Result<Option<T>, StoreError> {
     let transaction = database.begin_read().map_err(StoreError::database)?;
     let table = match transaction.open_table(TABLE) {
@@ -97,11 +98,11 @@
     ciborium::from_reader(value.value()).map(Some).map_err(|source| StoreError::Undecodable { key, source })
 }
 
-/// Writes values in one transaction, synced before it returns.
+/// Writes values in one transaction and syncs it to disk before returning.
 ///
 /// # Errors
 ///
-/// Returns the database's error; none of the values may then be relied on.
+/// Returns the database's error. The values must then not be relied on.
 pub fn write(database: &Database, values: &[EncodedValue]) -> Result<(), StoreError> {
     let transaction = database.begin_write().map_err(StoreError::database)?;
     {
@@ -113,11 +114,11 @@
     transaction.commit().map_err(StoreError::database)
 }
 
-/// Writes the parts of the replica's state that have changed.
+/// Writes the changed parts of the replica's state.
 ///
 /// # Errors
 ///
-/// As [`write`].
+/// Same as [`write`].
 pub fn write_replica(database: &Database, write: &DurableWrite) -> Result<(), StoreError> {
     let mut values = Vec::new();
     if let Some(witness) = &write.witness {
@@ -129,20 +130,20 @@
     self::write(database, &values)
 }
 
-/// Writes the endpoints that are known.
+/// Writes the known endpoints.
 ///
 /// # Errors
 ///
-/// As [`write`].
+/// Same as [`write`].
 pub fn write_endpoints(database: &Database, records: &Vec<EndpointRecord>) -> Result<(), StoreError> {
     self::write(database, &[encode(ENDPOINTS, records)?])
 }
 
-/// Writes the addresses of processes that are known.
+/// Writes the known peer addresses.
 ///
 /// # Errors
 ///
-/// As [`write`].
+/// Same as [`write`].
 pub fn write_peers(database: &Database, peers: &Vec<SocketAddrV4>) -> Result<(), StoreError> {
     self::write(database, &[encode(PEERS, peers)?])
 }
--- a/crates/router/node/src/storage/mod.rs
+++ b/crates/router/node/src/storage/mod.rs
@@ -1,8 +1,8 @@
-//! Storage of a voter: a redb database on a thread of its own, so that a stalled disk delays nothing but
+//! Storage of a voter: a redb database on a dedicated thread, so that a stalled disk delays only the storage
 //! itself.
 //!
-//! Writes are queued here and acknowledged by events; `writer` is the thread, `open` opens the database and
-//! quarantines a damaged one, `format` knows keys and encodings.
+//! Writes are queued here and acknowledged by events. `writer` runs the thread, `open` opens the database and
+//! quarantines a damaged one, and `format` defines keys and encodings.
 
 mod error;
 mod format;
@@ -20,18 +20,18 @@
 pub use open::{StartKind, StoreContents};
 pub use writer::StorageEvent;
 
-/// The queue to the storage thread.
+/// Handle of the storage thread, which queues requests to it.
 pub struct Storage {
     requests: mpsc::Sender<StoreRequest>,
 }
 
 impl Storage {
-    /// Starts the thread. Events come through the channel. A store that is created now records how the machine
-    /// was started.
+    /// Starts the storage thread, which reports its events to `events`. If the store does not exist yet, it is
+    /// created and records `start`.
     ///
     /// # Errors
     ///
-    /// Returns the operating system's error where no thread can be started.
+    /// Returns the operating system's error if the thread cannot be started.
     pub fn start(
         data_dir: PathBuf,
         start: StartKind,
@@ -44,18 +44,18 @@
         Ok(Storage { requests })
     }
 
-    /// Queues a write of the replica.
+    /// Queues a write of the replica's state, acknowledged by [`StorageEvent::Written`].
     pub fn write(&self, write_id: WriteId, write: DurableWrite) {
-        // Fails only after the thread has given the store up; the write then stays unacknowledged.
+        // Fails only after the thread has given up the store. The write then remains unacknowledged.
         let _ = self.requests.send(StoreRequest::Replica { write_id, write });
     }
 
-    /// Queues a write of the endpoints for the next start. Nobody waits for it.
+    /// Queues a write of the endpoints for the next start. It is not acknowledged.
     pub fn persist_endpoints(&self, records: Vec<EndpointRecord>) {
         let _ = self.requests.send(StoreRequest::Endpoints(records));
     }
 
-    /// Queues a write of the addresses of processes for the next start. Nobody waits for it.
+    /// Queues a write of the peer addresses for the next start. It is not acknowledged.
     pub fn persist_peers(&self, peers: Vec<SocketAddrV4>) {
         let _ = self.requests.send(StoreRequest::Peers(peers));
     }
--- a/crates/router/node/src/storage/open.rs
+++ b/crates/router/node/src/storage/open.rs
@@ -1,4 +1,4 @@
-//! Opens the store, creates it on an empty disk, and quarantines a damaged one.
+//! Opens the store, creating it if there is none, and quarantines a damaged one.
 
 use super::error::StoreError;
 use super::format::{
@@ -14,38 +14,38 @@
 use std::thread;
 use std::time::Duration;
 
-/// Name of the database's file.
-pub const FILE: &str = "replica.redb";
-/// Memory that the database may use for caching.
+/// Name of the database file.
+pub const DATABASE_FILE: &str = "replica.redb";
+/// Size of the database's cache, in bytes.
 const CACHE_BYTES: usize = 1 << 20;
-/// Interval between attempts to open a store that a full or failing disk refuses.
+/// Delay between attempts to open a store on a full or failing disk.
 const OPEN_RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How this machine is started. Recorded by a store that is created now, and of no effect on one that is there already.
+/// How this machine is started. A newly created store records it; an existing store is not affected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StartKind {
     /// The whole fleet starts for the first time.
     Bootstrap {
-        /// The seeds that all machines are told at this start.
+        /// Seeds that all machines are configured with at this start.
         seeds: Vec<SocketAddrV4>,
     },
-    /// The fleet runs, or has run.
+    /// The fleet is running or has run before.
     Join,
 }
 
-/// What the store holds when it is opened.
+/// Contents of the store when it is opened.
 pub struct StoreContents {
-    /// This machine's identity, drawn when the store was created.
+    /// Identity of this machine, drawn at random when the store was created.
     pub identity: MemberId,
-    /// Whether the store was created while the whole fleet was bootstrapped.
+    /// Whether the store was created while the fleet was bootstrapped.
     pub bootstrapping: bool,
-    /// The seeds of that first start. `None` where the store was not created then, or by a build that did not record them.
+    /// Seeds at the first start of the fleet. `None` if the store was created later or by a build that did not record them.
     pub bootstrap_seeds: Option<Vec<SocketAddrV4>>,
-    /// The replica's durable state.
+    /// Durable state of the replica.
     pub durable: DurableState,
-    /// The endpoints that were known last; no decision rests on them.
+    /// Last known endpoints. No decision depends on them.
     pub endpoints: Vec<EndpointRecord>,
-    /// The addresses of processes that were known last; no decision rests on them.
+    /// Last known peer addresses. No decision depends on them.
     pub peers: Vec<SocketAddrV4>,
 }
 
@@ -53,37 +53,37 @@
 pub struct OpenStore {
     /// The database, for writes.
     pub database: Database,
-    /// What it held when it was opened.
+    /// Contents when the store was opened.
     pub contents: StoreContents,
 }
 
-/// Opens the store, and retries while the disk refuses. A damaged store is quarantined and an empty one takes
-/// its place. `None` where a later version or another program has written the store: this program must leave
-/// it alone.
+/// Opens the store, retrying on errors of the disk. A damaged store is quarantined and replaced with an empty one.
+/// Returns `None` if a later version of this program or another program has written the store, because this
+/// program must not modify it.
 pub fn open_with_retry(data_dir: &Path, start: &StartKind) -> Option<OpenStore> {
-    // A machine whose store was quarantined has lost its state, whatever the start was: it doesn't bootstrap
-    // a fleet.
+    // A machine whose store was quarantined has lost its state and must not bootstrap a fleet, however it was
+    // started.
     let mut start = start.clone();
     loop {
         match open(data_dir, &start) {
             Ok(opened) => return Some(opened),
-            Err(error @ StoreError::Newer { .. }) => {
+            Err(error @ StoreError::NewerFormat { .. }) => {
                 log_event!(
                     error,
                     "store_newer",
-                    path = data_dir.join(FILE).display(),
+                    path = data_dir.join(DATABASE_FILE).display(),
                     problem = Quoted(&error),
-                    advice = Quoted("start the version that wrote it, or an empty folder"),
+                    advice = Quoted("start the program version that wrote the store, or configure an empty data directory"),
                 );
                 return None;
             }
-            Err(error @ StoreError::Foreign { .. }) => {
+            Err(error @ StoreError::ForeignDatabase { .. }) => {
                 log_event!(
                     error,
                     "store_foreign",
-                    path = data_dir.join(FILE).display(),
+                    path = data_dir.join(DATABASE_FILE).display(),
                     problem = Quoted(&error),
-                    advice = Quoted("give this process a folder of its own"),
+                    advice = Quoted("configure a data directory that no other program uses"),
                 );
                 return None;
             }
@@ -105,36 +105,36 @@
     }
 }
 
-/// Renames a damaged store, for inspection; the machine joins again as one that has lost its disk.
+/// Renames a damaged store, keeping it for inspection. The machine then joins again like one that has lost its disk.
 fn quarantine(data_dir: &Path) {
-    let paths = (1..).map(|number| data_dir.join(format!("{FILE}.damaged.{number}")));
-    let free = paths.into_iter().find(|path| !path.exists());
-    let renamed = free.map(|path| (std::fs::rename(data_dir.join(FILE), &path), path));
+    let paths = (1..).map(|number| data_dir.join(format!("{DATABASE_FILE}.damaged.{number}")));
+    let unused_path = paths.into_iter().find(|path| !path.exists());
+    let renamed = unused_path.map(|path| (std::fs::rename(data_dir.join(DATABASE_FILE), &path), path));
     match renamed {
         Some((Ok(()), path)) => {
-            let advice = Quoted("keep it for inspection");
+            let advice = Quoted("keep the damaged store for inspection");
             log_event!(error, "store_put_aside", path = path.display(), advice = advice);
         }
         _ => thread::sleep(OPEN_RETRY_INTERVAL),
     }
 }
 
-/// Opens the store once.
+/// Opens the store, without retrying on errors.
 ///
 /// # Errors
 ///
-/// Returns why it can't be opened or read.
+/// Returns a [`StoreError`] if the store cannot be opened, read or created, or must not be opened by this program.
 pub fn open(data_dir: &Path, start: &StartKind) -> Result<OpenStore, StoreError> {
     std::fs::create_dir_all(data_dir)?;
-    let path = data_dir.join(FILE);
+    let path = data_dir.join(DATABASE_FILE);
     let database =
         redb::Builder::new().set_cache_size(CACHE_BYTES).create(&path).map_err(StoreError::database)?;
-    // The directory entry of a new file has to survive a power loss, too.
+    // Sync the directory, because the entry of a new file has to survive a power loss, too.
     std::fs::File::open(data_dir)?.sync_all()?;
     check_owner(&database)?;
     let format = read::<u32>(&database, FORMAT)?.unwrap_or(UNVERSIONED_FORMAT);
     if format > FORMAT_VERSION {
-        return Err(StoreError::Newer { found: format, known: FORMAT_VERSION });
+        return Err(StoreError::NewerFormat { found: format, supported: FORMAT_VERSION });
     }
     let identity = read_or_create_identity(&database, start)?;
     let bootstrapping = read(&database, BOOTSTRAPPING)?.unwrap_or(false);
@@ -143,7 +143,7 @@
         witness: read::<WitnessState>(&database, WITNESS)?.unwrap_or_default(),
         state: read::<ReplicatedState>(&database, STATE)?.unwrap_or_default(),
     };
-    // Endpoints register again by their heartbeats: one that can't be decoded is no loss.
+    // Endpoints register again with their next heartbeat, so undecodable records may be dropped.
     let endpoints = read(&database, ENDPOINTS).ok().flatten().unwrap_or_default();
     let peers = read(&database, PEERS).ok().flatten().unwrap_or_default();
     let contents = StoreContents { identity, bootstrapping, bootstrap_seeds, durable, endpoints, peers };
@@ -154,7 +154,7 @@
     if let Some(identity) = read(database, IDENTITY)? {
         return Ok(identity);
     }
-    // 0 stands for no member.
+    // 0 is reserved for no member.
     let identity = MemberId(rand::random::<u64>().max(1));
     let mut values = vec![encode(IDENTITY, &identity)?, encode(FORMAT, &FORMAT_VERSION)?];
     match start {
--- a/crates/router/node/src/storage/writer.rs
+++ b/crates/router/node/src/storage/writer.rs
@@ -1,4 +1,4 @@
-//! The storage thread: opens the store, then writes what is queued, one transaction a request.
+//! The storage thread: opens the store, then executes the queued requests, one transaction per request.
 
 use super::error::StoreError;
 use super::format::{write_endpoints, write_peers, write_replica};
@@ -14,33 +14,33 @@
 
 /// An event of the storage thread.
 pub enum StorageEvent {
-    /// The store is open; the first event.
+    /// The store has been opened. Always the first event.
     Opened(Box<StoreContents>),
-    /// A write has ended. One that has succeeded is synced.
+    /// A write has ended. If it succeeded, it is synced to disk.
     Written {
-        /// Which write.
+        /// Identifier of the write.
         write_id: WriteId,
-        /// Whether it has succeeded.
+        /// Whether the write succeeded.
         succeeded: bool,
     },
 }
 
 /// A request to the storage thread.
 pub enum StoreRequest {
-    /// A write of the replica, acknowledged by [`StorageEvent::Written`].
+    /// Writes the replica's state; acknowledged by [`StorageEvent::Written`].
     Replica {
-        /// Named by the acknowledgement.
+        /// Identifier of the write, echoed by the acknowledgement.
         write_id: WriteId,
-        /// What is written.
+        /// The state to write.
         write: DurableWrite,
     },
-    /// The endpoints that are known; not acknowledged.
+    /// Writes the known endpoints; not acknowledged.
     Endpoints(Vec<EndpointRecord>),
-    /// The addresses of processes that are known; not acknowledged.
+    /// Writes the known peer addresses; not acknowledged.
     Peers(Vec<SocketAddrV4>),
 }
 
-/// Runs until the process ends, or the store has to be given up.
+/// Executes requests until the process ends or the store has to be given up.
 pub fn run(
     data_dir: &Path,
     start: &StartKind,
@@ -54,13 +54,13 @@
     }
     while let Ok(request) = queue.recv() {
         let written = write(&database, &request);
-        // A failure is reported at once; the disk may take long to come back.
+        // Report a failure before reopening, because the disk may take long to recover.
         if !acknowledge(events, &request, written.is_ok()) {
             return;
         }
         if let Err(error) = written {
             log_event!(error, "write_failed", problem = Quoted(&error));
-            // A database that has seen a failed write accepts no further one before it is opened anew.
+            // After a failed write, the database accepts no further write until it is reopened.
             drop(database);
             let Some(reopened) = reopen(data_dir, identity) else { return };
             database = reopened;
@@ -76,7 +76,7 @@
     }
 }
 
-/// Reports the end of a write, if anybody waits for it. Returns false once the process no longer takes
+/// Reports the end of a write if it is to be acknowledged. Returns false once the process no longer receives
 /// events.
 fn acknowledge(events: &Sender<StorageEvent>, request: &StoreRequest, succeeded: bool) -> bool {
     match request {
@@ -88,11 +88,13 @@
     }
 }
 
+/// Reopens the store after a failed write. Returns `None` if the store cannot be used any more.
 fn reopen(data_dir: &Path, identity: MemberId) -> Option<Database> {
     let OpenStore { database, contents } = open_with_retry(data_dir, &StartKind::Join)?;
     if contents.identity != identity {
-        // What this process has promised as an acceptor is lost with the old store. It acknowledges no
-        // further write, so it leads nothing and accepts nothing; the next start joins as a new member.
+        // The promises that this process made as an acceptor are lost with the old store. It therefore
+        // acknowledges no further write, so it can neither lead nor accept. It joins as a new member at its next
+        // start.
         log_event!(error, "store_lost", advice = Quoted("restart this process"));
         return None;
     }
--- a/crates/router/node/src/tasks.rs
+++ b/crates/router/node/src/tasks.rs
@@ -1,8 +1,8 @@
-//! Tasks on the process's single-threaded executor: who owns them and how their end becomes visible.
+//! Tasks on the process's single-threaded executor: their ownership and the reporting of their end.
 //!
-//! Background loops run as long as the process and are owned by [`BackgroundTasks`]; one that ends is logged,
-//! because none should unless the storage was given up. Connection tasks are bounded by their socket or by a
-//! timeout of their own and need no owner.
+//! Background loops run as long as the process and are owned by [`BackgroundTasks`]. The end of a loop is logged,
+//! because none should end unless the storage thread has given up the store. Connection tasks are bounded by their
+//! socket or by their own timeout and need no owner.
 
 use crate::logging::log_event;
 use smol::{LocalExecutor, Task, Timer};
@@ -17,12 +17,12 @@
 }
 
 impl Spawner {
-    /// Spawns on an executor.
+    /// Creates a spawner for an executor.
     pub fn new(executor: &'static LocalExecutor<'static>) -> Self {
         Spawner { executor }
     }
 
-    /// Spawns a task that ends with a connection or within a timeout of its own. Nobody waits for its end.
+    /// Spawns a detached task, which must end with a connection or within its own timeout.
     pub fn spawn_bounded(&self, task: impl Future<Output = ()> + 'static) {
         self.executor.spawn(task).detach();
     }
@@ -35,17 +35,17 @@
 }
 
 impl BackgroundTasks {
-    /// No tasks yet.
+    /// Creates an empty set of tasks.
     pub fn new(spawner: Spawner) -> Self {
         BackgroundTasks { spawner, running: RefCell::default() }
     }
 
-    /// Where bounded tasks are spawned.
+    /// Returns the spawner for bounded tasks.
     pub fn spawner(&self) -> Spawner {
         self.spawner
     }
 
-    /// Spawns and owns a loop. Should it end, that is logged.
+    /// Spawns a loop and keeps it running. If it ends, this is logged under `name`.
     pub fn spawn(&self, name: &'static str, background: impl Future<Output = ()> + 'static) {
         let task = self.spawner.executor.spawn(async move {
             background.await;
@@ -54,18 +54,18 @@
         self.running.borrow_mut().push(task);
     }
 
-    /// Spawns a loop that waits for `interval()` and then acts, for ever. The interval is computed before
+    /// Spawns an endless loop that waits for `interval()` and then calls `action`. The interval is computed before
     /// each wait.
     pub fn spawn_periodic(
         &self,
         name: &'static str,
         interval: impl Fn() -> Duration + 'static,
-        act: impl Fn() + 'static,
+        action: impl Fn() + 'static,
     ) {
         self.spawn(name, async move {
             loop {
                 Timer::after(interval()).await;
-                act();
+                action();
             }
         });
     }
--- a/crates/router/node/src/transport/frame.rs
+++ b/crates/router/node/src/transport/frame.rs
@@ -1,7 +1,7 @@
-//! Codec of the frames between processes; no sockets.
+//! Codec of the frames between processes. This module uses no sockets.
 //!
-//! A frame is CBOR of protocol version, sender and envelope. A small one is sent as it is in a datagram. A
-//! large one is compressed by LZ4 in its block format, with the uncompressed length in front (four bytes,
+//! A frame is the CBOR encoding of protocol version, sender and envelope. A small frame is sent uncompressed in a
+//! datagram. A large frame is compressed in LZ4 block format, prefixed with its uncompressed length (four bytes,
 //! little endian), and sent over a connection after its compressed length (four bytes, big endian).
 
 use passrelay_control_plane::Envelope;
@@ -9,38 +9,38 @@
 use std::net::SocketAddrV4;
 use thiserror::Error;
 
-/// Version of the internal protocol; frames of another one are dropped.
+/// Version of the internal protocol. Frames of other versions are dropped.
 const PROTOCOL_VERSION: u16 = 2;
-/// Maximum length of a frame, compressed or not.
+/// Maximum length of a frame in bytes, both compressed and uncompressed.
 pub const MAX_FRAME_BYTES: usize = 24 << 20;
-/// Length of a length prefix.
+/// Size of a length prefix in bytes.
 pub const LENGTH_BYTES: usize = 4;
 
-/// Why a frame was dropped.
+/// Reason for dropping a received frame.
 #[derive(Debug, Error)]
 pub enum FrameError {
-    /// It is of another version of the protocol.
-    #[error("it is of protocol version {0}")]
+    /// The frame has another protocol version.
+    #[error("the frame has protocol version {0}, expected {PROTOCOL_VERSION}")]
     VersionMismatch(u16),
-    /// Its bytes are no frame.
-    #[error("it can't be read: {0}")]
+    /// The bytes are not a valid frame.
+    #[error("the frame cannot be decoded: {0}")]
     Undecodable(#[source] ciborium::de::Error<std::io::Error>),
-    /// Its bytes can't be decompressed.
-    #[error("it can't be read: {0}")]
+    /// The bytes cannot be decompressed.
+    #[error("the frame cannot be decompressed: {0}")]
     Undecompressable(#[source] lz4_flex::block::DecompressError),
-    /// Its declared length, compressed or not, is over [`MAX_FRAME_BYTES`].
-    #[error("it has {0} bytes")]
+    /// The declared length, compressed or uncompressed, exceeds [`MAX_FRAME_BYTES`].
+    #[error("the frame has {0} bytes, the limit is {MAX_FRAME_BYTES}")]
     TooLong(usize),
-    /// Its connection broke, or it did not arrive in time.
+    /// The connection broke, or the frame did not arrive in time.
     #[error("{0}")]
     Connection(#[from] std::io::Error),
 }
 
-/// A message from another process.
+/// A decoded message from another process.
 pub struct ReceivedMessage {
-    /// Internal address of the process that sent it.
+    /// Internal address of the sender.
     pub from: SocketAddrV4,
-    /// The message.
+    /// The message with the incarnations of sender and addressee.
     pub envelope: Envelope,
 }
 
@@ -51,7 +51,7 @@
     envelope: Envelope,
 }
 
-/// Encodes a frame, uncompressed.
+/// Encodes a frame without compressing it.
 ///
 /// # Errors
 ///
@@ -75,8 +75,8 @@
 ///
 /// # Errors
 ///
-/// Returns [`FrameError::TooLong`] by the declared length, before anything is allocated for it, and
-/// [`FrameError::Undecompressable`].
+/// Returns [`FrameError::TooLong`] if the declared length exceeds the limit, before allocating memory for it, and
+/// [`FrameError::Undecompressable`] if decompression fails.
 pub fn decompress(bytes: &[u8]) -> Result<Vec<u8>, FrameError> {
     let length_prefix = bytes.first_chunk::<LENGTH_BYTES>();
     let declared_length = length_prefix.map_or(0, |prefix| u32::from_le_bytes(*prefix) as usize);
@@ -90,7 +90,8 @@
 ///
 /// # Errors
 ///
-/// Returns [`FrameError::Undecodable`] or [`FrameError::VersionMismatch`].
+/// Returns [`FrameError::Undecodable`] if the bytes are not a valid frame, and [`FrameError::VersionMismatch`] if its
+/// protocol version is not [`PROTOCOL_VERSION`].
 pub fn decode(bytes: &[u8]) -> Result<ReceivedMessage, FrameError> {
     let frame: Frame = ciborium::from_reader(bytes).map_err(FrameError::Undecodable)?;
     if frame.version != PROTOCOL_VERSION {
--- a/crates/router/node/src/transport/frame/tests.rs
+++ b/crates/router/node/src/transport/frame/tests.rs
@@ -1,4 +1,4 @@
-//! Frames byte for byte, and what is dropped.
+//! Tests of the exact encoding of frames and of the errors for which frames are dropped.
 
 use super::*;
 use passrelay_control_plane::{CallId, Message, OperatorMessage, OperatorRequest};
@@ -49,23 +49,23 @@
     let mut bytes = Vec::new();
     ciborium::into_writer(&other, &mut bytes).expect("it is encoded");
     let error = decode(&bytes).err().expect("it is dropped");
-    assert_eq!(error.to_string(), "it is of protocol version 3");
+    assert_eq!(error.to_string(), "the frame has protocol version 3, expected 2");
 }
 
 #[test]
-fn a_declared_length_over_the_bound_is_refused_before_it_is_decompressed() {
+fn a_declared_length_over_the_limit_is_refused_before_decompression() {
     let declared = u32::try_from(MAX_FRAME_BYTES + 1).expect("a length");
     let error = decompress(&declared.to_le_bytes()).expect_err("it is refused");
     assert!(matches!(error, FrameError::TooLong(length) if length == MAX_FRAME_BYTES + 1));
-    assert_eq!(error.to_string(), "it has 25165825 bytes");
+    assert_eq!(error.to_string(), "the frame has 25165825 bytes, the limit is 25165824");
 }
 
 #[test]
-fn what_is_no_frame_is_dropped_with_its_cause() {
+fn an_invalid_frame_is_dropped_with_an_error_that_has_a_source() {
     let undecodable = decode(b"no frame").err().expect("it is dropped");
-    assert!(undecodable.to_string().starts_with("it can't be read: "));
+    assert!(undecodable.to_string().starts_with("the frame cannot be decoded: "));
     assert!(std::error::Error::source(&undecodable).is_some());
     let undecompressable = decompress(&[8, 0, 0, 0, 0xff]).expect_err("it is dropped");
-    assert!(undecompressable.to_string().starts_with("it can't be read: "));
+    assert!(undecompressable.to_string().starts_with("the frame cannot be decompressed: "));
     assert!(std::error::Error::source(&undecompressable).is_some());
 }
--- a/crates/router/node/src/transport/mod.rs
+++ b/crates/router/node/src/transport/mod.rs
@@ -1,7 +1,7 @@
-//! Sockets for messages between processes: small frames as datagrams, large ones compressed over a connection
-//! of their own.
+//! Sockets for messages between processes. Small frames are sent as datagrams; each large frame is sent compressed
+//! over a separate connection.
 //!
-//! Either may be lost without notice. Whoever needs an answer repeats its request.
+//! Either kind may be lost without notice. A sender that needs a response must retry its request.
 
 mod frame;
 
@@ -17,50 +17,51 @@
 use std::net::{SocketAddr, SocketAddrV4};
 use std::time::Duration;
 
-/// Frames up to this length are sent as datagrams: one that fits an Ethernet frame is not fragmented.
+/// Maximum length in bytes of a frame sent as a datagram. A datagram that fits into an Ethernet frame is not fragmented.
 const MAX_DATAGRAM_BYTES: usize = 1_300;
-/// Buffer for datagrams: any that UDP can carry.
+/// Size of the receive buffer in bytes; fits any datagram that UDP can carry.
 const RECEIVE_BUFFER_BYTES: usize = 64 * 1024;
-/// Timeout for sending or receiving a large frame, the connection included.
+/// Timeout for sending or receiving a large frame, including opening the connection.
 const FRAME_TIMEOUT: Duration = Duration::from_secs(3);
-/// Pause after the operating system refused a connection, for want of descriptors for instance.
+/// Delay after a failed accept, for example because file descriptors are exhausted.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The sockets for messages between processes.
 pub struct Transport {
-    own: SocketAddrV4,
+    own_address: SocketAddrV4,
     spawner: Spawner,
     datagrams: UdpSocket,
     listener: TcpListener,
-    /// Received frames that were dropped.
-    dropped: Cell<u64>,
+    /// Number of received frames that were dropped.
+    dropped_frames: Cell<u64>,
 }
 
 impl Transport {
-    /// Opens the sockets, one for datagrams and one for connections on the same port.
+    /// Opens the sockets, one for datagrams and one for connections, on the same port.
     ///
     /// # Errors
     ///
-    /// Returns the operating system's error.
-    pub async fn open(own: SocketAddrV4, spawner: Spawner) -> std::io::Result<Self> {
-        let datagrams = UdpSocket::bind(own).await?;
-        let listener = TcpListener::bind(own).await?;
-        Ok(Transport { own, spawner, datagrams, listener, dropped: Cell::new(0) })
+    /// Returns the operating system's error if a socket cannot be bound.
+    pub async fn open(own_address: SocketAddrV4, spawner: Spawner) -> std::io::Result<Self> {
+        let datagrams = UdpSocket::bind(own_address).await?;
+        let listener = TcpListener::bind(own_address).await?;
+        Ok(Transport { own_address, spawner, datagrams, listener, dropped_frames: Cell::new(0) })
     }
 
-    /// Number of received frames that were dropped: of another version, too long, undecodable, or incomplete.
-    pub fn dropped(&self) -> u64 {
-        self.dropped.get()
+    /// Returns the number of received frames that were dropped because they had another protocol version or were too
+    /// long, undecodable or incomplete.
+    pub fn dropped_frames(&self) -> u64 {
+        self.dropped_frames.get()
     }
 
     /// Counts a received frame that was dropped.
     pub fn count_dropped(&self) {
-        self.dropped.set(self.dropped.get() + 1);
+        self.dropped_frames.set(self.dropped_frames.get() + 1);
     }
 
-    /// Sends a message without waiting for it.
+    /// Sends a message without waiting for its delivery.
     pub fn send(&self, to: SocketAddrV4, envelope: Envelope) {
-        let bytes = match frame::encode(self.own, envelope) {
+        let bytes = match frame::encode(self.own_address, envelope) {
             Ok(bytes) => bytes,
             Err(error) => {
                 log_event!(error, "frame_unwritable", problem = Quoted(&error));
@@ -68,7 +69,7 @@
             }
         };
         if bytes.len() <= MAX_DATAGRAM_BYTES {
-            // A datagram that the operating system can't take just now counts as lost.
+            // A datagram that the operating system cannot accept immediately counts as lost.
             let send = self.datagrams.send_to(&bytes, to);
             let _ = smol::future::block_on(smol::future::poll_once(send));
         } else {
@@ -88,13 +89,13 @@
                         log_event!(warn, "frame_dropped", problem = Quoted(&error));
                     }
                 },
-                // A datagram to a closed port comes back as an error of this socket.
+                // Sending a datagram to a closed port makes a later receive on this socket fail.
                 Err(_) => smol::future::yield_now().await,
             }
         }
     }
 
-    /// Waits for the next connection that brings a large frame.
+    /// Waits for the next connection, which carries a large frame.
     pub async fn accept(&self) -> TcpStream {
         loop {
             match self.listener.accept().await {
@@ -108,7 +109,7 @@
     }
 }
 
-/// Receives the one frame that a connection brings. `None` where it is dropped; the caller counts it.
+/// Receives the single frame that a connection carries. Returns `None` if the frame is dropped; the caller counts it.
 pub async fn receive_frame(mut stream: TcpStream) -> Option<ReceivedMessage> {
     let read = async {
         let mut length = [0; LENGTH_BYTES];
@@ -134,7 +135,7 @@
     }
 }
 
-/// Sends a compressed frame over a connection of its own.
+/// Sends a compressed frame over a new connection.
 async fn send_compressed(to: SocketAddrV4, bytes: Vec<u8>) {
     let write = async {
         let mut stream = TcpStream::connect(SocketAddr::V4(to)).await?;
--- a/crates/router/node/src/upstream.rs
+++ b/crates/router/node/src/upstream.rs
@@ -18,31 +18,31 @@
 
 /// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Time after a response before the connection is reused: an endpoint may send a surplus second response some
-/// milliseconds late.
+/// Minimum time between a response and the reuse of its connection, because an endpoint may send a surplus second
+/// response some milliseconds late.
 const REUSE_DELAY: Duration = Duration::from_millis(12);
-/// Idle timeout of a connection whose endpoint gives none.
+/// Idle timeout of a connection whose endpoint specifies none.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(8);
-/// Upper bound of the idle timeout that an endpoint may give in `Keep-Alive`, in seconds.
+/// Maximum idle timeout that an endpoint may specify in `Keep-Alive`, in seconds.
 const MAX_IDLE_TIMEOUT_S: f64 = 60.0;
-/// A connection is not reused this much before the end that `Keep-Alive` gives, in seconds: the endpoint may
-/// be closing it while the request is on its way.
+/// Time before the end of the `Keep-Alive` timeout from which on a connection is not reused, in seconds: the
+/// endpoint may close it while the request is in flight.
 const IDLE_MARGIN_S: f64 = 0.3;
 /// Maximum number of idle connections to one endpoint.
 const MAX_IDLE_PER_ENDPOINT: usize = 32;
 
-/// A request as it goes to an endpoint.
+/// A request to an endpoint.
 pub type UpstreamRequest = Request<Full<Bytes>>;
 
-/// Why a request has no response.
+/// Error of a request that received no response.
 #[derive(Debug, Error)]
 pub enum SendError {
-    /// Nothing of the request was written, so it was not executed.
+    /// No part of the request was written, so it was not executed.
     #[error("the request was not sent")]
     NotSent,
-    /// The request was written, wholly or in part, so it may have been executed.
-    #[error("the connection broke")]
-    Broken,
+    /// The request was written at least partly, so it may have been executed.
+    #[error("the connection broke after the request was sent")]
+    ConnectionBroken,
 }
 
 /// A connection that can carry one request at a time.
@@ -50,7 +50,7 @@
     sender: SendRequest<Full<Bytes>>,
     address: SocketAddrV4,
     idle_timeout: Duration,
-    /// Whether it has carried a request before.
+    /// Whether the connection has carried a request before.
     pub is_reused: bool,
 }
 
@@ -59,7 +59,7 @@
     ///
     /// # Errors
     ///
-    /// Returns whether the request may have been executed.
+    /// Returns a [`SendError`], which tells whether the request may have been executed.
     pub async fn send(&mut self, request: UpstreamRequest) -> Result<Response<Incoming>, SendError> {
         match self.sender.try_send_request(request).await {
             Ok(response) => {
@@ -68,12 +68,12 @@
             }
             Err(mut error) => Err(match error.take_message() {
                 Some(_) => SendError::NotSent,
-                None => SendError::Broken,
+                None => SendError::ConnectionBroken,
             }),
         }
     }
 
-    /// Takes over the idle timeout that the endpoint gives in `Keep-Alive`.
+    /// Applies the idle timeout that the endpoint specifies in `Keep-Alive`.
     fn apply_keep_alive(&mut self, response: &Response<Incoming>) {
         let keep_alive = response.headers().get("keep-alive").and_then(|value| value.to_str().ok());
         let seconds = keep_alive.and_then(|text| {
@@ -89,27 +89,28 @@
 
 struct IdleConnection {
     connection: Connection,
-    since: Duration,
+    idle_since: Duration,
 }
 
 impl IdleConnection {
     fn is_usable(&self, now: Duration) -> bool {
-        !self.connection.sender.is_closed() && now.saturating_sub(self.since) < self.connection.idle_timeout
+        !self.connection.sender.is_closed()
+            && now.saturating_sub(self.idle_since) < self.connection.idle_timeout
     }
 
     fn can_carry_request(&self, now: Duration) -> bool {
-        now.saturating_sub(self.since) >= REUSE_DELAY && self.connection.sender.is_ready()
+        now.saturating_sub(self.idle_since) >= REUSE_DELAY && self.connection.sender.is_ready()
     }
 }
 
-/// Idle connections by address.
+/// Pool of idle connections, by address of the endpoint.
 #[derive(Default)]
 pub struct ConnectionPool {
     idle: RefCell<HashMap<SocketAddrV4, Vec<IdleConnection>>>,
 }
 
 impl ConnectionPool {
-    /// Takes an idle connection, the most recently used first.
+    /// Takes the most recently used idle connection to an address that can carry a request, if there is one.
     pub fn take(&self, now: Duration, address: SocketAddrV4) -> Option<Connection> {
         let mut by_address = self.idle.borrow_mut();
         let idle = by_address.get_mut(&address)?;
@@ -118,7 +119,8 @@
         Some(idle.remove(index).connection)
     }
 
-    /// Returns a connection whose response has been read whole.
+    /// Returns a connection to the pool after its response has been read completely. Drops it if it cannot be reused
+    /// or the pool holds [`MAX_IDLE_PER_ENDPOINT`] connections to the address.
     pub fn put(&self, now: Duration, mut connection: Connection) {
         if connection.sender.is_closed() || connection.idle_timeout.is_zero() {
             return;
@@ -127,11 +129,11 @@
         let mut by_address = self.idle.borrow_mut();
         let idle = by_address.entry(connection.address).or_default();
         if idle.len() < MAX_IDLE_PER_ENDPOINT {
-            idle.push(IdleConnection { connection, since: now });
+            idle.push(IdleConnection { connection, idle_since: now });
         }
     }
 
-    /// Drops the connections whose idle timeout has passed.
+    /// Drops closed connections and those whose idle timeout has expired.
     pub fn sweep(&self, now: Duration) {
         let mut by_address = self.idle.borrow_mut();
         for idle in by_address.values_mut() {
@@ -140,11 +142,11 @@
         by_address.retain(|_, idle| !idle.is_empty());
     }
 
-    /// Opens a connection.
+    /// Opens a connection to an address.
     ///
     /// # Errors
     ///
-    /// Returns the operating system's error, or a timeout.
+    /// Returns the operating system's or the HTTP library's error, or a timeout after [`CONNECT_TIMEOUT`].
     pub async fn connect(&self, spawner: Spawner, address: SocketAddrV4) -> std::io::Result<Connection> {
         let connect = async {
             let stream = TcpStream::connect(SocketAddr::V4(address)).await?;
