--- a/crates/sidecar/proxy/src/admin.rs
+++ b/crates/sidecar/proxy/src/admin.rs
@@ -4,7 +4,7 @@
 //! answer; a client who connects and says nothing is cut off after [`CALL_TIMEOUT_S`], and when all slots are taken
 //! the client who has waited longest makes room. What a call means is decided by the loop.
 
-use crate::http::answer_head;
+use crate::http::response_head;
 use mio::net::{TcpListener, TcpStream};
 use mio::{Interest, Registry, Token};
 use slab::Slab;
@@ -13,9 +13,9 @@
 use std::net::{Shutdown, SocketAddr};
 
 /// The admin listener.
-pub const ADMIN: Token = Token(3);
+pub const ADMIN_LISTENER: Token = Token(3);
 /// Tokens of the admin connections start here, far above those of the connections.
-pub const ADMIN_BASE: usize = 1 << 40;
+pub const FIRST_ADMIN_TOKEN: usize = 1 << 40;
 /// Operators connected at once.
 const SLOTS: usize = 32;
 /// A call has to be in so long after its client connected.
@@ -78,7 +78,7 @@
 
 /// One operator's connection.
 struct AdminConnection {
-    sock: TcpStream,
+    socket: TcpStream,
     since: f64,
     head: Vec<u8>,
     out: Vec<u8>,
@@ -99,7 +99,7 @@
     /// Listens for operators.
     pub fn open(address: SocketAddr, registry: &Registry) -> io::Result<AdminListener> {
         let mut listener = TcpListener::bind(address)?;
-        registry.register(&mut listener, ADMIN, Interest::READABLE)?;
+        registry.register(&mut listener, ADMIN_LISTENER, Interest::READABLE)?;
         Ok(AdminListener { listener, connections: Slab::with_capacity(SLOTS), cut_off: 0 })
     }
 
@@ -111,8 +111,8 @@
     /// Lets in who has come, making room by cutting off the client who has waited longest.
     pub fn accept(&mut self, now: f64, registry: &Registry) {
         loop {
-            let mut sock = match self.listener.accept() {
-                Ok((sock, _)) => sock,
+            let mut socket = match self.listener.accept() {
+                Ok((socket, _)) => socket,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => continue,
                 // Out of descriptors or a client gone before it was let in: the next event tries again.
@@ -127,11 +127,11 @@
                 }
             }
             let entry = self.connections.vacant_entry();
-            let token = Token(ADMIN_BASE + entry.key());
-            if registry.register(&mut sock, token, Interest::READABLE | Interest::WRITABLE).is_ok() {
+            let token = Token(FIRST_ADMIN_TOKEN + entry.key());
+            if registry.register(&mut socket, token, Interest::READABLE | Interest::WRITABLE).is_ok() {
                 let head = Vec::with_capacity(512);
                 entry.insert(AdminConnection {
-                    sock,
+                    socket,
                     since: now,
                     head,
                     out: Vec::new(),
@@ -144,7 +144,7 @@
 
     /// Callback of a connection: the call, once it is whole. A call that is not one is answered here.
     pub fn on_ready(&mut self, token: Token, registry: &Registry) -> Option<(usize, Call)> {
-        let key = token.0.checked_sub(ADMIN_BASE)?;
+        let key = token.0.checked_sub(FIRST_ADMIN_TOKEN)?;
         let connection = self.connections.get_mut(key)?;
         if !connection.out.is_empty() {
             return match self.write(key) {
@@ -154,7 +154,7 @@
         }
         let mut chunk = [0u8; 1024];
         loop {
-            match connection.sock.read(&mut chunk) {
+            match connection.socket.read(&mut chunk) {
                 Ok(0) => return self.close(key, registry),
                 Ok(n) => connection.head.extend_from_slice(
                     &chunk[..n.min(HEAD_BYTES + 1 - connection.head.len().min(HEAD_BYTES))],
@@ -181,15 +181,15 @@
         &mut self,
         key: usize,
         status: u16,
-        media: &str,
+        content_type: &str,
         body: &str,
         more: &[(&str, &dyn Display)],
         registry: &Registry,
     ) {
         let Some(connection) = self.connections.get_mut(key) else { return };
-        let mut fields: Vec<(&str, &dyn Display)> = vec![("Content-Type", &media)];
+        let mut fields: Vec<(&str, &dyn Display)> = vec![("Content-Type", &content_type)];
         fields.extend_from_slice(more);
-        connection.out = answer_head(status, body.len(), true, &fields);
+        connection.out = response_head(status, body.len(), true, &fields);
         connection.out.extend_from_slice(body.as_bytes());
         if self.write(key).is_err() {
             self.close::<()>(key, registry);
@@ -199,7 +199,7 @@
     fn write(&mut self, key: usize) -> Result<(), ()> {
         let connection = &mut self.connections[key];
         while connection.written < connection.out.len() {
-            match connection.sock.write(&connection.out[connection.written..]) {
+            match connection.socket.write(&connection.out[connection.written..]) {
                 Ok(0) => return Err(()),
                 Ok(n) => connection.written += n,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
@@ -210,14 +210,14 @@
         if !connection.done {
             connection.done = true;
             // The client reads to the end; what it still sends is read and dropped until it closes.
-            let _ = connection.sock.shutdown(Shutdown::Write);
+            let _ = connection.socket.shutdown(Shutdown::Write);
         }
         Ok(())
     }
 
     fn close<T>(&mut self, key: usize, registry: &Registry) -> Option<T> {
         if let Some(mut connection) = self.connections.try_remove(key) {
-            let _ = registry.deregister(&mut connection.sock);
+            let _ = registry.deregister(&mut connection.socket);
         }
         None
     }
--- a/crates/sidecar/proxy/src/body_relay.rs
+++ b/crates/sidecar/proxy/src/body_relay.rs
@@ -18,18 +18,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Flow {
     /// Waiting for one side or the other.
-    Going,
+    Blocked,
     /// There may be more on both sides: others first, then again.
-    More,
+    Yield,
     /// All of it is out; the node's connection may carry another attempt if `reusable`.
     Done {
         /// Nothing stands behind the answer and the node keeps the connection.
         reusable: bool,
     },
     /// The node broke off or sent what is no answer.
-    NodeBroke,
+    NodeFailed,
     /// The client's connection failed.
-    ClientGone,
+    ClientFailed,
 }
 
 /// The state of one relay.
@@ -50,7 +50,7 @@
     /// The last piece, the end of the chunks among them, is set out.
     last: bool,
     /// When bytes last moved either way.
-    pub moved_at: f64,
+    pub last_progress: f64,
     /// Bytes of the body passed on.
     pub passed: u64,
 }
@@ -68,7 +68,7 @@
             chunks,
             whole,
             last,
-            moved_at: now,
+            last_progress: now,
             passed,
         }
     }
@@ -90,14 +90,14 @@
                 let slices =
                     [IoSlice::new(&self.prefix[self.written.min(prefix)..]), IoSlice::new(&data[done..])];
                 match client.write_vectored(&slices) {
-                    Ok(0) => return Flow::ClientGone,
+                    Ok(0) => return Flow::ClientFailed,
                     Ok(n) => {
                         self.written += n;
-                        self.moved_at = now;
+                        self.last_progress = now;
                     }
                     Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                    Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Flow::Going,
-                    Err(_) => return Flow::ClientGone,
+                    Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Flow::Blocked,
+                    Err(_) => return Flow::ClientFailed,
                 }
                 continue;
             }
@@ -105,7 +105,7 @@
             self.passed += self.piece as u64;
             if self.passed > MAX_RELAYED_BYTES as u64 {
                 // Guards against an answer without end; one that tells its length is never as long.
-                return Flow::NodeBroke;
+                return Flow::NodeFailed;
             }
             self.prefix = Vec::new();
             self.piece = 0;
@@ -133,11 +133,11 @@
             }
             if buffer.is_full() {
                 // Framing that fills a whole buffer without a byte of body is no answer.
-                return Flow::NodeBroke;
+                return Flow::NodeFailed;
             }
             // Guards against a long answer between two fast sides that keeps the loop to itself.
             if read >= MAX_READ_PER_TURN {
-                return Flow::More;
+                return Flow::Yield;
             }
             let ended = match buffer.fill_from(node) {
                 Ok(n) => {
@@ -145,15 +145,15 @@
                     n == 0
                 }
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => continue,
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Flow::Going,
-                Err(_) => return Flow::NodeBroke,
+                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Flow::Blocked,
+                Err(_) => return Flow::NodeFailed,
             };
-            self.moved_at = now;
+            self.last_progress = now;
             match body.read(buffer, ended) {
                 Ok(true) => self.whole = true,
-                Ok(false) if ended => return Flow::NodeBroke,
+                Ok(false) if ended => return Flow::NodeFailed,
                 Ok(false) => {}
-                Err(_) => return Flow::NodeBroke,
+                Err(_) => return Flow::NodeFailed,
             }
         }
     }
--- a/crates/sidecar/proxy/src/body_relay/tests.rs
+++ b/crates/sidecar/proxy/src/body_relay/tests.rs
@@ -45,11 +45,11 @@
 
 fn pass(answer: &[u8], chunked: bool) -> (Flow, Vec<u8>) {
     let mut buffers = BufferPool::default();
-    let mut buffer = buffers.take();
+    let mut buffer = buffers.acquire();
     let mut node = Trickle { bytes: answer.to_vec(), at: 0, turn: false };
     let mut body = loop {
         assert!(!matches!(buffer.fill_from(&mut node), Ok(0)), "no head");
-        if let Some(head) = Head::of_answer(buffer.bytes()).unwrap() {
+        if let Some(head) = Head::parse_response(buffer.bytes()).unwrap() {
             break BodyReader::new(&head);
         }
     };
@@ -60,7 +60,7 @@
     let mut client = Slow { out: Vec::new(), calls: 0 };
     for round in 0..100_000 {
         match relay.pump(f64::from(round), &mut buffer, &mut body, &mut node, &mut client) {
-            Flow::Going | Flow::More => {}
+            Flow::Blocked | Flow::Yield => {}
             end => return (end, client.out),
         }
     }
@@ -108,7 +108,7 @@
     assert_eq!(flow, Flow::Done { reusable: false });
     assert!(unchunk(&out[8..]) == body);
     let (flow, _) = pass(&length[..length.len() - 10], false);
-    assert_eq!(flow, Flow::NodeBroke, "an answer cut short is not passed off as whole");
+    assert_eq!(flow, Flow::NodeFailed, "an answer cut short is not passed off as whole");
 }
 
 /// Always has more.
@@ -125,9 +125,9 @@
 // else waited, until all of it had passed.
 #[test]
 fn an_answer_that_never_has_to_wait_lets_others_in_between() {
-    let head = Head::of_answer(b"HTTP/1.1 200 OK\r\nContent-Length: 8000000\r\n\r\n").unwrap().unwrap();
+    let head = Head::parse_response(b"HTTP/1.1 200 OK\r\nContent-Length: 8000000\r\n\r\n").unwrap().unwrap();
     let (mut buffers, mut body) = (BufferPool::default(), BodyReader::new(&head));
-    let mut buffer = buffers.take();
+    let mut buffer = buffers.acquire();
     let mut bytes = &b"HTTP/1.1 200 OK\r\nContent-Length: 8000000\r\n\r\n"[..];
     buffer.fill_from(&mut bytes).unwrap();
     body.streaming = true;
@@ -138,7 +138,7 @@
     loop {
         let before = client.len();
         match relay.pump(0.0, &mut buffer, &mut body, &mut Fast, &mut client) {
-            Flow::More => turns += 1,
+            Flow::Yield => turns += 1,
             Flow::Done { .. } => break,
             other => panic!("{other:?}"),
         }
--- a/crates/sidecar/proxy/src/buffer_pool.rs
+++ b/crates/sidecar/proxy/src/buffer_pool.rs
@@ -7,11 +7,11 @@
 /// The longest body.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
 /// Room for what a head grows by on its way to a node.
-const GROWTH: usize = 1024;
+const HEAD_GROWTH_BYTES: usize = 1024;
 /// The size of every buffer.
-const BUFFER_SIZE: usize = MAX_HEAD_BYTES + MAX_BODY_BYTES + GROWTH;
+const BUFFER_SIZE: usize = MAX_HEAD_BYTES + MAX_BODY_BYTES + HEAD_GROWTH_BYTES;
 /// Unused buffers that are kept.
-const SPARE: usize = 128;
+const MAX_FREE_BUFFERS: usize = 128;
 
 /// One buffer: its bytes from 0 to `end` are filled.
 pub struct Buffer {
@@ -37,7 +37,7 @@
     }
 
     /// Moves the bytes `from..to` down to `at`.
-    pub fn shutdown_phase(&mut self, from: usize, to: usize, at: usize) {
+    pub fn shift_down(&mut self, from: usize, to: usize, at: usize) {
         self.buf.copy_within(from..to, at);
     }
 
@@ -68,22 +68,22 @@
 /// The pool of buffers. How many are out is bounded by the caps on connections: each holds one at most.
 #[derive(Default)]
 pub struct BufferPool {
-    spare: Vec<Box<[u8]>>,
+    free: Vec<Box<[u8]>>,
     /// Buffers taken and not given back.
-    pub out: usize,
+    pub in_use: usize,
 }
 
 impl BufferPool {
-    pub fn take(&mut self) -> Buffer {
-        let buf = self.spare.pop().unwrap_or_else(|| vec![0; BUFFER_SIZE].into_boxed_slice());
-        self.out += 1;
+    pub fn acquire(&mut self) -> Buffer {
+        let buf = self.free.pop().unwrap_or_else(|| vec![0; BUFFER_SIZE].into_boxed_slice());
+        self.in_use += 1;
         Buffer { buf, end: 0 }
     }
 
-    pub fn give_back(&mut self, buffer: Buffer) {
-        self.out = self.out.saturating_sub(1);
-        if self.spare.len() < SPARE {
-            self.spare.push(buffer.buf);
+    pub fn release(&mut self, buffer: Buffer) {
+        self.in_use = self.in_use.saturating_sub(1);
+        if self.free.len() < MAX_FREE_BUFFERS {
+            self.free.push(buffer.buf);
         }
     }
 }
--- a/crates/sidecar/proxy/src/client_connection.rs
+++ b/crates/sidecar/proxy/src/client_connection.rs
@@ -16,7 +16,7 @@
     /// No complete request yet.
     Partial,
     /// Drained input; there may be more in the next turn.
-    More,
+    Yield,
     /// A complete request.
     Request(Head),
     /// Input that is no valid request.
@@ -45,14 +45,14 @@
 
 /// One client's connection.
 pub struct ClientConnection {
-    pub sock: TcpStream,
+    pub socket: TcpStream,
     pub stage: Stage,
     /// Start of the current stage, in seconds on the loop's clock.
     pub since: f64,
     /// When it was accepted; `None` after its first complete request.
     pub new_since: Option<f64>,
     /// Sequence number in the order of accepts.
-    pub number: u64,
+    pub serial: u64,
     /// Whether to close after the current or next answer.
     pub close: bool,
     /// The client has shut down its side: nobody waits for an answer, whatever it sent before.
@@ -71,13 +71,13 @@
 }
 
 impl ClientConnection {
-    pub fn new(sock: TcpStream, now: f64, number: u64) -> Self {
+    pub fn new(socket: TcpStream, now: f64, serial: u64) -> Self {
         ClientConnection {
-            sock,
+            socket,
             stage: Stage::Idle,
             since: now,
             new_since: Some(now),
-            number,
+            serial,
             close: false,
             peer_closed: false,
             progress: now,
@@ -95,7 +95,7 @@
     /// Whether closing now loses nothing: no complete request is there, read or unread.
     pub fn has_no_unread_input(&self) -> bool {
         match self.stage {
-            Stage::Idle => !matches!(self.sock.peek(&mut [0]), Ok(n) if n > 0),
+            Stage::Idle => !matches!(self.socket.peek(&mut [0]), Ok(n) if n > 0),
             Stage::Lingering | Stage::Reading => true,
             Stage::Waiting(_) | Stage::Writing | Stage::Relaying(_) => false,
         }
@@ -108,7 +108,7 @@
 
     /// The body of the request that waits.
     pub fn request_body(&self) -> &[u8] {
-        self.buffer.as_ref().map_or(&[], |t| &t.bytes()[self.body.clone()])
+        self.buffer.as_ref().map_or(&[], |buffer| &buffer.bytes()[self.body.clone()])
     }
 
     /// Callback: bytes may have come. Called again until it brings nothing.
@@ -127,11 +127,11 @@
                 Ok(None) => {}
                 Err(fault) => return Received::Invalid(fault),
             }
-            let buffer = self.buffer.get_or_insert_with(|| buffers.take());
+            let buffer = self.buffer.get_or_insert_with(|| buffers.acquire());
             if buffer.is_full() {
                 return Received::Invalid(MessageError(413));
             }
-            match buffer.fill_from(&mut self.sock) {
+            match buffer.fill_from(&mut self.socket) {
                 Ok(0) => return Received::Closed,
                 Ok(_) if self.stage == Stage::Idle => {
                     self.stage = Stage::Reading;
@@ -143,7 +143,7 @@
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
                     // Held only while bytes are in flight.
                     if self.stage == Stage::Idle {
-                        self.buffer.take().into_iter().for_each(|t| buffers.give_back(t));
+                        self.buffer.take().into_iter().for_each(|buffer| buffers.release(buffer));
                     }
                     return Received::Partial;
                 }
@@ -160,7 +160,7 @@
         }
         let Some(buffer) = self.buffer.as_mut() else { return Received::Partial };
         while !buffer.is_full() {
-            match buffer.fill_from(&mut self.sock) {
+            match buffer.fill_from(&mut self.socket) {
                 Ok(0) => return Received::Closed,
                 Ok(_) => {}
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
@@ -173,11 +173,13 @@
 
     /// Looks for a whole request in what has been read.
     fn parse_buffered(&mut self) -> Result<Option<Head>, MessageError> {
-        let Some(buffer) = self.buffer.as_mut().filter(|t| !t.bytes().is_empty()) else { return Ok(None) };
+        let Some(buffer) = self.buffer.as_mut().filter(|buffer| !buffer.bytes().is_empty()) else {
+            return Ok(None);
+        };
         if self.reading.is_none() {
-            let Some(head) = Head::of_request(buffer.bytes())? else { return Ok(None) };
+            let Some(head) = Head::parse_request(buffer.bytes())? else { return Ok(None) };
             let body = BodyReader::new(&head);
-            self.continued = !head.lists("expect", "100-continue");
+            self.continued = !head.has_token("expect", "100-continue");
             self.reading = Some((head, body));
         }
         let Some((_, body)) = self.reading.as_mut() else { return Ok(None) };
@@ -189,7 +191,7 @@
         if !self.continued {
             self.continued = true;
             // Small enough for an empty send buffer; a client that misses it sends the body unasked.
-            let _ = self.sock.write(b"HTTP/1.1 100 Continue\r\n\r\n");
+            let _ = self.socket.write(b"HTTP/1.1 100 Continue\r\n\r\n");
         }
         Ok(None)
     }
@@ -209,13 +211,14 @@
             return Ok(false);
         }
         loop {
-            let body: &[u8] = self.out_body.as_ref().map_or(&[], |(t, r)| &t.bytes()[r.clone()]);
+            let body: &[u8] =
+                self.out_body.as_ref().map_or(&[], |(buffer, range)| &buffer.bytes()[range.clone()]);
             let head = &self.out_head[self.written.min(self.out_head.len())..];
             let body = &body[self.written.saturating_sub(self.out_head.len()).min(body.len())..];
             if head.is_empty() && body.is_empty() {
                 break;
             }
-            match self.sock.write_vectored(&[IoSlice::new(head), IoSlice::new(body)]) {
+            match self.socket.write_vectored(&[IoSlice::new(head), IoSlice::new(body)]) {
                 Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
                 Ok(n) => self.written += n,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
@@ -223,19 +226,19 @@
                 Err(e) => return Err(e),
             }
         }
-        self.out_body.take().into_iter().for_each(|(t, _)| buffers.give_back(t));
-        self.answered(now, buffers);
+        self.out_body.take().into_iter().for_each(|(buffer, _)| buffers.release(buffer));
+        self.finish_response(now, buffers);
         Ok(true)
     }
 
     /// The answer is out: what the client sent behind its request is read next.
-    pub fn answered(&mut self, now: f64, buffers: &mut BufferPool) {
+    pub fn finish_response(&mut self, now: f64, buffers: &mut BufferPool) {
         if let Some(buffer) = self.buffer.as_mut() {
             buffer.cut(0, self.rest);
         }
-        let early = self.buffer.as_ref().is_some_and(|t| !t.bytes().is_empty());
+        let early = self.buffer.as_ref().is_some_and(|buffer| !buffer.bytes().is_empty());
         if !early {
-            self.buffer.take().into_iter().for_each(|t| buffers.give_back(t));
+            self.buffer.take().into_iter().for_each(|buffer| buffers.release(buffer));
         }
         self.rest = 0;
         self.body = 0..0;
@@ -244,8 +247,8 @@
     }
 
     /// The last answer is out: says so to the client.
-    pub fn leave(&mut self, now: f64) {
-        let _ = self.sock.shutdown(Shutdown::Write);
+    pub fn start_lingering(&mut self, now: f64) {
+        let _ = self.socket.shutdown(Shutdown::Write);
         self.stage = Stage::Lingering;
         self.since = now;
     }
@@ -254,20 +257,20 @@
     pub fn drain_input(&mut self) -> Received {
         let mut sink = [0; 4096];
         for _ in 0..MAX_DRAIN_READS {
-            match self.sock.read(&mut sink) {
+            match self.socket.read(&mut sink) {
                 Ok(n) if n > 0 => {}
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Received::Partial,
                 _ => return Received::Closed,
             }
         }
-        Received::More
+        Received::Yield
     }
 
     /// Gives the buffers back.
     pub fn clear(mut self, buffers: &mut BufferPool) -> TcpStream {
-        self.buffer.take().into_iter().for_each(|t| buffers.give_back(t));
-        self.out_body.take().into_iter().for_each(|(t, _)| buffers.give_back(t));
-        self.sock
+        self.buffer.take().into_iter().for_each(|buffer| buffers.release(buffer));
+        self.out_body.take().into_iter().for_each(|(buffer, _)| buffers.release(buffer));
+        self.socket
     }
 }
--- a/crates/sidecar/proxy/src/connections.rs
+++ b/crates/sidecar/proxy/src/connections.rs
@@ -4,7 +4,7 @@
 use crate::buffer_pool::BufferPool;
 use crate::client_connection::ClientConnection;
 use crate::discovery_client::DiscoveryClient;
-use crate::http::{answer_head, Head};
+use crate::http::{response_head, Head};
 use crate::log::Log;
 use crate::pool::{Attempt, AttemptResult, Pools, ResponseBody, UpstreamConnection};
 use crate::timer_wheel::TimerWheel;
@@ -32,27 +32,27 @@
 pub enum Timer {
     Dispatcher(dispatcher::Timer),
     /// A connection to a node should be up by now; the number tells its attempt from a later one.
-    Dial(usize, Attempt),
+    ConnectTimeout(usize, Attempt),
     /// A connection that is late, with this number, is given up for good.
-    Late(usize, u64),
+    LateConnectTimeout(usize, u64),
     /// A probe should be back.
-    Probe(usize, Attempt),
+    HealthCheckTimeout(usize, Attempt),
     /// A kept connection has shown no fault: the last byte of its attempt may go out.
-    LastByte(usize, Attempt),
+    SendLastByte(usize, Attempt),
     /// The next call to discovery.
-    Ask,
+    DiscoveryCall,
     /// Discovery should have answered call N.
-    Overdue(u64),
+    DiscoveryTimeout(u64),
     /// Idle and slow connections are looked through, and the listener is tried again.
     Sweep,
     /// Figures go to the log.
-    Figures,
+    LogCounters,
     /// After SIGTERM: arrivals have ended.
     CloseListener,
     /// After SIGTERM: kept connections have had their time.
-    LastCall,
+    CloseIdleClients,
     /// After SIGTERM: what is owed has to be answered now.
-    AnswersDue,
+    AnswerPending,
     /// After SIGTERM: the process ends.
     Exit,
 }
@@ -64,7 +64,7 @@
         number: u32,
         ending: Ending,
     },
-    ProbeOutcome {
+    HealthCheckOutcome {
         node: UpstreamId,
         ending: Ending,
     },
@@ -118,9 +118,9 @@
     pub continuations: BTreeSet<Continuation>,
     pub now: f64,
     /// Clients let in so far.
-    accept: u64,
+    last_client_serial: u64,
     /// Connections to nodes begun so far.
-    dialed: u64,
+    last_upstream_serial: u64,
     /// Answers say that the connection closes: after SIGTERM's last call, or in standby.
     pub closing: bool,
     name: String,
@@ -128,21 +128,21 @@
     /// The clients' ids of these.
     call_ids: HashSet<String>,
     /// Where each attempt is.
-    out: HashMap<(RequestId, u32), usize>,
+    in_flight: HashMap<(RequestId, u32), usize>,
     /// The body of the answer that is about to be given.
-    pub load: Option<ResponseBody>,
+    pub response_body: Option<ResponseBody>,
     /// The upstream whose served answer is about to be passed on while it comes.
-    pub stream: Option<usize>,
+    pub streamed_upstream: Option<usize>,
     max_upstreams: usize,
     connect_timeout: f64,
-    conn_idle: f64,
+    upstream_idle_timeout: f64,
 }
 
 /// Limits of connections; times in seconds.
 pub struct Bounds {
     pub max_upstreams: usize,
     pub connect_timeout: f64,
-    pub conn_idle: f64,
+    pub upstream_idle_timeout: f64,
 }
 
 impl Connections {
@@ -166,18 +166,18 @@
             events: VecDeque::new(),
             continuations: BTreeSet::new(),
             now: 0.0,
-            accept: 0,
-            dialed: 0,
+            last_client_serial: 0,
+            last_upstream_serial: 0,
             closing: false,
             name: name.to_owned(),
             pending: HashMap::new(),
             call_ids: HashSet::new(),
-            out: HashMap::new(),
-            load: None,
-            stream: None,
+            in_flight: HashMap::new(),
+            response_body: None,
+            streamed_upstream: None,
             max_upstreams: bounds.max_upstreams,
             connect_timeout: bounds.connect_timeout,
-            conn_idle: bounds.conn_idle * IDLE_TIMEOUT_FRACTION,
+            upstream_idle_timeout: bounds.upstream_idle_timeout * IDLE_TIMEOUT_FRACTION,
         }
     }
 
@@ -189,13 +189,13 @@
     pub fn run_continuations(&mut self) {
         for continuations in std::mem::take(&mut self.continuations) {
             match continuations {
-                Continuation::DrainInput(key, number) => {
-                    if self.clients.get(key).is_some_and(|k| k.number == number) {
+                Continuation::DrainInput(key, serial) => {
+                    if self.clients.get(key).is_some_and(|client| client.serial == serial) {
                         self.drain_input(key);
                     }
                 }
-                Continuation::Pump(upstream, number) => {
-                    if self.upstreams.get(upstream).is_some_and(|b| b.number == number) {
+                Continuation::Pump(upstream, serial) => {
+                    if self.upstreams.get(upstream).is_some_and(|upstream| upstream.serial == serial) {
                         self.pump(upstream);
                     }
                 }
@@ -210,27 +210,27 @@
     }
 
     fn cancel(&mut self, id: RequestId, number: u32) {
-        if let Some(key) = self.out.remove(&(id, number)) {
+        if let Some(key) = self.in_flight.remove(&(id, number)) {
             self.close_upstream(key);
         }
     }
 
     fn answer(&mut self, id: RequestId, answer: Answer) {
-        let load = self.load.take();
+        let load = self.response_body.take();
         let Some(key) = self.untrack_request(id) else { return };
-        if let (Answer::Served { .. }, Some(upstream)) = (answer, self.stream) {
-            self.stream = None;
-            load.into_iter().for_each(|l| self.buffers.give_back(l.buffer));
+        if let (Answer::Served { .. }, Some(upstream)) = (answer, self.streamed_upstream) {
+            self.streamed_upstream = None;
+            load.into_iter().for_each(|body| self.buffers.release(body.buffer));
             return self.open_relay(key, upstream);
         }
         match (answer, load) {
-            (Answer::Served { .. }, Some(ResponseBody { buffer, body, media })) => {
-                let Some(client) = self.clients.get_mut(key) else { return self.buffers.give_back(buffer) };
+            (Answer::Served { .. }, Some(ResponseBody { buffer, range, content_type })) => {
+                let Some(client) = self.clients.get_mut(key) else { return self.buffers.release(buffer) };
                 client.close |= self.closing;
                 let fields: Vec<(&str, &dyn Display)> =
-                    media.iter().map(|m| ("Content-Type", m as &dyn Display)).collect();
-                let head = answer_head(200, body.len(), client.close, &fields);
-                client.reply(self.now, head, Some((buffer, body)));
+                    content_type.iter().map(|m| ("Content-Type", m as &dyn Display)).collect();
+                let head = response_head(200, range.len(), client.close, &fields);
+                client.reply(self.now, head, Some((buffer, range)));
                 self.write_out(key);
             }
             (Answer::Rejected { retry_after: Some(wait) }, _) => {
@@ -248,16 +248,16 @@
     }
 
     fn health_check(&mut self, node: UpstreamId) {
-        self.start_attempt(node, Attempt::Probe { sent: self.now });
+        self.start_attempt(node, Attempt::HealthCheck { sent_at: self.now });
     }
 
     fn subscribe(&mut self) {
-        self.discovery.wanted = true;
-        self.ask();
+        self.discovery.subscribed = true;
+        self.call_discovery();
     }
 
     fn set_timer(&mut self, at: f64, timer: dispatcher::Timer) {
-        self.timers.set(at, Timer::Dispatcher(timer));
+        self.timers.schedule(at, Timer::Dispatcher(timer));
     }
 }
 
--- a/crates/sidecar/proxy/src/connections/clients.rs
+++ b/crates/sidecar/proxy/src/connections/clients.rs
@@ -3,7 +3,7 @@
 use super::tokens::client_token;
 use super::{call_id, ConnectionEvent, Connections, Continuation, Pending};
 use crate::client_connection::{ClientConnection, Received, Stage};
-use crate::http::{answer_head, Head};
+use crate::http::{response_head, Head};
 use mio::net::TcpStream;
 use mio::Interest;
 use passrelay_load_balancing::RequestId;
@@ -36,25 +36,25 @@
 
 impl Connections {
     /// Registers an accepted connection.
-    pub fn accept(&mut self, mut sock: TcpStream) -> io::Result<()> {
-        let _ = sock.set_nodelay(true);
+    pub fn accept(&mut self, mut socket: TcpStream) -> io::Result<()> {
+        let _ = socket.set_nodelay(true);
         let entry = self.clients.vacant_entry();
         let key = entry.key();
-        self.accept += 1;
-        let token = client_token(key, self.accept);
-        self.registry.register(&mut sock, token, Interest::READABLE | Interest::WRITABLE)?;
-        entry.insert(ClientConnection::new(sock, self.now, self.accept));
+        self.last_client_serial += 1;
+        let token = client_token(key, self.last_client_serial);
+        self.registry.register(&mut socket, token, Interest::READABLE | Interest::WRITABLE)?;
+        entry.insert(ClientConnection::new(socket, self.now, self.last_client_serial));
         Ok(())
     }
 
     /// Closes a client's connection.
     pub fn close_client(&mut self, key: usize) {
-        if let Some(Stage::Relaying(upstream)) = self.clients.get(key).map(|k| k.stage) {
+        if let Some(Stage::Relaying(upstream)) = self.clients.get(key).map(|client| client.stage) {
             self.close_upstream(upstream);
         }
         if let Some(client) = self.clients.try_remove(key) {
-            let mut sock = client.clear(&mut self.buffers);
-            let _ = self.registry.deregister(&mut sock);
+            let mut socket = client.clear(&mut self.buffers);
+            let _ = self.registry.deregister(&mut socket);
         }
     }
 
@@ -62,13 +62,13 @@
     /// forwarding any of it. Closing with unread bytes would reset the connection and destroy the last answer.
     pub fn close_gracefully(&mut self, key: usize) {
         if let Some(client) = self.clients.get_mut(key) {
-            client.leave(self.now);
+            client.start_lingering(self.now);
             self.drain_input(key);
         }
     }
 
     /// Requests without an answer, by id.
-    pub fn owed(&self) -> Vec<RequestId> {
+    pub fn pending_request_ids(&self) -> Vec<RequestId> {
         let mut ids: Vec<_> = self.pending.keys().copied().collect();
         ids.sort_unstable();
         ids
@@ -76,7 +76,7 @@
 
     /// Connections with a partially received request.
     pub fn partially_received(&self) -> Vec<usize> {
-        self.clients.iter().filter(|(_, k)| k.stage == Stage::Reading).map(|(key, _)| key).collect()
+        self.clients.iter().filter(|(_, client)| client.stage == Stage::Reading).map(|(key, _)| key).collect()
     }
 
     /// Closes the connection that has been idle longest, or else the one that has been receiving its request longest; returns whether
@@ -84,26 +84,31 @@
     /// requests are not, or many half requests could lock others out.
     pub fn evict_idle_client(&mut self) -> bool {
         let now = self.now;
-        self.evict_oldest(|k| is_idle(k, now))
-            || self.evict_oldest(|k| k.stage == Stage::Reading && now - k.since >= EVICTABLE_READING_AFTER_S)
+        self.evict_oldest(|client| is_idle(client, now))
+            || self.evict_oldest(|client| {
+                client.stage == Stage::Reading && now - client.since >= EVICTABLE_READING_AFTER_S
+            })
     }
 
     /// Whether a new client can be accepted, if need be by evicting an idle one.
     pub fn can_accept(&self, most: usize) -> bool {
-        self.clients.len() < most || self.clients.iter().any(|(_, k)| is_idle(k, self.now))
+        self.clients.len() < most || self.clients.iter().any(|(_, client)| is_idle(client, self.now))
     }
 
     /// Closes all idle client connections; in standby, clients are to connect elsewhere.
     pub fn close_idle_clients(&mut self) {
-        let idle = self.clients.iter().filter(|(_, k)| k.stage == Stage::Idle && k.has_no_unread_input());
+        let idle = self
+            .clients
+            .iter()
+            .filter(|(_, client)| client.stage == Stage::Idle && client.has_no_unread_input());
         let idle: Vec<_> = idle.map(|(key, _)| key).collect();
         idle.into_iter().for_each(|key| self.close_gracefully(key));
     }
 
     /// Closes the oldest connection that `may_go` and has no unread input.
     fn evict_oldest(&mut self, may_go: impl Fn(&ClientConnection) -> bool) -> bool {
-        let idle = self.clients.iter().filter(|(_, k)| may_go(k));
-        let mut idle: Vec<_> = idle.map(|(key, k)| (k.since, k.number, key)).collect();
+        let idle = self.clients.iter().filter(|(_, client)| may_go(client));
+        let mut idle: Vec<_> = idle.map(|(key, client)| (client.since, client.serial, key)).collect();
         idle.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
         let oldest =
             idle.into_iter().map(|(_, _, key)| key).find(|key| self.clients[*key].has_no_unread_input());
@@ -139,7 +144,7 @@
         client.close |= self.closing;
         let mut fields: Vec<(&str, &dyn Display)> = vec![("Content-Type", &"text/plain")];
         fields.extend_from_slice(more);
-        let mut head = answer_head(status, text.len(), client.close, &fields);
+        let mut head = response_head(status, text.len(), client.close, &fields);
         head.extend_from_slice(text.as_bytes());
         client.reply(self.now, head, None);
         self.write_out(key);
@@ -164,8 +169,8 @@
     pub(super) fn drain_input(&mut self, key: usize) {
         let Some(client) = self.clients.get_mut(key) else { return };
         match client.drain_input() {
-            Received::More => {
-                self.continuations.insert(Continuation::DrainInput(key, client.number));
+            Received::Yield => {
+                self.continuations.insert(Continuation::DrainInput(key, client.serial));
             }
             Received::Closed => self.close_client(key),
             _ => {}
@@ -175,21 +180,23 @@
     /// Closes client connections that exceeded a timeout.
     pub fn sweep_clients(&mut self) {
         let now = self.now;
-        let late = |k: &ClientConnection| match k.stage {
-            Stage::Lingering => now - k.since >= LINGER_TIMEOUT_S,
-            Stage::Writing => now - k.since >= RESPONSE_STALL_TIMEOUT_S,
+        let late = |client: &ClientConnection| match client.stage {
+            Stage::Lingering => now - client.since >= LINGER_TIMEOUT_S,
+            Stage::Writing => now - client.since >= RESPONSE_STALL_TIMEOUT_S,
             // Guards against those who connect and say nothing; no client of ours waits before it asks.
             Stage::Idle => {
-                now - k.since >= if k.new_since.is_some() { REQUEST_HEAD_TIMEOUT_S } else { IDLE_TIMEOUT_S }
+                now - client.since
+                    >= if client.new_since.is_some() { REQUEST_HEAD_TIMEOUT_S } else { IDLE_TIMEOUT_S }
             }
             Stage::Relaying(upstream) => self
                 .upstreams
                 .get(upstream)
-                .and_then(|b| b.relay.as_ref())
-                .is_none_or(|p| now - p.moved_at >= RESPONSE_STALL_TIMEOUT_S),
+                .and_then(|upstream| upstream.relay.as_ref())
+                .is_none_or(|relay| now - relay.last_progress >= RESPONSE_STALL_TIMEOUT_S),
             Stage::Reading | Stage::Waiting(_) => false,
         };
-        let late: Vec<_> = self.clients.iter().filter(|(_, k)| late(k)).map(|(key, _)| key).collect();
+        let late: Vec<_> =
+            self.clients.iter().filter(|(_, client)| late(client)).map(|(key, _)| key).collect();
         for key in late {
             match self.clients[key].stage {
                 Stage::Idle if self.clients[key].has_no_unread_input() => self.close_gracefully(key),
@@ -204,15 +211,16 @@
             }
         }
         // A head has to be whole in time; a body only has to keep coming: it may be large and its client slow.
-        let slow = |k: &ClientConnection| {
-            k.stage == Stage::Reading
-                && if k.has_head() {
-                    now - k.progress >= BODY_STALL_TIMEOUT_S
+        let slow = |client: &ClientConnection| {
+            client.stage == Stage::Reading
+                && if client.has_head() {
+                    now - client.progress >= BODY_STALL_TIMEOUT_S
                 } else {
-                    now - k.new_since.unwrap_or(k.since) >= REQUEST_HEAD_TIMEOUT_S
+                    now - client.new_since.unwrap_or(client.since) >= REQUEST_HEAD_TIMEOUT_S
                 }
         };
-        let slow: Vec<_> = self.clients.iter().filter(|(_, k)| slow(k)).map(|(k, _)| k).collect();
+        let slow: Vec<_> =
+            self.clients.iter().filter(|(_, client)| slow(client)).map(|(key, _)| key).collect();
         for key in slow {
             self.clients[key].close = true;
             self.respond(key, 408, "the request did not come in whole\n", &[]);
--- a/crates/sidecar/proxy/src/connections/discovery.rs
+++ b/crates/sidecar/proxy/src/connections/discovery.rs
@@ -7,20 +7,20 @@
 
 impl Connections {
     /// Starts the next call to discovery, if one is wanted and none is out.
-    pub fn ask(&mut self) {
-        if !self.discovery.wanted || self.discovery.asking {
+    pub fn call_discovery(&mut self) {
+        if !self.discovery.subscribed || self.discovery.call_in_flight {
             return;
         }
-        let asked = self.discovery.ask(self.now, &self.name).and_then(|(fresh, patience)| {
-            if let Some(sock) = self.discovery.sock.as_mut().filter(|_| fresh) {
-                let _ = sock.set_nodelay(true);
-                self.registry.register(sock, DISCOVERY, Interest::READABLE | Interest::WRITABLE)?;
+        let started = self.discovery.start_call(self.now, &self.name).and_then(|(is_new, timeout)| {
+            if let Some(socket) = self.discovery.socket.as_mut().filter(|_| is_new) {
+                let _ = socket.set_nodelay(true);
+                self.registry.register(socket, DISCOVERY, Interest::READABLE | Interest::WRITABLE)?;
             }
-            Ok(patience)
+            Ok(timeout)
         });
-        match asked {
-            Ok(patience) => {
-                self.timers.set(self.now + patience, Timer::Overdue(self.discovery.call));
+        match started {
+            Ok(timeout) => {
+                self.timers.schedule(self.now + timeout, Timer::DiscoveryTimeout(self.discovery.call_number));
                 // Guards against a call that is never written: a connection that has long been writable
                 // gives no new event.
                 self.events.push_back(ConnectionEvent::DiscoveryRequested);
@@ -30,19 +30,19 @@
     }
 
     /// Leaves discovery where it was and asks it where it is now.
-    pub fn move_discovery(&mut self, address: SocketAddr) {
+    pub fn set_discovery_address(&mut self, address: SocketAddr) {
         if address != self.discovery.address() {
-            self.discovery.move_to(address, &mut self.buffers);
+            self.discovery.set_address(address, &mut self.buffers);
             // Also where a failure has it left alone for now: that was the old address's.
-            self.discovery.wanted = true;
-            self.ask();
+            self.discovery.subscribed = true;
+            self.call_discovery();
         }
     }
 
     pub fn discovery_failed(&mut self, problem: &str) {
         self.log_event("warn", "discovery_failed", &[("problem", &problem)]);
-        self.discovery.fail(&mut self.buffers);
-        self.discovery.wanted = false;
+        self.discovery.abort_call(&mut self.buffers);
+        self.discovery.subscribed = false;
         self.events.push_back(ConnectionEvent::DiscoveryFailed);
     }
 }
--- a/crates/sidecar/proxy/src/connections/tests.rs
+++ b/crates/sidecar/proxy/src/connections/tests.rs
@@ -6,7 +6,7 @@
 fn connections(poll: &mio::Poll) -> Connections {
     let registry = poll.registry().try_clone().unwrap();
     let client = DiscoveryClient::new(SocketAddr::from(([127, 0, 0, 1], 9)), None);
-    let bounds = Bounds { max_upstreams: 8, connect_timeout: 1.0, conn_idle: 1.0 };
+    let bounds = Bounds { max_upstreams: 8, connect_timeout: 1.0, upstream_idle_timeout: 1.0 };
     Connections::new(registry, 0.01, client, Log::new("test"), "test", &bounds)
 }
 
@@ -23,7 +23,7 @@
 /// Waits until the key's connection has so many bytes unread.
 fn until_unread(connections: &Connections, key: usize, bytes: usize) {
     let (began, mut sink) = (std::time::Instant::now(), vec![0; bytes]);
-    while !matches!(connections.clients[key].sock.peek(&mut sink), Ok(n) if n == bytes) {
+    while !matches!(connections.clients[key].socket.peek(&mut sink), Ok(n) if n == bytes) {
         assert!(began.elapsed().as_secs() < 20, "waited in vain for {bytes} bytes");
         std::thread::sleep(std::time::Duration::from_millis(1));
     }
@@ -48,7 +48,7 @@
         turns += 1;
     }
     assert!(turns >= 5, "{turns} turns");
-    let left = connections.clients[0].sock.peek(&mut [0]);
+    let left = connections.clients[0].socket.peek(&mut [0]);
     assert_eq!(left.map_err(|e| e.kind()), Err(io::ErrorKind::WouldBlock), "bytes lie unread");
     // The answer and an end; and the client's own end is seen without another look.
     let mut far = flood.join().unwrap().unwrap();
--- a/crates/sidecar/proxy/src/connections/tokens.rs
+++ b/crates/sidecar/proxy/src/connections/tokens.rs
@@ -29,16 +29,16 @@
 }
 
 /// The generation of a connection with this number.
-pub fn generation(number: u64) -> usize {
-    number as usize & ((1 << GENERATION_BITS) - 1)
+pub fn generation(serial: u64) -> usize {
+    serial as usize & ((1 << GENERATION_BITS) - 1)
 }
 
-pub fn client_token(key: usize, number: u64) -> Token {
-    Token(FIRST + (generation(number) << (SLOT_BITS + 1)) + key * 2)
+pub fn client_token(key: usize, serial: u64) -> Token {
+    Token(FIRST + (generation(serial) << (SLOT_BITS + 1)) + key * 2)
 }
 
-pub fn upstream_token(key: usize, number: u64) -> Token {
-    Token(client_token(key, number).0 + 1)
+pub fn upstream_token(key: usize, serial: u64) -> Token {
+    Token(client_token(key, serial).0 + 1)
 }
 
 #[cfg(test)]
--- a/crates/sidecar/proxy/src/connections/upstreams.rs
+++ b/crates/sidecar/proxy/src/connections/upstreams.rs
@@ -12,7 +12,7 @@
 use std::net::SocketAddr;
 
 /// Timeout of a health check, in seconds.
-const PROBE_TIMEOUT_S: f64 = 1.0;
+const HEALTH_CHECK_TIMEOUT_S: f64 = 1.0;
 /// A connection that missed the connect timeout stays pending this much longer, in seconds, without an attempt; the next one may use it.
 const LATE_CONNECT_TIMEOUT_S: f64 = 2.0;
 /// Maximum of such connections to one node.
@@ -30,15 +30,15 @@
 
 impl Connections {
     /// The request as it goes to a node; `None` once its client has left.
-    fn write_request(&mut self, id: RequestId, dial: SocketAddr) -> Option<Buffer> {
+    fn write_request(&mut self, id: RequestId, address: SocketAddr) -> Option<Buffer> {
         let pending = self.pending.get(&id)?;
         let body = self.clients.get(pending.client)?.request_body();
-        let mut buffer = self.buffers.take();
+        let mut buffer = self.buffers.acquire();
         let head = &pending.head;
         let left = (pending.deadline - self.now).max(0.001);
         let mut put = || -> io::Result<()> {
-            write!(buffer, "{} {} HTTP/1.1\r\nHost: {dial}\r\n", head.method, head.target)?;
-            for (name, value) in head.onward().filter(|(n, _)| n != "x-budget") {
+            write!(buffer, "{} {} HTTP/1.1\r\nHost: {address}\r\n", head.method, head.target)?;
+            for (name, value) in head.forwarded_headers().filter(|(n, _)| n != "x-budget") {
                 write!(buffer, "{name}: {value}\r\n")?;
             }
             write!(buffer, "x-budget: {left:.3}\r\n")?;
@@ -51,27 +51,27 @@
         match put() {
             Ok(()) => Some(buffer),
             Err(_) => {
-                self.buffers.give_back(buffer);
+                self.buffers.release(buffer);
                 None
             }
         }
     }
 
-    fn write_probe(&mut self, dial: SocketAddr) -> Option<Buffer> {
-        let mut buffer = self.buffers.take();
-        write!(buffer, "GET /status/load HTTP/1.1\r\nHost: {dial}\r\n\r\n").ok()?;
+    fn write_health_check(&mut self, address: SocketAddr) -> Option<Buffer> {
+        let mut buffer = self.buffers.acquire();
+        write!(buffer, "GET /status/load HTTP/1.1\r\nHost: {address}\r\n\r\n").ok()?;
         Some(buffer)
     }
 
     /// Writes an attempt to a connection that is up. False: it must not go out any more.
-    pub fn load_upstream(&mut self, key: usize, attempt: Attempt) -> bool {
-        let Some(dial) = self.upstreams.get(key).map(|b| b.dial) else { return false };
+    pub fn write_attempt(&mut self, key: usize, attempt: Attempt) -> bool {
+        let Some(address) = self.upstreams.get(key).map(|upstream| upstream.address) else { return false };
         let buffer = match attempt {
-            Attempt::Request { id, .. } => self.write_request(id, dial),
-            Attempt::Probe { .. } => self.write_probe(dial),
+            Attempt::Request { id, .. } => self.write_request(id, address),
+            Attempt::HealthCheck { .. } => self.write_health_check(address),
         };
         let Some(buffer) = buffer else { return false };
-        self.upstreams[key].load(self.now, attempt, buffer);
+        self.upstreams[key].start_attempt(self.now, attempt, buffer);
         true
     }
 
@@ -82,8 +82,9 @@
     fn pick_idle(&mut self, node: UpstreamId) -> Option<usize> {
         loop {
             let idle = &self.pools.by_node.get(&node)?.idle;
-            let rested =
-                |key: &usize| self.upstreams.get(*key).is_none_or(|b| self.now - b.since >= MIN_REST_S);
+            let rested = |key: &usize| {
+                self.upstreams.get(*key).is_none_or(|upstream| self.now - upstream.since >= MIN_REST_S)
+            };
             let at = idle.iter().rposition(rested);
             let at = at
                 .or((idle.len() < MAX_RESTING_CONNECTIONS || self.upstreams.len() >= self.max_upstreams)
@@ -103,7 +104,7 @@
         if let Some(key) = self.pick_idle(node) {
             let idle = self.now - self.upstreams[key].since;
             self.track_attempt(attempt, key);
-            if !self.load_upstream(key, attempt) {
+            if !self.write_attempt(key, attempt) {
                 self.return_to_pool(key);
                 return self.report_outcome(node, attempt, Ending::Unused);
             }
@@ -111,46 +112,53 @@
             self.upstreams[key].held =
                 idle < MIN_REST_S || idle >= HOLD_LAST_BYTE_AFTER_IDLE_S && self.must_not_repeat(attempt);
             if self.upstreams[key].held {
-                self.timers.set(self.now + wait, Timer::LastByte(key, attempt));
+                self.timers.schedule(self.now + wait, Timer::SendLastByte(key, attempt));
             }
             if let Some(end) = self.upstreams[key].on_ready() {
                 self.events.push_back(ConnectionEvent::AttemptEnded { upstream: key, attempt, end });
             }
             return;
         }
-        let Some(dial) = self.pools.by_node.get(&node).map(|l| l.dial) else {
+        let Some(address) = self.pools.by_node.get(&node).map(|pool| pool.address) else {
             return self.report_outcome(node, attempt, Ending::Unused);
         };
         if self.upstreams.len() >= self.max_upstreams && !self.close_idlest_upstream() {
             self.log_event("warn", "node_connections_full", &[("node_connections", &self.upstreams.len())]);
             return self.report_outcome(node, attempt, Ending::Unused);
         }
-        let sock = match TcpStream::connect(dial) {
+        let socket = match TcpStream::connect(address) {
             Err(e) if matches!(e.raw_os_error(), Some(24 | 23)) => {
                 // Guards against an end for want of descriptors: an idle connection makes room.
                 self.log_event("warn", "descriptors_exhausted", &[("for", &"node")]);
                 if self.close_idlest_upstream() || self.evict_idle_client() {
-                    TcpStream::connect(dial)
+                    TcpStream::connect(address)
                 } else {
                     return self.report_outcome(node, attempt, Ending::Unused);
                 }
             }
             other => other,
         };
-        self.dialed += 1;
+        self.last_upstream_serial += 1;
         let entry = self.upstreams.vacant_entry();
         let key = entry.key();
-        let ready = sock.and_then(|mut sock| {
-            let _ = sock.set_nodelay(true);
-            let token = upstream_token(key, self.dialed);
-            self.registry.register(&mut sock, token, Interest::READABLE | Interest::WRITABLE)?;
-            Ok(sock)
+        let ready = socket.and_then(|mut socket| {
+            let _ = socket.set_nodelay(true);
+            let token = upstream_token(key, self.last_upstream_serial);
+            self.registry.register(&mut socket, token, Interest::READABLE | Interest::WRITABLE)?;
+            Ok(socket)
         });
         match ready {
-            Ok(sock) => {
-                entry.insert(UpstreamConnection::new(sock, node, dial, attempt, self.now, self.dialed));
+            Ok(socket) => {
+                entry.insert(UpstreamConnection::new(
+                    socket,
+                    node,
+                    address,
+                    attempt,
+                    self.now,
+                    self.last_upstream_serial,
+                ));
                 self.track_attempt(attempt, key);
-                self.timers.set(self.now + self.connect_timeout, Timer::Dial(key, attempt));
+                self.timers.schedule(self.now + self.connect_timeout, Timer::ConnectTimeout(key, attempt));
             }
             Err(_) => self.report_outcome(node, attempt, Ending::DialFailed),
         }
@@ -159,14 +167,14 @@
     /// Whether an attempt must not run twice.
     fn must_not_repeat(&self, attempt: Attempt) -> bool {
         let Attempt::Request { id, .. } = attempt else { return false };
-        self.pending.get(&id).is_some_and(|r| r.head.method != "GET")
+        self.pending.get(&id).is_some_and(|pending| pending.head.method != "GET")
     }
 
     fn track_attempt(&mut self, attempt: Attempt, key: usize) {
         if let Attempt::Request { id, number } = attempt {
-            self.out.insert((id, number), key);
+            self.in_flight.insert((id, number), key);
         } else {
-            self.timers.set(self.now + PROBE_TIMEOUT_S, Timer::Probe(key, attempt));
+            self.timers.schedule(self.now + HEALTH_CHECK_TIMEOUT_S, Timer::HealthCheckTimeout(key, attempt));
         }
     }
 
@@ -174,15 +182,17 @@
     /// node that is slow to connect and otherwise well: each new attempt would wait for a new connection in vain.
     pub fn connect_timed_out(&mut self, key: usize) {
         let Some(upstream) = self.upstreams.get_mut(key) else { return };
-        let (node, number) = (upstream.node, upstream.number);
+        let (node, serial) = (upstream.node, upstream.serial);
         let Some(attempt) = upstream.attempt.take() else { return };
-        let to_node = || self.upstreams.iter().map(|(_, b)| b).filter(|b| b.node == node);
-        let late = to_node().filter(|b| b.is_late()).count();
-        let serves = to_node().any(|b| matches!(b.phase, Phase::Busy | Phase::Idle | Phase::Relaying));
+        let to_node =
+            || self.upstreams.iter().map(|(_, upstream)| upstream).filter(|upstream| upstream.node == node);
+        let late = to_node().filter(|upstream| upstream.is_late()).count();
+        let serves =
+            to_node().any(|upstream| matches!(upstream.phase, Phase::Busy | Phase::Idle | Phase::Relaying));
         if late > MAX_LATE_CONNECTIONS {
             self.close_upstream(key);
         } else {
-            self.timers.set(self.now + LATE_CONNECT_TIMEOUT_S, Timer::Late(key, number));
+            self.timers.schedule(self.now + LATE_CONNECT_TIMEOUT_S, Timer::LateConnectTimeout(key, serial));
         }
         let ending =
             if serves { self.attribute_failure(node, Ending::DialFailed) } else { Ending::DialFailed };
@@ -191,10 +201,11 @@
 
     /// The client of a request has left: what of it is not wholly on its way to a node is taken back, and has never
     /// run. What is sent still gets its outcome.
-    pub fn abandon(&mut self, id: RequestId) {
-        let out: Vec<_> = self.out.iter().filter(|((r, _), _)| *r == id).map(|(_, key)| *key).collect();
+    pub fn withdraw_unsent_attempts(&mut self, id: RequestId) {
+        let out: Vec<_> =
+            self.in_flight.iter().filter(|((request, _), _)| *request == id).map(|(_, key)| *key).collect();
         for key in out {
-            let unsent = |b: &UpstreamConnection| b.phase == Phase::Busy && !b.is_sent();
+            let unsent = |upstream: &UpstreamConnection| upstream.phase == Phase::Busy && !upstream.is_sent();
             if self.upstreams.get(key).is_some_and(unsent) {
                 self.withdraw_unsent(key);
             }
@@ -206,13 +217,13 @@
         let pool = self
             .upstreams
             .get(key)
-            .and_then(|b| self.pools.by_node.get(&b.node).filter(|l| l.dial == b.dial));
+            .and_then(|b| self.pools.by_node.get(&b.node).filter(|pool| pool.address == b.address));
         pool.is_none()
     }
 
     /// Ends an attempt together with its connection.
     pub fn end_attempt(&mut self, key: usize, ending: Ending) {
-        if let Some((node, attempt)) = self.free_upstream(key, false) {
+        if let Some((node, attempt)) = self.finish_attempt(key, false) {
             self.report_outcome(node, attempt, ending);
         }
     }
@@ -223,8 +234,10 @@
     }
 
     /// Whether this connection is in this phase, with this attempt.
-    pub fn is_at(&self, key: usize, phase: Phase, attempt: Attempt) -> bool {
-        self.upstreams.get(key).is_some_and(|b| b.phase == phase && b.attempt == Some(attempt))
+    pub fn is_in_phase(&self, key: usize, phase: Phase, attempt: Attempt) -> bool {
+        self.upstreams
+            .get(key)
+            .is_some_and(|upstream| upstream.phase == phase && upstream.attempt == Some(attempt))
     }
 
     /// How the dispatcher is told of an end on a connection that was up. Guards against taking a node that drops
@@ -258,27 +271,29 @@
         self.log_failed_attempt(node, ending, Blame::None);
         match attempt {
             Attempt::Request { id, number } => {
-                self.out.remove(&(id, number));
+                self.in_flight.remove(&(id, number));
                 self.events.push_back(ConnectionEvent::AttemptOutcome { id, number, ending });
             }
-            Attempt::Probe { .. } => self.events.push_back(ConnectionEvent::ProbeOutcome { node, ending }),
+            Attempt::HealthCheck { .. } => {
+                self.events.push_back(ConnectionEvent::HealthCheckOutcome { node, ending })
+            }
         }
     }
 
     /// The attempt of a connection that stays as it is: its answer is served and passed on, so it is over for the
     /// dispatcher, not for the connection.
-    pub fn hold_upstream(&mut self, key: usize) -> Option<(UpstreamId, Attempt)> {
+    pub fn detach_attempt(&mut self, key: usize) -> Option<(UpstreamId, Attempt)> {
         let upstream = self.upstreams.get_mut(key)?;
         let attempt = upstream.attempt.take()?;
         if let Attempt::Request { id, number } = attempt {
-            self.out.remove(&(id, number));
+            self.in_flight.remove(&(id, number));
         }
         Some((upstream.node, attempt))
     }
 
     /// An attempt is over; its connection goes back to its pool if it can be used again.
-    pub fn free_upstream(&mut self, key: usize, reusable: bool) -> Option<(UpstreamId, Attempt)> {
-        let held = self.hold_upstream(key)?;
+    pub fn finish_attempt(&mut self, key: usize, reusable: bool) -> Option<(UpstreamId, Attempt)> {
+        let held = self.detach_attempt(key)?;
         if reusable {
             self.return_to_pool(key);
         } else {
@@ -293,7 +308,11 @@
         upstream.phase = Phase::Idle;
         upstream.attempt = None;
         upstream.since = self.now;
-        let pool = self.pools.by_node.get_mut(&upstream.node).filter(|l| l.open && l.dial == upstream.dial);
+        let pool = self
+            .pools
+            .by_node
+            .get_mut(&upstream.node)
+            .filter(|pool| pool.open && pool.address == upstream.address);
         match pool {
             Some(pool) => pool.idle.push(key),
             None => self.close_upstream(key),
@@ -303,14 +322,15 @@
     pub fn close_upstream(&mut self, key: usize) {
         let Some(upstream) = self.upstreams.try_remove(key) else { return };
         if let Some(pool) = self.pools.by_node.get_mut(&upstream.node) {
-            pool.idle.retain(|k| *k != key);
+            pool.idle.retain(|idle_key| *idle_key != key);
         }
-        let mut sock = upstream.clear(&mut self.buffers);
-        let _ = self.registry.deregister(&mut sock);
+        let mut socket = upstream.clear(&mut self.buffers);
+        let _ = self.registry.deregister(&mut socket);
     }
 
     pub fn close_idlest_upstream(&mut self) -> bool {
-        let idle = self.upstreams.iter().filter(|(_, b)| b.phase == Phase::Idle || b.is_late());
+        let idle =
+            self.upstreams.iter().filter(|(_, upstream)| upstream.phase == Phase::Idle || upstream.is_late());
         let oldest = idle.min_by(|a, b| a.1.since.total_cmp(&b.1.since)).map(|(key, _)| key);
         oldest.is_some_and(|key| {
             self.close_upstream(key);
@@ -321,27 +341,30 @@
     /// Closes connections to nodes that have been idle for too long.
     pub fn sweep_upstreams(&mut self) {
         let now = self.now;
-        let old = |b: &UpstreamConnection| b.phase == Phase::Idle && now - b.since >= self.conn_idle;
-        let upstreams: Vec<_> = self.upstreams.iter().filter(|(_, b)| old(b)).map(|(k, _)| k).collect();
-        upstreams.into_iter().for_each(|k| self.close_upstream(k));
-        let used: HashSet<_> = self.upstreams.iter().map(|(_, b)| b.node).collect();
+        let expired = |upstream: &UpstreamConnection| {
+            upstream.phase == Phase::Idle && now - upstream.since >= self.upstream_idle_timeout
+        };
+        let upstreams: Vec<_> =
+            self.upstreams.iter().filter(|(_, upstream)| expired(upstream)).map(|(key, _)| key).collect();
+        upstreams.into_iter().for_each(|key| self.close_upstream(key));
+        let used: HashSet<_> = self.upstreams.iter().map(|(_, upstream)| upstream.node).collect();
         self.pools.forget(|node| !used.contains(&node));
     }
 
     /// Brings the pools in line with one list line.
-    pub fn update_node(&mut self, node: UpstreamId, dial: SocketAddr, open: bool) {
+    pub fn update_node(&mut self, node: UpstreamId, address: SocketAddr, open: bool) {
         let pool = self.pools.by_node.entry(node).or_insert(ConnectionPool {
-            dial,
+            address,
             open,
             idle: Vec::new(),
             closed_unused: false,
         });
-        let moved = pool.dial != dial;
-        pool.dial = dial;
+        let moved = pool.address != address;
+        pool.address = address;
         pool.open = open;
         if moved || !open {
             let idle = std::mem::take(&mut pool.idle);
-            idle.into_iter().for_each(|k| self.close_upstream(k));
+            idle.into_iter().for_each(|key| self.close_upstream(key));
         }
     }
 }
--- a/crates/sidecar/proxy/src/discovery_client.rs
+++ b/crates/sidecar/proxy/src/discovery_client.rs
@@ -35,17 +35,17 @@
 /// The connection to discovery.
 pub struct DiscoveryClient {
     address: SocketAddr,
-    pub sock: Option<TcpStream>,
-    up: bool,
+    pub socket: Option<TcpStream>,
+    connected: bool,
     /// Version of the current list; `None` before the first.
-    seq: Option<u64>,
+    version: Option<u64>,
     /// Changes are wanted.
-    pub wanted: bool,
+    pub subscribed: bool,
     /// A call is out.
-    pub asking: bool,
-    asked_at: f64,
+    pub call_in_flight: bool,
+    call_started_at: f64,
     /// Counts calls, so that a timer for an older one can be told apart.
-    pub call: u64,
+    pub call_number: u64,
     buffer: Option<Buffer>,
     request: Vec<u8>,
     written: usize,
@@ -54,16 +54,16 @@
 }
 
 impl DiscoveryClient {
-    pub fn new(address: SocketAddr, seq: Option<u64>) -> Self {
+    pub fn new(address: SocketAddr, version: Option<u64>) -> Self {
         DiscoveryClient {
             address,
-            sock: None,
-            up: false,
-            seq,
-            wanted: false,
-            asking: false,
-            asked_at: 0.0,
-            call: 0,
+            socket: None,
+            connected: false,
+            version,
+            subscribed: false,
+            call_in_flight: false,
+            call_started_at: 0.0,
+            call_number: 0,
             buffer: None,
             request: Vec::new(),
             written: 0,
@@ -73,35 +73,38 @@
     }
 
     /// Starts a call; the new socket, if any, must be registered. Returns how long the call may take.
-    pub fn ask(&mut self, now: f64, name: &str) -> io::Result<(bool, f64)> {
-        let (target, patience) = match self.seq {
-            Some(seq) => {
+    pub fn start_call(&mut self, now: f64, name: &str) -> io::Result<(bool, f64)> {
+        let (target, timeout) = match self.version {
+            Some(version) => {
                 let wait_ms = (WATCH_TIMEOUT_S * 1000.0) as u64;
-                (format!("/v1/endpoints?since={seq}&timeout_ms={wait_ms}"), WATCH_TIMEOUT_S + WATCH_SLACK_S)
+                (
+                    format!("/v1/endpoints?since={version}&timeout_ms={wait_ms}"),
+                    WATCH_TIMEOUT_S + WATCH_SLACK_S,
+                )
             }
             None => ("/v1/endpoints".to_owned(), FULL_LIST_TIMEOUT_S),
         };
-        let fresh = self.sock.is_none();
-        if fresh {
-            self.sock = Some(TcpStream::connect(self.address)?);
-            self.up = false;
+        let is_new = self.socket.is_none();
+        if is_new {
+            self.socket = Some(TcpStream::connect(self.address)?);
+            self.connected = false;
         }
         self.request = format!(
             "GET {target} HTTP/1.1\r\nHost: {}\r\nUser-Agent: passrelay/{name}\r\n\r\n",
             self.address
         )
         .into_bytes();
-        self.asking = true;
-        self.asked_at = now;
+        self.call_in_flight = true;
+        self.call_started_at = now;
         self.written = 0;
         self.answer = None;
-        self.call += 1;
-        Ok((fresh, patience))
+        self.call_number += 1;
+        Ok((is_new, timeout))
     }
 
     /// Moves to another address: drops the current connection and call, and continues from the current version.
-    pub fn move_to(&mut self, address: SocketAddr, buffers: &mut BufferPool) {
-        self.fail(buffers);
+    pub fn set_address(&mut self, address: SocketAddr, buffers: &mut BufferPool) {
+        self.abort_call(buffers);
         self.address = address;
         self.empty_answers = 0;
     }
@@ -112,44 +115,44 @@
     }
 
     /// Ends a call that has failed. The connection is not used again.
-    pub fn fail(&mut self, buffers: &mut BufferPool) {
-        self.asking = false;
-        self.sock = None;
-        self.buffer.take().into_iter().for_each(|t| buffers.give_back(t));
+    pub fn abort_call(&mut self, buffers: &mut BufferPool) {
+        self.call_in_flight = false;
+        self.socket = None;
+        self.buffer.take().into_iter().for_each(|buffer| buffers.release(buffer));
     }
 
     /// Callback: writes and reads what can be.
     pub fn on_ready(&mut self, now: f64, buffers: &mut BufferPool) -> DiscoveryResult {
-        if !self.asking {
+        if !self.call_in_flight {
             // Bytes or an end between calls: the next call opens a new connection.
             let quiet = |s: &mut TcpStream| matches!(s.read(&mut [0]), Err(e) if e.kind() == io::ErrorKind::WouldBlock);
-            if !self.sock.as_mut().is_some_and(quiet) {
-                self.sock = None;
+            if !self.socket.as_mut().is_some_and(quiet) {
+                self.socket = None;
             }
             return DiscoveryResult::Pending;
         }
         match self.advance(now, buffers) {
             Ok(word) => word,
             Err(problem) => {
-                self.fail(buffers);
+                self.abort_call(buffers);
                 DiscoveryResult::Failed(problem)
             }
         }
     }
 
     fn advance(&mut self, now: f64, buffers: &mut BufferPool) -> Result<DiscoveryResult, String> {
-        let Some(sock) = self.sock.as_mut() else { return Err("no connection".to_owned()) };
-        if !self.up {
-            if let Some(e) = sock.take_error().map_err(|e| e.to_string())? {
+        let Some(socket) = self.socket.as_mut() else { return Err("no connection".to_owned()) };
+        if !self.connected {
+            if let Some(e) = socket.take_error().map_err(|e| e.to_string())? {
                 return Err(e.to_string());
             }
-            if sock.peer_addr().is_err() {
+            if socket.peer_addr().is_err() {
                 return Ok(DiscoveryResult::Pending);
             }
-            self.up = true;
+            self.connected = true;
         }
         while self.written < self.request.len() {
-            match sock.write(&self.request[self.written..]) {
+            match socket.write(&self.request[self.written..]) {
                 Ok(n) if n > 0 => self.written += n,
                 Ok(_) => return Err("cannot write".to_owned()),
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
@@ -158,23 +161,23 @@
             }
         }
         loop {
-            let buffer = self.buffer.get_or_insert_with(|| buffers.take());
+            let buffer = self.buffer.get_or_insert_with(|| buffers.acquire());
             if buffer.is_full() {
                 return Err("answer too long".to_owned());
             }
-            let ended = match buffer.fill_from(sock) {
+            let ended = match buffer.fill_from(socket) {
                 Ok(n) => n == 0,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => continue,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
                     if buffer.bytes().is_empty() {
-                        self.buffer.take().into_iter().for_each(|t| buffers.give_back(t));
+                        self.buffer.take().into_iter().for_each(|buffer| buffers.release(buffer));
                     }
                     return Ok(DiscoveryResult::Pending);
                 }
                 Err(e) => return Err(e.to_string()),
             };
             if self.answer.is_none() {
-                match Head::of_answer(buffer.bytes()).map_err(|_| "not an answer")? {
+                match Head::parse_response(buffer.bytes()).map_err(|_| "not an answer")? {
                     Some(head) => {
                         let body = BodyReader::new(&head);
                         self.answer = Some((head, body));
@@ -207,21 +210,21 @@
         close: bool,
         buffers: &mut BufferPool,
     ) -> Result<DiscoveryResult, String> {
-        if self.seq.is_none() && !update.full {
+        if self.version.is_none() && !update.full {
             return Err("changes to a list that was never sent".to_owned());
         }
-        let idle = self.seq == Some(update.version) && now - self.asked_at < MIN_EMPTY_ANSWER_S;
+        let idle = self.version == Some(update.version) && now - self.call_started_at < MIN_EMPTY_ANSWER_S;
         self.empty_answers = if idle { self.empty_answers + 1 } else { 0 };
         if self.empty_answers > MAX_EMPTY_ANSWERS {
             self.empty_answers = 0;
             return Err("answers that tell nothing come too fast".to_owned());
         }
-        self.seq = Some(update.version);
-        self.asking = false;
+        self.version = Some(update.version);
+        self.call_in_flight = false;
         self.answer = None;
-        self.buffer.take().into_iter().for_each(|t| buffers.give_back(t));
+        self.buffer.take().into_iter().for_each(|buffer| buffers.release(buffer));
         if close {
-            self.sock = None;
+            self.socket = None;
         }
         Ok(DiscoveryResult::Update(update))
     }
--- a/crates/sidecar/proxy/src/http.rs
+++ b/crates/sidecar/proxy/src/http.rs
@@ -54,23 +54,23 @@
     }
 
     /// Headers that go on to the next party: neither about the connection nor about the framing.
-    pub fn onward(&self) -> impl Iterator<Item = &(String, String)> {
+    pub fn forwarded_headers(&self) -> impl Iterator<Item = &(String, String)> {
         let own = ["connection", "keep-alive", "te", "trailer", "transfer-encoding", "upgrade", "host"];
         let more = ["content-length", "expect", "proxy-connection", "proxy-authorization"];
         // The id goes on whatever the client says: a node has no use for a request without one.
-        let named = |n: &str| n != "x-call-id" && self.lists("connection", n);
+        let named = |n: &str| n != "x-call-id" && self.has_token("connection", n);
         self.headers
             .iter()
             .filter(move |(n, _)| !own.contains(&n.as_str()) && !more.contains(&n.as_str()) && !named(n))
     }
 
     /// Whether a header that is a list names `word`.
-    pub fn lists(&self, header: &str, word: &str) -> bool {
+    pub fn has_token(&self, header: &str, word: &str) -> bool {
         self.all(header).flat_map(|v| v.split(',')).any(|w| w.trim().eq_ignore_ascii_case(word))
     }
 
     /// Reads the head of a request; `None`: more bytes are needed.
-    pub fn of_request(bytes: &[u8]) -> Result<Option<Head>, MessageError> {
+    pub fn parse_request(bytes: &[u8]) -> Result<Option<Head>, MessageError> {
         let mut slots = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut parsed = httparse::Request::new(&mut slots);
         let status = match parsed.parse(bytes) {
@@ -84,7 +84,7 @@
         let mut head = Head::new(len, parsed.version, parsed.headers)?;
         head.method = parsed.method.unwrap_or("").to_owned();
         head.target = parsed.path.unwrap_or("").to_owned();
-        head.framing = match head.stated_framing()? {
+        head.framing = match head.declared_framing()? {
             Some(Framing::Length(n)) if n > MAX_BODY_BYTES => return Err(MessageError(413)),
             Some(framing) => framing,
             None => Framing::Length(0),
@@ -96,7 +96,7 @@
     }
 
     /// Reads the head of an answer; `None`: more bytes are needed.
-    pub fn of_answer(bytes: &[u8]) -> Result<Option<Head>, MessageError> {
+    pub fn parse_response(bytes: &[u8]) -> Result<Option<Head>, MessageError> {
         let mut slots = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut parsed = httparse::Response::new(&mut slots);
         let httparse::Status::Complete(len) = parsed.parse(bytes).map_err(|_| MessageError(502))? else {
@@ -104,7 +104,7 @@
         };
         let mut head = Head::new(len, parsed.version, parsed.headers).map_err(|_| MessageError(502))?;
         head.status = parsed.code.unwrap_or(0);
-        let stated = head.stated_framing().map_err(|_| MessageError(502))?;
+        let stated = head.declared_framing().map_err(|_| MessageError(502))?;
         head.framing = match head.status {
             100..=199 | 204 | 304 => Framing::Length(0),
             _ => stated.unwrap_or(Framing::UntilClose),
@@ -126,13 +126,13 @@
         let framing = Framing::Length(0);
         let headers = headers.collect::<Result<Vec<_>, _>>()?;
         let mut head = Head { len, method, target, status: 0, headers, framing, close: false };
-        let old = version != Some(1) && !head.lists("connection", "keep-alive");
-        head.close = old || head.lists("connection", "close");
+        let old = version != Some(1) && !head.has_token("connection", "keep-alive");
+        head.close = old || head.has_token("connection", "close");
         Ok(head)
     }
 
     /// Guards against two readings of one message: a length beside chunks, or two lengths, are refused.
-    fn stated_framing(&self) -> Result<Option<Framing>, MessageError> {
+    fn declared_framing(&self) -> Result<Option<Framing>, MessageError> {
         let mut codings = self.all("transfer-encoding");
         let mut lengths = self.all("content-length");
         match (codings.next(), lengths.next()) {
@@ -288,7 +288,7 @@
                 },
                 ChunkStep::Data(left) => {
                     let n = left.min(filled - self.raw);
-                    buffer.shutdown_phase(self.raw, self.raw + n, self.end);
+                    buffer.shift_down(self.raw, self.raw + n, self.end);
                     self.end += n;
                     self.raw += n;
                     self.step = if n == left { ChunkStep::DataEnd } else { ChunkStep::Data(left - n) };
@@ -339,22 +339,22 @@
 
 /// The head of an answer that is passed on while it comes: with the node's length where it told one, else in
 /// chunks.
-pub fn relay_head(length: Option<usize>, close: bool, media: Option<&str>) -> Vec<u8> {
+pub fn streamed_response_head(length: Option<usize>, close: bool, content_type: Option<&str>) -> Vec<u8> {
     let mut head = Vec::with_capacity(160);
     let _ = write!(head, "HTTP/1.1 200 OK\r\n");
     match length {
         Some(n) => drop(write!(head, "Content-Length: {n}\r\n")),
         None => head.extend_from_slice(b"Transfer-Encoding: chunked\r\n"),
     }
-    if let Some(media) = media {
-        let _ = write!(head, "Content-Type: {media}\r\n");
+    if let Some(content_type) = content_type {
+        let _ = write!(head, "Content-Type: {content_type}\r\n");
     }
     head.extend_from_slice(if close { b"Connection: close\r\n\r\n" } else { b"\r\n" });
     head
 }
 
 /// The head of an answer with a body of `length` bytes.
-pub fn answer_head(status: u16, length: usize, close: bool, more: &[(&str, &dyn Display)]) -> Vec<u8> {
+pub fn response_head(status: u16, length: usize, close: bool, more: &[(&str, &dyn Display)]) -> Vec<u8> {
     let mut head = Vec::with_capacity(160);
     let _ = write!(head, "HTTP/1.1 {status} {}\r\nContent-Length: {length}\r\n", reason(status));
     for (name, value) in more {
--- a/crates/sidecar/proxy/src/listener.rs
+++ b/crates/sidecar/proxy/src/listener.rs
@@ -46,7 +46,7 @@
     pub fn on_readable(&self) -> Accepted {
         loop {
             match self.socket.accept() {
-                Ok((sock, _)) => return Accepted::Connection(sock),
+                Ok((socket, _)) => return Accepted::Connection(socket),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Accepted::Nothing,
                 // EMFILE, ENFILE, ENOBUFS and ENOMEM: guards against an end for want of descriptors.
                 Err(e) if matches!(e.raw_os_error(), Some(24 | 23 | 105 | 12)) => return Accepted::NoRoom,
--- a/crates/sidecar/proxy/src/pool.rs
+++ b/crates/sidecar/proxy/src/pool.rs
@@ -2,7 +2,7 @@
 
 use crate::body_relay::{BodyRelay, Flow};
 use crate::buffer_pool::{Buffer, BufferPool};
-use crate::http::{relay_head, BodyReader, Head};
+use crate::http::{streamed_response_head, BodyReader, Head};
 use mio::net::TcpStream;
 use passrelay_load_balancing::{Ending, Report, RequestId, UpstreamId};
 use passrelay_sidecar_settings::{is_plausible, parse_load_report};
@@ -17,14 +17,14 @@
     /// An attempt of a request.
     Request { id: RequestId, number: u32 },
     /// A health check, sent at this time.
-    Probe { sent: f64 },
+    HealthCheck { sent_at: f64 },
 }
 
 /// State of an upstream connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Phase {
     /// Connecting.
-    Dialing,
+    Connecting,
     /// Connected, with an attempt in flight.
     Busy,
     /// Connected, without an attempt.
@@ -38,12 +38,12 @@
     pub ending: Ending,
     pub report: Option<Report>,
     /// The body of an answer to serve, and its media type.
-    pub load: Option<ResponseBody>,
+    pub body: Option<ResponseBody>,
     /// The connection can carry another attempt.
     pub reusable: bool,
     pub blame: Blame,
     /// The answer is served but larger than a buffer: the rest comes on this connection, by a body relay.
-    pub stream: bool,
+    pub streamed: bool,
 }
 
 /// Whose fault a failed exchange is.
@@ -60,21 +60,21 @@
 /// Body of an answer to serve, still in its buffer.
 pub struct ResponseBody {
     pub buffer: Buffer,
-    pub body: Range<usize>,
-    pub media: Option<String>,
+    pub range: Range<usize>,
+    pub content_type: Option<String>,
 }
 
 /// One connection to a node.
 pub struct UpstreamConnection {
-    pub sock: TcpStream,
+    pub socket: TcpStream,
     pub node: UpstreamId,
-    pub dial: SocketAddr,
+    pub address: SocketAddr,
     pub phase: Phase,
     pub attempt: Option<Attempt>,
     /// Start of the current phase, in seconds on the loop's clock.
     pub since: f64,
     /// Sequence number, which tells it from earlier connections in the same slot.
-    pub number: u64,
+    pub serial: u64,
     buffer: Option<Buffer>,
     /// Bytes written so far; all of them are out once the buffer is cleared for the answer.
     written: usize,
@@ -89,21 +89,21 @@
 
 impl UpstreamConnection {
     pub fn new(
-        sock: TcpStream,
+        socket: TcpStream,
         node: UpstreamId,
-        dial: SocketAddr,
+        address: SocketAddr,
         attempt: Attempt,
         now: f64,
-        number: u64,
+        serial: u64,
     ) -> Self {
         UpstreamConnection {
-            sock,
+            socket,
             node,
-            dial,
-            phase: Phase::Dialing,
+            address,
+            phase: Phase::Connecting,
             attempt: Some(attempt),
             since: now,
-            number,
+            serial,
             buffer: None,
             written: 0,
             sent: false,
@@ -114,12 +114,12 @@
     }
 
     /// Callback while dialing: `None` while the connection is still coming up.
-    pub fn on_dialed(&mut self) -> Option<io::Result<()>> {
-        match self.sock.take_error() {
+    pub fn poll_connected(&mut self) -> Option<io::Result<()>> {
+        match self.socket.take_error() {
             Ok(None) => {}
             Ok(Some(e)) | Err(e) => return Some(Err(e)),
         }
-        match self.sock.peer_addr() {
+        match self.socket.peer_addr() {
             Ok(_) => Some(Ok(())),
             Err(e) if e.kind() == io::ErrorKind::NotConnected => None,
             Err(e) => Some(Err(e)),
@@ -127,7 +127,7 @@
     }
 
     /// Puts a whole request in place; it goes out by [`UpstreamConnection::on_ready`].
-    pub fn load(&mut self, now: f64, attempt: Attempt, buffer: Buffer) {
+    pub fn start_attempt(&mut self, now: f64, attempt: Attempt, buffer: Buffer) {
         self.phase = Phase::Busy;
         self.since = now;
         self.attempt = Some(attempt);
@@ -139,7 +139,7 @@
 
     /// Whether it missed the connect timeout and may still connect.
     pub fn is_late(&self) -> bool {
-        self.phase == Phase::Dialing && self.attempt.is_none()
+        self.phase == Phase::Connecting && self.attempt.is_none()
     }
 
     /// Whether the complete request is written: from then on it may be executed.
@@ -149,7 +149,7 @@
 
     /// Whether an idle connection is usable: open, with nothing to read.
     pub fn has_no_unread_input(&mut self) -> bool {
-        matches!(self.sock.read(&mut [0]), Err(e) if e.kind() == io::ErrorKind::WouldBlock)
+        matches!(self.socket.read(&mut [0]), Err(e) if e.kind() == io::ErrorKind::WouldBlock)
     }
 
     /// Callback: writes and reads what can be; the end of the attempt, if it has come.
@@ -163,7 +163,7 @@
             if self.written == end {
                 return (!self.has_no_unread_input()).then(|| self.broken());
             }
-            match self.sock.write(&buffer.bytes()[self.written..end]) {
+            match self.socket.write(&buffer.bytes()[self.written..end]) {
                 Ok(0) => return Some(self.broken()),
                 Ok(n) => self.written += n,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
@@ -179,9 +179,9 @@
             let Some(buffer) = self.buffer.as_mut() else { return Some(self.broken()) };
             if buffer.is_full() {
                 let served = self.answer.as_ref().is_some_and(|(_, body)| body.streaming);
-                return Some(if served { self.stream_start() } else { self.invalid_response() });
+                return Some(if served { self.streamed_response() } else { self.invalid_response() });
             }
-            let ended = match buffer.fill_from(&mut self.sock) {
+            let ended = match buffer.fill_from(&mut self.socket) {
                 Ok(n) => n == 0,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => continue,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return None,
@@ -201,7 +201,7 @@
     fn parse_buffered(&mut self, ended: bool) -> Result<bool, ()> {
         let buffer = self.buffer.as_mut().ok_or(())?;
         while self.answer.is_none() {
-            let Some(head) = Head::of_answer(buffer.bytes()).map_err(|_| ())? else { return Ok(false) };
+            let Some(head) = Head::parse_response(buffer.bytes()).map_err(|_| ())? else { return Ok(false) };
             if head.status == 101 {
                 return Err(());
             }
@@ -221,21 +221,29 @@
     /// The connection broke: the request has certainly not been executed only if its last byte was never written.
     pub fn broken(&mut self) -> AttemptResult {
         let ending = if self.sent { Ending::Dropped } else { Ending::DialFailed };
-        AttemptResult { ending, report: None, load: None, reusable: false, blame: Blame::None, stream: false }
+        AttemptResult {
+            ending,
+            report: None,
+            body: None,
+            reusable: false,
+            blame: Blame::None,
+            streamed: false,
+        }
     }
 
     /// A served answer fills the buffer: it is the client's, and the rest follows by a body relay.
-    fn stream_start(&mut self) -> AttemptResult {
-        let report = self.answer.as_ref().and_then(|(head, _)| report_of(head.header("x-load-report")));
-        AttemptResult { ending: Ending::Delivered, report, stream: true, ..self.broken() }
+    fn streamed_response(&mut self) -> AttemptResult {
+        let report =
+            self.answer.as_ref().and_then(|(head, _)| parse_plausible_report(head.header("x-load-report")));
+        AttemptResult { ending: Ending::Delivered, report, streamed: true, ..self.broken() }
     }
 
     /// Opens the relay of a served answer to the client at `client`.
     pub fn open_relay(&mut self, client: usize, close: bool, now: f64) {
         let (Some((head, body)), Some(buffer)) = (self.answer.as_mut(), self.buffer.as_mut()) else { return };
         body.drop_head(buffer);
-        let media = head.header("content-type");
-        let out = relay_head(body.length(), close, media);
+        let content_type = head.header("content-type");
+        let out = streamed_response_head(body.length(), close, content_type);
         self.relay = Some(BodyRelay::new(client, out, body.length().is_none(), now));
         self.phase = Phase::Relaying;
         self.since = now;
@@ -251,9 +259,9 @@
         let (Some(relay), Some((head, body)), Some(buffer)) =
             (self.relay.as_mut(), self.answer.as_mut(), self.buffer.as_mut())
         else {
-            return Flow::NodeBroke;
+            return Flow::NodeFailed;
         };
-        match relay.pump(now, buffer, body, &mut self.sock, client) {
+        match relay.pump(now, buffer, body, &mut self.socket, client) {
             Flow::Done { reusable } => {
                 let reusable = reusable && !head.close;
                 self.answer = None;
@@ -274,7 +282,7 @@
         let (Some((head, body)), Some(buffer)) = (self.answer.take(), self.buffer.take()) else {
             return self.broken();
         };
-        let probe = matches!(self.attempt, Some(Attempt::Probe { .. }));
+        let probe = matches!(self.attempt, Some(Attempt::HealthCheck { .. }));
         let ending = match head.status {
             200 => Ending::Delivered,
             503 | 504 if head.header("x-rejected") == Some("1") => Ending::Shed,
@@ -283,35 +291,35 @@
         };
         let text = std::str::from_utf8(&buffer.bytes()[body.start..body.end]).ok();
         let text = head.header("x-load-report").or(text.filter(|_| probe));
-        let report = report_of(text);
+        let report = parse_plausible_report(text);
         // Bytes behind the answer belong to no request: the connection is not used again.
         let reusable = !head.close && !ended && body.raw == buffer.bytes().len();
-        let media = head.header("content-type").map(str::to_owned);
-        let load = Some(ResponseBody { buffer, body: body.start..body.end, media });
+        let content_type = head.header("content-type").map(str::to_owned);
+        let response_body = Some(ResponseBody { buffer, range: body.start..body.end, content_type });
         let blame = match head.status {
             // About the node or the moment, not about the request.
             408 | 421 | 425 | 429 => Blame::None,
             400..=499 if !probe => Blame::RejectedRequest,
             _ => Blame::None,
         };
-        AttemptResult { ending, report, load, reusable, blame, stream: false }
+        AttemptResult { ending, report, body: response_body, reusable, blame, streamed: false }
     }
 
     /// Gives the buffer back.
     pub fn clear(mut self, buffers: &mut BufferPool) -> TcpStream {
-        self.buffer.take().into_iter().for_each(|t| buffers.give_back(t));
-        self.sock
+        self.buffer.take().into_iter().for_each(|buffer| buffers.release(buffer));
+        self.socket
     }
 }
 
 /// A load report as it stands in a header or a probe's body, if it is one that can be true.
-fn report_of(text: Option<&str>) -> Option<Report> {
-    text.and_then(|t| parse_load_report(t.trim(), '=').ok()).filter(is_plausible)
+fn parse_plausible_report(text: Option<&str>) -> Option<Report> {
+    text.and_then(|text| parse_load_report(text.trim(), '=').ok()).filter(is_plausible)
 }
 
 /// The connections to one node.
 pub struct ConnectionPool {
-    pub dial: SocketAddr,
+    pub address: SocketAddr,
     /// Whether the node list allows new requests to this node.
     pub open: bool,
     /// Idle connections, the most recently used last.
@@ -330,11 +338,11 @@
 
 impl Pools {
     /// The number of a host: the same at every sidecar and after every restart (FNV-1a of its name).
-    pub fn number(&mut self, host: &str) -> UpstreamId {
+    pub fn id_of(&mut self, host: &str) -> UpstreamId {
         if let Some(id) = self.numbers.get(host) {
             return *id;
         }
-        let fold = |h: u64, b: u8| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3);
+        let fold = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
         let mut id = UpstreamId(host.bytes().fold(0xcbf2_9ce4_8422_2325, fold));
         while self.taken.contains_key(&id) {
             id.0 = id.0.wrapping_add(1);
--- a/crates/sidecar/proxy/src/sidecar.rs
+++ b/crates/sidecar/proxy/src/sidecar.rs
@@ -1,7 +1,7 @@
 //! The event loop: one thread and one poller. Events of sockets, timers and signals go to the dispatcher, which decides; what it
 //! decides is carried out on the connections. Nothing here blocks.
 
-use crate::admin::{AdminListener, ADMIN, ADMIN_BASE};
+use crate::admin::{AdminListener, ADMIN_LISTENER, FIRST_ADMIN_TOKEN};
 use crate::connections::{
     owner, Bounds, ConnectionEvent, Connections, Owner, Timer, DISCOVERY, LISTENER, SIGNALS,
 };
@@ -77,9 +77,9 @@
     /// When SIGTERM came, in seconds on the loop's clock (infinite before), and the schedule from then on.
     shutdown_requested_at: f64,
     end: PlannedEnd,
-    listener_full: bool,
+    accept_paused: bool,
     /// The listener's backlog may hold more clients than one turn accepts.
-    accept_backlog: bool,
+    accept_pending: bool,
 }
 
 impl Sidecar {
@@ -119,16 +119,18 @@
         let bounds = Bounds {
             max_upstreams,
             connect_timeout: s.connect_timeout,
-            conn_idle: service.node_idle_timeout,
+            upstream_idle_timeout: service.node_idle_timeout,
         };
-        let client = DiscoveryClient::new(discovery, known_nodes.as_ref().map(|k| k.version));
+        let client = DiscoveryClient::new(discovery, known_nodes.as_ref().map(|list| list.version));
         let registry = poll.registry().try_clone()?;
         let mut connections = Connections::new(registry, s.tick, client, Log::new(&name), &name, &bounds);
         let dispatcher = Dispatcher::new(&service.settings, seed)?;
-        connections.timers.set(SWEEP_INTERVAL_S, Timer::Sweep);
-        connections.timers.set(FIGURES_INTERVAL_S, Timer::Figures);
-        let admin_at =
-            admin.as_ref().and_then(|d| d.address().ok()).map_or_else(|| "-".to_owned(), |a| a.to_string());
+        connections.timers.schedule(SWEEP_INTERVAL_S, Timer::Sweep);
+        connections.timers.schedule(FIGURES_INTERVAL_S, Timer::LogCounters);
+        let admin_at = admin
+            .as_ref()
+            .and_then(|listener| listener.address().ok())
+            .map_or_else(|| "-".to_owned(), |a| a.to_string());
         let started: [(&str, &dyn Display); 4] =
             [("tier", &service.tier), ("listen", &listen), ("operator", &admin_at), ("rank", &s.rank)];
         connections.log_event("info", "started", &started);
@@ -153,13 +155,13 @@
             shutdown_phase,
             shutdown_requested_at: f64::INFINITY,
             end: PlannedEnd::of(std::iter::empty()),
-            listener_full: false,
-            accept_backlog: false,
+            accept_paused: false,
+            accept_pending: false,
         };
         sidecar.apply_node_list(
             known_nodes.unwrap_or(NodeListUpdate { full: true, ..NodeListUpdate::default() }),
         );
-        if !sidecar.connections.discovery.wanted {
+        if !sidecar.connections.discovery.subscribed {
             // The list is asked for also where changes come unasked in the simulator: here they never do.
             passrelay_load_balancing::dispatcher::Transport::subscribe(&mut sidecar.connections);
         }
@@ -181,9 +183,9 @@
         let mut events = Events::with_capacity(1024);
         while !self.is_done() {
             let now = self.began.elapsed().as_secs_f64();
-            let wait = (self.connections.timers.next_look() - now).clamp(0.0, MAX_POLL_TIMEOUT_S);
+            let wait = (self.connections.timers.next_deadline() - now).clamp(0.0, MAX_POLL_TIMEOUT_S);
             let wait =
-                match (self.accept_backlog || !self.connections.continuations.is_empty(), self.listener_full)
+                match (self.accept_pending || !self.connections.continuations.is_empty(), self.accept_paused)
                 {
                     (true, _) => 0.0,
                     (_, true) => wait.min(SWEEP_INTERVAL_S),
@@ -199,8 +201,8 @@
                     LISTENER => self.listener_ready(),
                     SIGNALS => self.handle_signals(),
                     DISCOVERY => self.discovery_ready(),
-                    ADMIN => self.admin_ready(),
-                    token if token.0 >= ADMIN_BASE => self.admin_connection_ready(token),
+                    ADMIN_LISTENER => self.admin_ready(),
+                    token if token.0 >= FIRST_ADMIN_TOKEN => self.admin_connection_ready(token),
                     token => match owner(token) {
                         Owner::Client(key, generation) => {
                             self.client_event(key, generation, event.is_read_closed())
@@ -217,12 +219,12 @@
             self.connections.run_continuations();
             self.dispatch_events();
             // An answer may have freed a slot: clients in the backlog need not wait for the next sweep.
-            if self.accept_backlog || self.listener_full && self.connections.can_accept(self.max_clients) {
+            if self.accept_pending || self.accept_paused && self.connections.can_accept(self.max_clients) {
                 self.listener_ready();
                 self.dispatch_events();
             }
         }
-        self.figures("ended");
+        self.log_counters("ended");
         Ok(())
     }
 
@@ -247,14 +249,14 @@
                 ConnectionEvent::AttemptOutcome { id, number, ending } => {
                     self.dispatcher.outcome(now, id, number, ending, None, &mut self.connections);
                 }
-                ConnectionEvent::ProbeOutcome { node, ending } => {
+                ConnectionEvent::HealthCheckOutcome { node, ending } => {
                     self.dispatcher.health_check_ended(now, node, ending, 0.0, None, &mut self.connections);
                 }
                 ConnectionEvent::DiscoveryFailed => {
                     if !self.service.settings.list_by_subscription {
                         // Such a module never asks by itself.
-                        self.connections.discovery.wanted = true;
-                        self.connections.timers.set(now + DISCOVERY_RETRY_S, Timer::Ask);
+                        self.connections.discovery.subscribed = true;
+                        self.connections.timers.schedule(now + DISCOVERY_RETRY_S, Timer::DiscoveryCall);
                     }
                     self.dispatcher.discovery_failed(now, &mut self.connections);
                 }
@@ -262,8 +264,13 @@
                 // The slot may have a new attempt by now; then this event is stale.
                 ConnectionEvent::AttemptEnded { upstream, attempt, end } => {
                     match self.connections.upstreams.get(upstream) {
-                        Some(b) if b.attempt == Some(attempt) => self.returned(upstream, end),
-                        _ => end.load.into_iter().for_each(|l| self.connections.buffers.give_back(l.buffer)),
+                        Some(connection) if connection.attempt == Some(attempt) => {
+                            self.handle_result(upstream, end)
+                        }
+                        _ => end
+                            .body
+                            .into_iter()
+                            .for_each(|body| self.connections.buffers.release(body.buffer)),
                     }
                 }
                 ConnectionEvent::ClientReady { client } => self.client_ready(client),
@@ -275,25 +282,31 @@
         let now = self.connections.now;
         match timer {
             Timer::Dispatcher(timer) => self.dispatcher.timer_fired(now, timer, &mut self.connections),
-            Timer::Dial(key, attempt) => {
-                if self.connections.is_at(key, Phase::Dialing, attempt) {
+            Timer::ConnectTimeout(key, attempt) => {
+                if self.connections.is_in_phase(key, Phase::Connecting, attempt) {
                     self.connections.connect_timed_out(key);
                 }
             }
-            Timer::Late(key, number) => {
-                if self.connections.upstreams.get(key).is_some_and(|b| b.is_late() && b.number == number) {
+            Timer::LateConnectTimeout(key, serial) => {
+                if self
+                    .connections
+                    .upstreams
+                    .get(key)
+                    .is_some_and(|upstream| upstream.is_late() && upstream.serial == serial)
+                {
                     self.connections.close_upstream(key);
                 }
             }
-            Timer::Probe(key, attempt) => {
-                if self.connections.is_at(key, Phase::Busy, attempt) {
+            Timer::HealthCheckTimeout(key, attempt) => {
+                if self.connections.is_in_phase(key, Phase::Busy, attempt) {
                     self.connections.end_attempt(key, Ending::Expired);
                 }
             }
-            Timer::LastByte(key, attempt) => self.send_held_byte(key, attempt),
-            Timer::Ask => self.connections.ask(),
-            Timer::Overdue(call) => {
-                if self.connections.discovery.asking && self.connections.discovery.call == call {
+            Timer::SendLastByte(key, attempt) => self.send_held_byte(key, attempt),
+            Timer::DiscoveryCall => self.connections.call_discovery(),
+            Timer::DiscoveryTimeout(call) => {
+                if self.connections.discovery.call_in_flight && self.connections.discovery.call_number == call
+                {
                     self.connections.discovery_failed("no answer");
                 }
             }
@@ -306,24 +319,24 @@
                 if let Some(admin) = self.admin.as_mut() {
                     admin.sweep(now, self.poll.registry());
                 }
-                self.connections.timers.set(now + SWEEP_INTERVAL_S, Timer::Sweep);
-                if self.listener_full {
+                self.connections.timers.schedule(now + SWEEP_INTERVAL_S, Timer::Sweep);
+                if self.accept_paused {
                     self.listener_ready();
                 }
             }
-            Timer::Figures => {
-                self.figures("figures");
-                self.connections.timers.set(now + FIGURES_INTERVAL_S, Timer::Figures);
+            Timer::LogCounters => {
+                self.log_counters("figures");
+                self.connections.timers.schedule(now + FIGURES_INTERVAL_S, Timer::LogCounters);
             }
             Timer::CloseListener => self.close_listener(),
-            Timer::LastCall => self.close_idle_and_drain(),
-            Timer::AnswersDue => self.answer_all_pending(),
+            Timer::CloseIdleClients => self.close_idle_and_drain(),
+            Timer::AnswerPending => self.answer_all_pending(),
             // Only wakes the loop, which then sees that it is time.
             Timer::Exit => {}
         }
     }
 
-    fn figures(&mut self, event: &str) {
+    fn log_counters(&mut self, event: &str) {
         let c = self.dispatcher.counts();
         let (owed, clients, upstreams) = (
             self.dispatcher.open_requests(),
--- a/crates/sidecar/proxy/src/sidecar/clients.rs
+++ b/crates/sidecar/proxy/src/sidecar/clients.rs
@@ -16,12 +16,12 @@
 
 impl Sidecar {
     pub(super) fn listener_ready(&mut self) {
-        self.listener_full = false;
-        self.accept_backlog = false;
+        self.accept_paused = false;
+        self.accept_pending = false;
         for _ in 0..MAX_ACCEPTS_PER_TURN {
             let Some(listener) = &self.listener else { return };
             if self.connections.clients.len() >= self.max_clients && !self.connections.evict_idle_client() {
-                self.listener_full = true;
+                self.accept_paused = true;
                 self.connections.log_event(
                     "warn",
                     "client_connections_full",
@@ -30,7 +30,7 @@
                 return;
             }
             match listener.on_readable() {
-                Accepted::Connection(sock) => match self.connections.accept(sock) {
+                Accepted::Connection(socket) => match self.connections.accept(socket) {
                     // Its request may have come along: the poller tells of it.
                     Ok(()) => {}
                     Err(e) => self.connections.log_event("warn", "client_setup_failed", &[("problem", &e)]),
@@ -39,23 +39,25 @@
                 Accepted::NoRoom => {
                     self.connections.log_event("warn", "descriptors_exhausted", &[("for", &"client")]);
                     if !self.connections.evict_idle_client() && !self.connections.close_idlest_upstream() {
-                        self.listener_full = true;
+                        self.accept_paused = true;
                         return;
                     }
                 }
                 Accepted::Broken(e) => {
-                    self.listener_full = true;
+                    self.accept_paused = true;
                     return self.connections.log_event("error", "listener_failed", &[("problem", &e)]);
                 }
             }
         }
         // Guards against a crowd whose last ones would wait for the next newcomer to be let in.
-        self.accept_backlog = true;
+        self.accept_pending = true;
     }
 
     /// Readiness of a client connection, or of an earlier one in the same slot, which is ignored.
     pub(super) fn client_event(&mut self, key: usize, of: usize, ended: bool) {
-        if let Some(client) = self.connections.clients.get_mut(key).filter(|k| generation(k.number) == of) {
+        if let Some(client) =
+            self.connections.clients.get_mut(key).filter(|client| generation(client.serial) == of)
+        {
             client.peer_closed |= ended;
             self.client_ready(key);
         }
@@ -66,8 +68,8 @@
         while let Some(client) = self.connections.clients.get_mut(key) {
             match client.on_readable(self.connections.now, &mut self.connections.buffers) {
                 Received::Partial => return,
-                Received::More => {
-                    self.connections.continuations.insert(Continuation::DrainInput(key, client.number));
+                Received::Yield => {
+                    self.connections.continuations.insert(Continuation::DrainInput(key, client.serial));
                     return;
                 }
                 Received::Request(head) => {
@@ -83,7 +85,7 @@
                     self.connections.close_client(key);
                     if let Stage::Waiting(id) = stage {
                         self.connections.untrack_request(id);
-                        self.connections.abandon(id);
+                        self.connections.withdraw_unsent_attempts(id);
                         self.dispatcher.client_disconnected(self.connections.now, id, &mut self.connections);
                     }
                     return;
@@ -155,7 +157,7 @@
         if tenant.is_none() && !names.tenants.is_empty() {
             return Err((400, "X-Caller is missing"));
         }
-        let digits = |b: &&str| b.bytes().all(|c| c.is_ascii_digit() || c == b'.');
+        let digits = |text: &&str| text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
         let budget = head.header("x-budget").filter(digits).and_then(|b| b.parse::<f64>().ok());
         let budget = budget.ok_or((400, "X-Budget is missing or not a number of seconds"))?;
         // No client waits longer than its class's whole time; a day-long budget would never free its state.
--- a/crates/sidecar/proxy/src/sidecar/discovery.rs
+++ b/crates/sidecar/proxy/src/sidecar/discovery.rs
@@ -13,7 +13,9 @@
             DiscoveryResult::Pending => {}
             DiscoveryResult::Update(update) => {
                 self.apply_node_list(update);
-                self.connections.timers.set(self.connections.now + REQUEST_PAUSE_S, Timer::Ask);
+                self.connections
+                    .timers
+                    .schedule(self.connections.now + REQUEST_PAUSE_S, Timer::DiscoveryCall);
             }
             DiscoveryResult::Failed(problem) => self.connections.discovery_failed(&problem),
         }
@@ -24,7 +26,7 @@
         let now = self.connections.now;
         let (mut items, mut open) = (Vec::new(), Vec::new());
         for line in &update.nodes {
-            let node = self.connections.pools.number(&line.host);
+            let node = self.connections.pools.id_of(&line.host);
             let started = (line.started_at_ms > 0.0).then(|| line.started_at_ms / 1000.0 - self.epoch);
             let (zone, condition) = (ZoneId(0), line.condition);
             let entry = Entry { upstream: node, zone, cell: line.cell, condition, started };
@@ -41,13 +43,13 @@
             let pools = &self.connections.pools.by_node;
             let absent: Vec<_> = pools
                 .iter()
-                .filter(|(n, l)| l.open && !open.contains(n))
-                .map(|(n, l)| (*n, l.dial))
+                .filter(|(node, pool)| pool.open && !open.contains(node))
+                .map(|(node, pool)| (*node, pool.address))
                 .collect();
-            for (node, dial) in absent {
+            for (node, address) in absent {
                 let host = self.connections.pools.host(node).to_owned();
                 self.connections.log_event("info", "node_removed", &[("node", &host)]);
-                self.connections.update_node(node, dial, false);
+                self.connections.update_node(node, address, false);
             }
         }
         if update.full || !update.nodes.is_empty() {
--- a/crates/sidecar/proxy/src/sidecar/operators.rs
+++ b/crates/sidecar/proxy/src/sidecar/operators.rs
@@ -33,7 +33,7 @@
                 let mut body = serde_json::json!({
                     "name": self.name, "serving": serving, "ready": ready,
                     "standby": self.lifecycle.standby_since().is_some(), "ending": self.shutdown_phase != ShutdownPhase::Serving,
-                    "owed": self.dispatcher.open_requests(), "clients": self.connections.clients.len(), "node_connections": self.connections.upstreams.len(), "buffers": self.connections.buffers.out,
+                    "owed": self.dispatcher.open_requests(), "clients": self.connections.clients.len(), "node_connections": self.connections.upstreams.len(), "buffers": self.connections.buffers.in_use,
                     "taken": c.arrived, "served": c.served, "refused": c.rejected, "failed": c.failed,
                     "standbys": self.lifecycle.standby_count, "operator_cut_off": admin.cut_off, "generation": self.generation,
                 });
--- a/crates/sidecar/proxy/src/sidecar/signals.rs
+++ b/crates/sidecar/proxy/src/sidecar/signals.rs
@@ -23,10 +23,10 @@
                 self.shutdown_phase = ShutdownPhase::Draining;
                 self.shutdown_requested_at = now;
                 self.end = PlannedEnd::of(self.service.active_deadlines());
-                self.connections.timers.set(now + self.end.listener_closes, Timer::CloseListener);
-                self.connections.timers.set(now + self.end.idle_closes, Timer::LastCall);
-                self.connections.timers.set(now + self.end.answers_by, Timer::AnswersDue);
-                self.connections.timers.set(now + self.end.exits_by, Timer::Exit);
+                self.connections.timers.schedule(now + self.end.listener_closes, Timer::CloseListener);
+                self.connections.timers.schedule(now + self.end.idle_closes, Timer::CloseIdleClients);
+                self.connections.timers.schedule(now + self.end.answers_by, Timer::AnswerPending);
+                self.connections.timers.schedule(now + self.end.exits_by, Timer::Exit);
                 self.connections.log_event(
                     "info",
                     "ending",
@@ -68,14 +68,14 @@
             ("discovery", &discovery),
         ];
         self.connections.log_event("info", "reloaded", &values);
-        self.connections.move_discovery(discovery);
+        self.connections.set_discovery_address(discovery);
     }
 
     /// Accepts what is left in the backlog, then closes the listener.
     pub(super) fn close_listener(&mut self) {
         for _ in 0..MAX_FINAL_ACCEPT_ROUNDS {
             self.listener_ready();
-            if !self.accept_backlog {
+            if !self.accept_pending {
                 break;
             }
         }
@@ -92,7 +92,7 @@
         for key in keys {
             self.client_ready(key);
             self.dispatch_events();
-            if self.connections.clients.get(key).is_some_and(|k| k.stage == Stage::Idle) {
+            if self.connections.clients.get(key).is_some_and(|client| client.stage == Stage::Idle) {
                 self.connections.close_gracefully(key);
             }
         }
@@ -100,7 +100,7 @@
 
     /// Answers all pending requests before SIGKILL may come; partially received requests get 503.
     pub(super) fn answer_all_pending(&mut self) {
-        for id in self.connections.owed() {
+        for id in self.connections.pending_request_ids() {
             self.dispatcher.timer_fired(
                 self.connections.now,
                 dispatcher::Timer::Deadline(id),
--- a/crates/sidecar/proxy/src/timer_wheel.rs
+++ b/crates/sidecar/proxy/src/timer_wheel.rs
@@ -23,7 +23,7 @@
     }
 
     /// Sets a timer for the first tick at or after `at`.
-    pub fn set(&mut self, at: f64, timer: T) {
+    pub fn schedule(&mut self, at: f64, timer: T) {
         let tick = ((at.max(0.0) / self.tick).ceil() as u64).max(self.next);
         self.slots[tick as usize % SLOTS].push((tick, timer));
         self.len += 1;
@@ -52,7 +52,7 @@
     }
 
     /// When the loop has to look again, at most one turn of the wheel from now.
-    pub fn next_look(&self) -> f64 {
+    pub fn next_deadline(&self) -> f64 {
         if !self.due.is_empty() {
             return 0.0;
         }
