--- a/crates/sidecar/proxy/src/sidecar/clients.rs
+++ b/crates/sidecar/proxy/src/sidecar/clients.rs
@@ -147,7 +147,7 @@
     /// allowed method.
     fn read_arrival(&self, head: &Head, path: &str) -> Result<Arrival, (u16, &'static str)> {
         let name = path[1..].split('/').next().unwrap_or("");
-        let class = self.service.class(name).ok_or((404, "no such class"))?;
+        let class = self.service.class_index(name).ok_or((404, "no such class"))?;
         let method = if self.service.settings.classes[class].effect == Effect::Safe { "GET" } else { "POST" };
         if head.method != method {
             return Err((405, method));
--- a/crates/sidecar/settings/src/config.rs
+++ b/crates/sidecar/settings/src/config.rs
@@ -1,7 +1,7 @@
-//! The one place where configuration is read, checked and given defaults.
+//! Parsing, validation and defaults of the configuration.
 //!
-//! A sidecar is told its settings as nested JSON, the simulator's host as `path=value` pairs. Both are
-//! brought into the form of pairs and go through the same checks.
+//! A sidecar gets its settings as nested JSON, the simulator's host as `path=value` pairs. JSON is flattened into
+//! pairs, so that both go through the same checks.
 
 use crate::node_list::NodeListUpdate;
 use passrelay_load_balancing::{Class, DedupScope, Effect, Entry, Settings, Tenant, TenantId, ZoneId};
@@ -12,20 +12,20 @@
 use std::path::PathBuf;
 use std::str::FromStr;
 
-/// Descriptors kept free for standard streams, the poller, signals, the gate and discovery.
-const SPARE_SOCKETS: usize = 24;
-/// What one connection may cost at most: a buffer and a little beside it, in KiB.
-const CONNECTION_KIB: usize = 96;
-/// Classes, retired ones among them, that the settings of one run may come to. Guards against a table that
-/// grows with each reload without end.
-const MOST_CLASSES: usize = 256;
+/// Descriptors reserved for the standard streams, the poller, signals, the listeners and discovery.
+const RESERVED_DESCRIPTORS: usize = 24;
+/// Maximum memory per connection, in KiB: one buffer and its bookkeeping.
+const MAX_CONNECTION_KIB: usize = 96;
+/// Maximum number of classes in one run, retired ones included. Without a limit, the table would grow with
+/// every reload.
+const MAX_CLASSES: usize = 256;
 
-/// A key of the configuration and what is wrong with it.
+/// An invalid configuration: the key at fault and the problem.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigError {
-    /// The key, as a path.
+    /// Path of the key, or name of the environment variable.
     pub key: String,
-    /// What is wrong with it.
+    /// What is wrong with the value.
     pub problem: String,
 }
 
@@ -37,81 +37,82 @@
 
 impl std::error::Error for ConfigError {}
 
-fn wrong<T>(key: &str, problem: impl Into<String>) -> Result<T, ConfigError> {
+fn invalid<T>(key: &str, problem: impl Into<String>) -> Result<T, ConfigError> {
     Err(ConfigError { key: key.to_owned(), problem: problem.into() })
 }
 
-/// The names that the settings give, by position.
+/// Names from the settings; the position of a name is its id.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
-    /// Of the classes.
+    /// Names of the request classes, empty for retired ones.
     pub classes: Vec<String>,
-    /// Of the tenants.
+    /// Names of the tenants, empty if the service has none.
     pub tenants: Vec<String>,
     zones: Vec<String>,
 }
 
 impl Names {
-    /// The number of a zone; a new name gets a new number.
+    /// Returns the id of a zone. A new name gets the next free id.
     pub fn zone_id(&mut self, name: &str) -> ZoneId {
-        let known = self.zones.iter().position(|z| z == name);
+        let known = self.zones.iter().position(|zone| zone == name);
         ZoneId(known.unwrap_or_else(|| {
             self.zones.push(name.to_owned());
             self.zones.len() - 1
         }))
     }
 
-    /// The tenant of a request: `None` where the site has none, an error where the name is unknown.
+    /// Returns the tenant of a request: `None` if the service has no tenants or the request names none.
     ///
     /// # Errors
     ///
-    /// Returns the name that is not in the settings.
+    /// Returns the name if it is not in the settings.
     pub fn tenant_id(&self, name: Option<&str>) -> Result<Option<TenantId>, String> {
         let Some(name) = name.filter(|_| !self.tenants.is_empty()) else { return Ok(None) };
-        let known = self.tenants.iter().position(|t| t == name);
-        known.map(|t| Some(TenantId(t))).ok_or_else(|| name.to_owned())
+        let known = self.tenants.iter().position(|tenant| tenant == name);
+        known.map(|index| Some(TenantId(index))).ok_or_else(|| name.to_owned())
     }
 }
 
-/// The settings as the module takes them, and what the program round it needs beside.
+/// The settings of the balancer, and what the program around it needs beside them.
 #[derive(Clone, Debug)]
 pub struct ServiceSettings {
-    /// For the decision module.
+    /// Settings of the balancer.
     pub settings: Settings,
-    /// Names by position.
+    /// Names of classes, tenants and zones, by id.
     pub names: Names,
-    /// The longest time that a client of each class waits.
+    /// Longest time that a client of each class waits, in seconds.
     pub deadlines: Vec<f64>,
-    /// A node closes a connection that has been idle for so long.
+    /// Time after which a node closes an idle connection, in seconds.
     pub node_idle_timeout: f64,
-    /// How late a final answer may come.
+    /// How late a final response may be, in seconds.
     pub answer_slack: f64,
-    /// Most open requests.
+    /// Maximum number of open requests.
     pub max_open_requests: usize,
-    /// The tier's name, for the log.
+    /// Name of the service's tier, for the log.
     pub tier: String,
 }
 
-/// `path=value` pairs of the settings.
-struct Pairs(BTreeMap<String, String>);
+/// Settings as `path=value` pairs.
+struct SettingPairs(BTreeMap<String, String>);
 
-impl Pairs {
+impl SettingPairs {
+    /// Returns the value of a key; `None` if it is absent, empty or `-`.
     fn text(&self, key: &str) -> Option<&str> {
-        self.0.get(key).map(String::as_str).filter(|v| *v != "-" && !v.is_empty())
+        self.0.get(key).map(String::as_str).filter(|value| *value != "-" && !value.is_empty())
     }
 
-    fn get<T: FromStr>(&self, key: &str, default: T) -> Result<T, ConfigError> {
+    fn number<T: FromStr>(&self, key: &str, default: T) -> Result<T, ConfigError> {
         let Some(text) = self.text(key) else { return Ok(default) };
-        text.parse().or_else(|_| wrong(key, format!("has the value '{text}'")))
+        text.parse().or_else(|_| invalid(key, format!("has the value '{text}', which is not a valid number")))
     }
 
-    /// A span that the program itself uses: finite and not negative.
-    fn span(&self, key: &str, default: f64) -> Result<f64, ConfigError> {
-        let value = self.get(key, default)?;
+    /// Returns a duration in seconds that the program itself uses: finite and not negative.
+    fn duration(&self, key: &str, default: f64) -> Result<f64, ConfigError> {
+        let value = self.number(key, default)?;
         if value.is_finite() && value >= 0.0 {
             return Ok(value);
         }
-        wrong(key, "should be finite and not negative")
+        invalid(key, format!("should be finite and not negative, is {value}"))
     }
 
     fn flag(&self, key: &str, default: bool) -> Result<bool, ConfigError> {
@@ -119,69 +120,89 @@
             None => Ok(default),
             Some("true" | "1") => Ok(true),
             Some("false" | "0") => Ok(false),
-            Some(other) => wrong(key, format!("should be true or false, is '{other}'")),
+            Some(other) => invalid(key, format!("should be true or false, is '{other}'")),
         }
     }
 
     fn list(&self, key: &str) -> Vec<String> {
-        self.text(key).map(|v| v.split(',').map(str::to_owned).collect()).unwrap_or_default()
+        self.text(key).map(|value| value.split(',').map(str::to_owned).collect()).unwrap_or_default()
     }
 
-    fn class(&self, at: usize) -> Result<(String, Class, f64), ConfigError> {
-        let key = |k: &str| format!("Classes.{at}.{k}");
-        let d = Class::default();
+    /// Parses the class `Classes.index`. Returns its name, its rules and the longest time that its clients wait.
+    fn class(&self, index: usize) -> Result<(String, Class, f64), ConfigError> {
+        let key = |field: &str| format!("Classes.{index}.{field}");
+        let defaults = Class::default();
         let scope = match self.text(&key("DedupScope")) {
             Some("all") | None => DedupScope::All,
             Some("zone") => DedupScope::Zone,
             Some("cell") => DedupScope::Cell,
-            Some(other) => return wrong(&key("DedupScope"), format!("unknown repeat scope '{other}'")),
+            Some(other) => {
+                return invalid(
+                    &key("DedupScope"),
+                    format!("unknown scope '{other}', should be all, zone or cell"),
+                )
+            }
         };
         let effect = match self.text(&key("Idempotency")) {
             Some("read_like") => Effect::Safe,
-            Some("idempotency_key") => Effect::Keyed { scope, window: self.get(&key("RepeatWindow"), 0.0)? },
+            Some("idempotency_key") => {
+                Effect::Keyed { scope, window: self.number(&key("RepeatWindow"), 0.0)? }
+            }
             Some("non_idempotent") | None => Effect::Unsafe,
-            Some(other) => return wrong(&key("Idempotency"), format!("unknown repeat rule '{other}'")),
+            Some(other) => {
+                return invalid(
+                    &key("Idempotency"),
+                    format!(
+                        "unknown value '{other}', should be read_like, idempotency_key or non_idempotent"
+                    ),
+                )
+            }
         };
         let name = self.text(&key("Name")).map(str::to_owned);
-        let name = name.map_or_else(|| wrong(&key("Name"), "is missing"), Ok)?;
+        let name = name.map_or_else(|| invalid(&key("Name"), "is missing"), Ok)?;
         if let Some(text) = self.text(&key("GiveUp")) {
-            // A deadline of nothing would refuse every request of the class.
-            if !text.parse::<f64>().is_ok_and(|g| g.is_finite() && g > 0.0) {
-                return wrong(&key("GiveUp"), format!("should be a positive number of seconds, is '{text}'"));
+            // A deadline of zero would reject every request of the class.
+            if !text.parse::<f64>().is_ok_and(|seconds| seconds.is_finite() && seconds > 0.0) {
+                return invalid(
+                    &key("GiveUp"),
+                    format!("should be a positive number of seconds, is '{text}'"),
+                );
             }
         }
         let class = Class {
-            latency_target: self.get(&key("Aim"), self.get(&key("GiveUp"), d.latency_target)?)?,
-            latency_target_per_work: self.get(&key("AimStretch"), d.latency_target_per_work)?,
-            value: self.get(&key("Gain"), d.value)?,
-            late_value: self.get(&key("LateValue"), d.late_value)?,
+            latency_target: self
+                .number(&key("Aim"), self.number(&key("GiveUp"), defaults.latency_target)?)?,
+            latency_target_per_work: self.number(&key("AimStretch"), defaults.latency_target_per_work)?,
+            value: self.number(&key("Gain"), defaults.value)?,
+            late_value: self.number(&key("LateValue"), defaults.late_value)?,
             effect,
         };
-        let deadlines = self.span(&key("GiveUp"), class.latency_target.max(0.0))?;
-        Ok((name, class, deadlines))
+        let deadline = self.duration(&key("GiveUp"), class.latency_target.max(0.0))?;
+        Ok((name, class, deadline))
     }
 }
 
 impl ServiceSettings {
-    /// The settings of a later generation, laid over these: a class that is the same keeps its position, a
-    /// changed or new one comes at the end, and one that is no longer named is retired (its name is left
-    /// empty), so that requests already taken keep the rules that they came under. The tick stays.
+    /// Returns these settings with those of a reload applied. An unchanged class keeps its position, a changed or
+    /// new one is appended, and one that is no longer configured is retired (its name becomes empty), so that
+    /// accepted requests keep the rules under which they were accepted. The tick does not change.
     ///
     /// # Errors
     ///
-    /// Fails where the classes of the run would come to more than 256.
+    /// Fails if the run would have more than 256 classes.
     pub fn reloaded_with(&self, new: ServiceSettings) -> Result<ServiceSettings, ConfigError> {
         let mut merged = self.clone();
-        let same = |at: usize, old: usize| {
-            new.settings.classes[at] == self.settings.classes[old] && new.deadlines[at] == self.deadlines[old]
+        let is_unchanged = |index: usize, old: usize| {
+            new.settings.classes[index] == self.settings.classes[old]
+                && new.deadlines[index] == self.deadlines[old]
         };
         let kept: Vec<Option<usize>> = (0..new.names.classes.len())
-            .map(|at| {
+            .map(|index| {
                 self.names
                     .classes
                     .iter()
-                    .position(|n| *n == new.names.classes[at])
-                    .filter(|&old| same(at, old))
+                    .position(|name| *name == new.names.classes[index])
+                    .filter(|&old| is_unchanged(index, old))
             })
             .collect();
         for (old, name) in merged.names.classes.iter_mut().enumerate() {
@@ -189,17 +210,17 @@
                 name.clear();
             }
         }
-        for (at, kept) in kept.iter().enumerate() {
+        for (index, kept) in kept.iter().enumerate() {
             if kept.is_none() {
-                merged.names.classes.push(new.names.classes[at].clone());
-                merged.settings.classes.push(new.settings.classes[at].clone());
-                merged.deadlines.push(new.deadlines[at]);
+                merged.names.classes.push(new.names.classes[index].clone());
+                merged.settings.classes.push(new.settings.classes[index].clone());
+                merged.deadlines.push(new.deadlines[index]);
             }
         }
-        if merged.settings.classes.len() > MOST_CLASSES {
-            return wrong(
+        if merged.settings.classes.len() > MAX_CLASSES {
+            return invalid(
                 "settings.Classes",
-                format!("would bring the classes of this run to over {MOST_CLASSES}; restart to take them"),
+                format!("would bring the classes of this run to over {MAX_CLASSES}; restart to take them"),
             );
         }
         let classes = std::mem::take(&mut merged.settings.classes);
@@ -210,199 +231,208 @@
         Ok(merged)
     }
 
-    /// The deadlines of the classes that new requests may name.
+    /// Returns the deadlines of the classes that new requests may use, in seconds.
     pub fn active_deadlines(&self) -> impl Iterator<Item = f64> + '_ {
-        self.names.classes.iter().zip(&self.deadlines).filter(|(name, _)| !name.is_empty()).map(|(_, d)| *d)
+        self.names
+            .classes
+            .iter()
+            .zip(&self.deadlines)
+            .filter(|(name, _)| !name.is_empty())
+            .map(|(_, deadline)| *deadline)
     }
 
-    /// The position of a class that new requests may name.
-    pub fn class(&self, name: &str) -> Option<usize> {
-        self.names.classes.iter().position(|c| !c.is_empty() && c == name)
+    /// Returns the position of a class that new requests may use; `None` for unknown and retired classes.
+    pub fn class_index(&self, name: &str) -> Option<usize> {
+        self.names.classes.iter().position(|class| !class.is_empty() && class == name)
     }
 
-    /// Reads settings given as `path=value` pairs. Unknown keys are skipped, absent ones get defaults.
+    /// Parses settings given as `path=value` pairs. Unknown keys are skipped, absent ones get defaults.
     ///
     /// # Errors
     ///
-    /// Names the first key that is wrong.
+    /// Returns the first invalid key.
     pub fn from_pairs(pairs: &[&str]) -> Result<ServiceSettings, ConfigError> {
         let mut map = BTreeMap::new();
-        for pair in pairs.iter().filter(|p| !p.is_empty() && **p != "-") {
+        for pair in pairs.iter().filter(|pair| !pair.is_empty() && **pair != "-") {
             let Some((key, value)) = pair.split_once('=') else {
-                return wrong(pair, "a setting should be path=value");
+                return invalid(pair, "a setting should be path=value");
             };
             map.insert(key.to_owned(), value.to_owned());
         }
-        ServiceSettings::read(&Pairs(map))
+        ServiceSettings::from_setting_pairs(&SettingPairs(map))
     }
 
-    /// Reads settings given as nested JSON.
+    /// Parses settings given as nested JSON. Unknown keys are skipped, absent ones get defaults.
     ///
     /// # Errors
     ///
-    /// Names the first key that is wrong.
+    /// Returns the first invalid key.
     pub fn from_json(value: &Value) -> Result<ServiceSettings, ConfigError> {
         if !value.is_object() {
-            return wrong("settings", "should be an object");
+            return invalid("settings", "should be an object");
         }
         let mut map = BTreeMap::new();
         flatten("", value, &mut map);
-        ServiceSettings::read(&Pairs(map))
+        ServiceSettings::from_setting_pairs(&SettingPairs(map))
             .map_err(|e| ConfigError { key: format!("settings.{}", e.key), ..e })
     }
 
-    fn read(p: &Pairs) -> Result<ServiceSettings, ConfigError> {
-        let mut names = Names { zones: p.list("Dcs"), ..Names::default() };
-        let zone = names.zone_id(p.text("Az").unwrap_or(""));
+    fn from_setting_pairs(pairs: &SettingPairs) -> Result<ServiceSettings, ConfigError> {
+        let mut names = Names { zones: pairs.list("Dcs"), ..Names::default() };
+        let zone = names.zone_id(pairs.text("Az").unwrap_or(""));
         let (mut classes, mut deadlines, mut tenants) = (Vec::new(), Vec::new(), Vec::new());
-        for at in 0..p.get("Classes.count", 0)? {
-            let (name, class, longest) = p.class(at)?;
+        for index in 0..pairs.number("Classes.count", 0)? {
+            let (name, class, deadline) = pairs.class(index)?;
             names.classes.push(name);
             classes.push(class);
-            deadlines.push(longest);
+            deadlines.push(deadline);
         }
-        for at in 0..p.get("Tenants.count", 0)? {
-            names.tenants.push(p.text(&format!("Tenants.{at}.Name")).unwrap_or("").to_owned());
-            let allowance_per_s = p.get(&format!("Tenants.{at}.AllowancePerS"), f64::INFINITY)?;
-            tenants.push(Tenant { quota_per_s: allowance_per_s });
+        for index in 0..pairs.number("Tenants.count", 0)? {
+            names.tenants.push(pairs.text(&format!("Tenants.{index}.Name")).unwrap_or("").to_owned());
+            let quota_per_s = pairs.number(&format!("Tenants.{index}.AllowancePerS"), f64::INFINITY)?;
+            tenants.push(Tenant { quota_per_s });
         }
-        let fields = p.list("Report.Fields");
-        let reported = |field| fields.iter().any(|f| f == field);
-        let d = Settings::default();
+        let fields = pairs.list("Report.Fields");
+        let reported = |field| fields.iter().any(|name| name == field);
+        let defaults = Settings::default();
         let settings = Settings {
-            instances: p.get("Balancers", d.instances)?,
-            rank: p.get("Rank", d.rank)?,
+            instances: pairs.number("Balancers", defaults.instances)?,
+            rank: pairs.number("Rank", defaults.rank)?,
             classes,
             tenants,
-            over_quota_value: p.get("OverShareWorth", d.over_quota_value)?,
-            value_by_work: p.text("CountedBy") == Some("work"),
+            over_quota_value: pairs.number("OverShareWorth", defaults.over_quota_value)?,
+            value_by_work: pairs.text("CountedBy") == Some("work"),
             zone,
-            price_cross_zone: p.get("Deductions.CrossZone", d.price_cross_zone)?,
-            price_health_check: p.get("Deductions.Probe", d.price_health_check)?,
-            list_by_subscription: p.text("RegistryMode") == Some("ask"),
-            list_validity: p.get("Rules.AskEvery", d.list_validity)?,
-            reports_in_answers: p.text("Report.Source").is_none_or(|s| s == "piggyback"),
+            price_cross_zone: pairs.number("Deductions.CrossZone", defaults.price_cross_zone)?,
+            price_health_check: pairs.number("Deductions.Probe", defaults.price_health_check)?,
+            list_by_subscription: pairs.text("RegistryMode") == Some("ask"),
+            list_validity: pairs.number("Rules.AskEvery", defaults.list_validity)?,
+            reports_in_answers: pairs.text("Report.Source").is_none_or(|source| source == "piggyback"),
             reports_concurrency: reported("active"),
             reports_queue: reported("active") && reported("waiting"),
-            health_checks: p.flag("Limits.Probes", d.health_checks)?,
-            cancel: p.flag("Limits.Cancel", d.cancel)?,
-            duplicates: p.flag("Limits.MayDuplicate", d.duplicates)?,
-            max_attempts: p.get("Limits.AttemptsCap", d.max_attempts)?,
-            retry_after: p.flag("Limits.RetryAfter", d.retry_after)?,
-            max_retry_after: p.get("Limits.MaxRetryAfter", d.max_retry_after)?,
-            connect_timeout: p.get("Limits.ConnectTimeout", d.connect_timeout)?,
-            drain_grace: p.get("Rules.DrainGrace", d.drain_grace)?,
-            slow_start_capacity: p.get("Rules.ColdFrom", d.slow_start_capacity)?,
-            slow_start_duration: p.get("Rules.WarmWithin", d.slow_start_duration)?,
-            overload_factor: p.get("Rules.OverloadFactor", d.overload_factor)?,
-            overload_window: p.get("Rules.Fall", d.overload_window)?,
-            tick: p.get("Tick", d.tick)?,
+            health_checks: pairs.flag("Limits.Probes", defaults.health_checks)?,
+            cancel: pairs.flag("Limits.Cancel", defaults.cancel)?,
+            duplicates: pairs.flag("Limits.MayDuplicate", defaults.duplicates)?,
+            max_attempts: pairs.number("Limits.AttemptsCap", defaults.max_attempts)?,
+            retry_after: pairs.flag("Limits.RetryAfter", defaults.retry_after)?,
+            max_retry_after: pairs.number("Limits.MaxRetryAfter", defaults.max_retry_after)?,
+            connect_timeout: pairs.number("Limits.ConnectTimeout", defaults.connect_timeout)?,
+            drain_grace: pairs.number("Rules.DrainGrace", defaults.drain_grace)?,
+            slow_start_capacity: pairs.number("Rules.ColdFrom", defaults.slow_start_capacity)?,
+            slow_start_duration: pairs.number("Rules.WarmWithin", defaults.slow_start_duration)?,
+            overload_factor: pairs.number("Rules.OverloadFactor", defaults.overload_factor)?,
+            overload_window: pairs.number("Rules.Fall", defaults.overload_window)?,
+            tick: pairs.number("Tick", defaults.tick)?,
         };
         if let Err(e) = settings.validate() {
-            return wrong(&format!("setting {}", e.name), e.problem);
+            return invalid(&format!("setting {}", e.name), e.problem);
         }
-        let layer: usize = p.get("Layer", 0)?;
+        let layer: usize = pairs.number("Layer", 0)?;
         Ok(ServiceSettings {
             settings,
             names,
             deadlines,
-            node_idle_timeout: p.span("Limits.ConnIdle", 30.0)?,
-            answer_slack: p.span("Rules.AnswerSlack", 0.02)?,
-            max_open_requests: p.get("Limits.MaxOpen", usize::MAX)?,
-            tier: p.list("Layers").get(layer).cloned().unwrap_or_else(|| layer.to_string()),
+            node_idle_timeout: pairs.duration("Limits.ConnIdle", 30.0)?,
+            answer_slack: pairs.duration("Rules.AnswerSlack", 0.02)?,
+            max_open_requests: pairs.number("Limits.MaxOpen", usize::MAX)?,
+            tier: pairs.list("Layers").get(layer).cloned().unwrap_or_else(|| layer.to_string()),
         })
     }
 }
 
-/// Nested JSON as pairs: plain lists joined by commas, lists of objects as a count and their items.
-fn flatten(path: &str, value: &Value, into: &mut BTreeMap<String, String>) {
-    let below = |key: &str| if path.is_empty() { key.to_owned() } else { format!("{path}.{key}") };
+/// Flattens nested JSON into pairs: plain lists are joined by commas, lists of objects become a count and
+/// their numbered items.
+fn flatten(path: &str, value: &Value, pairs: &mut BTreeMap<String, String>) {
+    let join = |key: &str| if path.is_empty() { key.to_owned() } else { format!("{path}.{key}") };
     match value {
         Value::Null => {}
-        Value::Object(fields) => fields.iter().for_each(|(key, v)| flatten(&below(key), v, into)),
+        Value::Object(fields) => fields.iter().for_each(|(key, v)| flatten(&join(key), v, pairs)),
         Value::Array(items) if items.iter().any(Value::is_object) => {
-            into.insert(below("count"), items.len().to_string());
-            items.iter().enumerate().for_each(|(at, v)| flatten(&below(&at.to_string()), v, into));
+            pairs.insert(join("count"), items.len().to_string());
+            items.iter().enumerate().for_each(|(index, v)| flatten(&join(&index.to_string()), v, pairs));
         }
         Value::Array(items) => {
-            let plain = |v: &Value| v.as_str().map_or_else(|| v.to_string(), str::to_owned);
-            into.insert(path.to_owned(), items.iter().map(plain).collect::<Vec<_>>().join(","));
+            let to_text = |v: &Value| v.as_str().map_or_else(|| v.to_string(), str::to_owned);
+            pairs.insert(path.to_owned(), items.iter().map(to_text).collect::<Vec<_>>().join(","));
         }
         Value::String(text) => {
-            into.insert(path.to_owned(), text.clone());
+            pairs.insert(path.to_owned(), text.clone());
         }
         other => {
-            into.insert(path.to_owned(), other.to_string());
+            pairs.insert(path.to_owned(), other.to_string());
         }
     }
 }
 
-/// Everything that one sidecar is told.
+/// The complete configuration of one sidecar.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Its name.
+    /// Name of the sidecar.
     pub name: String,
-    /// Where callers connect.
+    /// Address at which clients connect.
     pub listen: SocketAddr,
-    /// Where discovery listens.
+    /// Address of the discovery service.
     pub discovery: SocketAddr,
-    /// Where operators call, if anywhere.
+    /// Address of the operators' interface, if there is one.
     pub operator: Option<SocketAddr>,
-    /// The fleet's file, if this sidecar takes part in a fleet.
+    /// File that describes the fleet, if this sidecar takes part in one.
     pub fleet: Option<PathBuf>,
-    /// For random numbers.
+    /// Seed of the random number generator; written as hex digits.
     pub seed: u64,
-    /// Most connections to callers.
+    /// Maximum number of client connections.
     pub max_clients: usize,
-    /// Most connections to nodes.
+    /// Maximum number of connections to nodes.
     pub max_upstreams: usize,
-    /// The node list as this sidecar last had it.
+    /// The node list as this sidecar last knew it, if any; written as `known`.
     pub known_nodes: Option<NodeListUpdate>,
-    /// The settings.
+    /// Settings of the service.
     pub service: ServiceSettings,
-    /// The file that all of this was read from, if any; it is read again at SIGHUP.
+    /// File that the configuration was read from, if any; it is read again on SIGHUP.
     pub file: Option<String>,
 }
 
 impl Config {
-    /// Reads the file named by `RELAY_CONFIG`; the other variables, where set, go before what it says.
+    /// Reads the file named by `RELAY_CONFIG`. The other environment variables override it where they are set.
     ///
     /// # Errors
     ///
-    /// Names the first variable or key that is missing or wrong.
+    /// Returns the first variable or key that is missing or invalid.
     pub fn from_env() -> Result<Config, ConfigError> {
         let env = |key: &str| std::env::var(key).ok().filter(|v| !v.is_empty());
-        let Some(path) = env("RELAY_CONFIG") else { return wrong("RELAY_CONFIG", "is not set") };
-        let given = |variable| env(variable).map(Value::String);
-        let over = [
-            ("name", given("RELAY_NAME")),
-            ("listen", given("RELAY_LISTEN")),
-            ("discovery", given("RELAY_DISCOVERY")),
-            ("operator", given("RELAY_OPERATOR")),
+        let Some(path) = env("RELAY_CONFIG") else { return invalid("RELAY_CONFIG", "is not set") };
+        let from_variable = |variable| env(variable).map(Value::String);
+        let overrides = [
+            ("name", from_variable("RELAY_NAME")),
+            ("listen", from_variable("RELAY_LISTEN")),
+            ("discovery", from_variable("RELAY_DISCOVERY")),
+            ("operator", from_variable("RELAY_OPERATOR")),
         ];
-        Config::read(path, over)
+        Config::read(path, overrides)
     }
 
-    /// Reads the file again that this configuration came from. What it says of discovery goes before the
-    /// environment, which cannot change while the program runs; its name and address stay as they are.
+    /// Reads the configuration file again. Its address of discovery takes precedence over the environment, which
+    /// cannot change while the program runs; the sidecar's name and address do not change.
     ///
     /// # Errors
     ///
-    /// Names the first key that is missing or wrong.
+    /// Returns the first key that is missing or invalid.
     pub fn reload(file: &str, name: &str, listen: SocketAddr) -> Result<Config, ConfigError> {
         let text = |value: String| Some(Value::String(value));
         Config::read(file.to_owned(), [("name", text(name.to_owned())), ("listen", text(listen.to_string()))])
     }
 
-    fn read<const N: usize>(path: String, over: [(&str, Option<Value>); N]) -> Result<Config, ConfigError> {
+    fn read<const N: usize>(
+        path: String,
+        overrides: [(&str, Option<Value>); N],
+    ) -> Result<Config, ConfigError> {
         let text = std::fs::read_to_string(&path)
-            .or_else(|e| wrong("RELAY_CONFIG", format!("cannot read '{path}': {e}")))?;
-        let mut file: Value =
-            serde_json::from_str(&text).or_else(|e| wrong("RELAY_CONFIG", format!("is not JSON: {e}")))?;
+            .or_else(|e| invalid("RELAY_CONFIG", format!("cannot read '{path}': {e}")))?;
+        let mut file: Value = serde_json::from_str(&text)
+            .or_else(|e| invalid("RELAY_CONFIG", format!("is not JSON: {e}, in '{path}'")))?;
         if !file.is_object() {
-            return wrong("RELAY_CONFIG", "should hold a JSON object");
+            return invalid("RELAY_CONFIG", format!("should hold a JSON object, in '{path}'"));
         }
-        for (key, value) in over {
+        for (key, value) in overrides {
             if let Some(value) = value {
                 file[key] = value;
             }
@@ -410,39 +440,46 @@
         Ok(Config { file: Some(path), ..Config::from_json(&file)? })
     }
 
-    /// Reads the configuration from JSON.
+    /// Parses the configuration from JSON.
     ///
     /// # Errors
     ///
-    /// Names the first key that is missing or wrong.
+    /// Returns the first key that is missing or invalid.
     pub fn from_json(file: &Value) -> Result<Config, ConfigError> {
         let text = |key: &str| match file[key].as_str() {
             Some(text) if !text.is_empty() => Ok(text),
-            _ => wrong(key, "is missing or not text"),
+            _ => invalid(key, "is missing, empty or not text"),
         };
         let address = |key: &str| {
             let value = text(key)?;
-            value.parse().or_else(|_| wrong(key, format!("should be address:port, is '{value}'")))
+            value.parse().or_else(|_| invalid(key, format!("should be address:port, is '{value}'")))
         };
         let seed = match &file["seed"] {
             Value::Null => 0,
             Value::String(hex) => u64::from_str_radix(hex, 16)
-                .or_else(|_| wrong("seed", format!("should be hex digits, is '{hex}'")))?,
-            other => other.as_u64().map_or_else(|| wrong("seed", "should be hex digits"), Ok)?,
+                .or_else(|_| invalid("seed", format!("should be hex digits, is '{hex}'")))?,
+            other => other
+                .as_u64()
+                .map_or_else(|| invalid("seed", format!("should be hex digits, is {other}")), Ok)?,
         };
         let limit = |key: &str, default: u64| match &file["limits"][key] {
             Value::Null => Ok(default as usize),
             v => match v.as_u64() {
                 Some(n) if n > 0 => Ok(n as usize),
-                _ => wrong(&format!("limits.{key}"), format!("should be a whole number above 0, is {v}")),
+                _ => invalid(&format!("limits.{key}"), format!("should be a whole number above 0, is {v}")),
             },
         };
         let sockets = limit("sockets", 1024)?;
         let memory_mb = limit("memory_mb", 192)?;
-        // Guards against the kill for memory: half of it at most goes to connections.
-        let connections = sockets.saturating_sub(SPARE_SOCKETS).min(memory_mb * 512 / CONNECTION_KIB);
+        // Connections get at most half of the memory, so that the sidecar is not killed for exceeding its
+        // limit.
+        let connections =
+            sockets.saturating_sub(RESERVED_DESCRIPTORS).min(memory_mb * 512 / MAX_CONNECTION_KIB);
         if connections < 4 {
-            return wrong("limits", "leave no room for connections");
+            return invalid(
+                "limits",
+                format!("leave no room for connections: {sockets} sockets, {memory_mb} MB"),
+            );
         }
         let known_nodes = match &file["known"] {
             Value::Null => None,
@@ -476,25 +513,28 @@
     }
 }
 
-/// A list line whose zone is still a name.
+/// A node list entry whose zone is still a name.
 #[derive(Clone, Debug)]
 pub struct UnresolvedEntry {
-    /// The line, its zone not yet set.
+    /// The entry; its zone is not set yet.
     pub entry: Entry,
-    /// The name of its zone.
+    /// Name of the entry's zone.
     pub zone_name: String,
 }
 
 impl Names {
-    /// Gives list lines the zone numbers of these settings.
-    pub fn resolve_zones(&mut self, items: &[UnresolvedEntry]) -> Vec<Entry> {
-        items.iter().map(|i| Entry { zone: self.zone_id(&i.zone_name), ..i.entry }).collect()
+    /// Sets the zone ids of node list entries.
+    pub fn resolve_zones(&mut self, entries: &[UnresolvedEntry]) -> Vec<Entry> {
+        entries
+            .iter()
+            .map(|unresolved| Entry { zone: self.zone_id(&unresolved.zone_name), ..unresolved.entry })
+            .collect()
     }
 }
 
-/// The line of a file on which the key of an error stands, as near as can be told: for a file that is no
-/// JSON the line that the reader stopped at; else the line that names the key's last part, the Nth such
-/// line for a key in the Nth item of a list. 0 where neither is found.
+/// Returns the line number of the file `path` at which the key of `error` stands, as precisely as it can be
+/// told: for invalid JSON, the line at which the parser stopped; otherwise the line that contains the last
+/// part of the key, or the Nth such line for a key in the Nth item of a list. Returns 0 if neither is found.
 pub fn error_line(path: &str, error: &ConfigError) -> usize {
     if let Some(at) = error.problem.find(" at line ") {
         return error.problem[at + 9..].split(' ').next().and_then(|n| n.parse().ok()).unwrap_or(0);
--- a/crates/sidecar/settings/src/lib.rs
+++ b/crates/sidecar/settings/src/lib.rs
@@ -1,4 +1,4 @@
-//! What a sidecar is told, as it is written: its configuration, node lists and load reports.
+//! Parsing and validation of a sidecar's input: its configuration, node lists and load reports.
 
 mod config;
 mod node_list;
--- a/crates/sidecar/settings/src/node_list.rs
+++ b/crates/sidecar/settings/src/node_list.rs
@@ -1,73 +1,78 @@
-//! The node list as discovery writes it, and as `known` in the configuration holds it.
+//! Node lists, as discovery sends them and as `known` in the configuration holds them.
 
 use passrelay_load_balancing::Condition;
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// One answer of discovery.
+/// A response of discovery: a full node list or its changes.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct NodeListUpdate {
-    /// The version of the list.
+    /// Version of the list; written as `seq`.
     pub version: u64,
-    /// The whole list; otherwise only the lines that changed.
+    /// Whether this is the full list; otherwise it holds only the nodes that changed. Written as `whole`.
     pub full: bool,
-    /// The lines.
+    /// The nodes of the list or those that changed; written as `hosts`.
     pub nodes: Vec<NodeRecord>,
 }
 
-/// What discovery says of one node.
+/// What discovery reports of one node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeRecord {
-    /// Its name, the same for every sidecar.
+    /// Name of the node, the same for every sidecar.
     pub host: String,
-    /// Where it listens.
+    /// Address at which the node takes requests; written as `dial`.
     pub address: SocketAddr,
-    /// The zone.
+    /// Name of the node's zone, empty if absent; written as `site`.
     pub zone: String,
-    /// Its cell.
+    /// Number of the node's cell, 0 if absent; written as `block`.
     pub cell: u64,
-    /// Its condition.
+    /// Whether the node takes requests; written as `health`.
     pub condition: Condition,
-    /// The Unix time in milliseconds of its last start; 0: long ago.
+    /// Unix time of the last start in milliseconds, 0 if it started long ago; written as `born_ms`.
     pub started_at_ms: f64,
 }
 
 impl NodeListUpdate {
-    /// Reads an update, or says which key is wrong. Keys that are not known are skipped.
+    /// Parses an update. Unknown keys are skipped.
     ///
     /// # Errors
     ///
-    /// Returns the path of the first bad key and what is wrong with it.
+    /// Returns a message with the path of the first invalid key.
     pub fn parse(value: &Value) -> Result<NodeListUpdate, String> {
         let version = value["seq"].as_u64().ok_or("seq should be a whole number")?;
         let full = value["whole"].as_bool().ok_or("whole should be true or false")?;
         let hosts = value["hosts"].as_array().ok_or("hosts should be a list")?;
-        let nodes = hosts.iter().enumerate().map(|(at, line)| NodeRecord::parse(line, at));
+        let nodes = hosts.iter().enumerate().map(|(index, host)| NodeRecord::parse(host, index));
         Ok(NodeListUpdate { version, full, nodes: nodes.collect::<Result<_, _>>()? })
     }
 }
 
 impl NodeRecord {
-    fn parse(line: &Value, at: usize) -> Result<NodeRecord, String> {
+    /// Parses the entry `hosts[index]`.
+    fn parse(host: &Value, index: usize) -> Result<NodeRecord, String> {
         let text = |key: &str| {
-            line[key].as_str().ok_or_else(|| format!("hosts[{at}].{key} should be text, is {}", line[key]))
+            host[key].as_str().ok_or_else(|| format!("hosts[{index}].{key} should be text, is {}", host[key]))
         };
         let condition = match text("health")? {
             "in_service" => Condition::Running,
             "terminating" => Condition::Draining,
             "terminated" => Condition::Removed,
-            other => return Err(format!("hosts[{at}].health has the value '{other}'")),
+            other => {
+                return Err(format!(
+                    "hosts[{index}].health should be in_service, terminating or terminated, is '{other}'"
+                ))
+            }
         };
-        let dial = text("dial")?;
+        let address = text("dial")?;
         Ok(NodeRecord {
             host: text("host")?.to_owned(),
-            address: dial
+            address: address
                 .parse()
-                .map_err(|_| format!("hosts[{at}].dial should be address:port, is '{dial}'"))?,
-            zone: line["site"].as_str().unwrap_or("").to_owned(),
-            cell: line["block"].as_u64().unwrap_or(0),
+                .map_err(|_| format!("hosts[{index}].dial should be address:port, is '{address}'"))?,
+            zone: host["site"].as_str().unwrap_or("").to_owned(),
+            cell: host["block"].as_u64().unwrap_or(0),
             condition,
-            started_at_ms: line["born_ms"].as_f64().filter(|b| *b > 0.0).unwrap_or(0.0),
+            started_at_ms: host["born_ms"].as_f64().filter(|started_at| *started_at > 0.0).unwrap_or(0.0),
         })
     }
 }
--- a/crates/sidecar/settings/src/report.rs
+++ b/crates/sidecar/settings/src/report.rs
@@ -1,32 +1,34 @@
-//! Load reports as text: `name=value` pairs in an answer, `name:value` pairs on the simulator's wire.
+//! Load reports as text: `name=value` pairs in HTTP, `name:value` pairs in the simulator's protocol.
 
 use passrelay_load_balancing::Report;
 
-/// More than any figure of a report can be: requests, milliseconds, or requests a second.
-const MOST: f64 = 1e6;
-/// More than any noise makes of a share of the CPU.
-const MOST_CPU: f64 = 4.0;
+/// Upper bound of a plausible value: a number of requests, milliseconds, or requests per second.
+const MAX_VALUE: f64 = 1e6;
+/// Upper bound of a plausible CPU share, beyond any measurement noise.
+const MAX_CPU: f64 = 4.0;
 
-/// Whether all figures can be true. Guards against a node that is starved or flooded by nonsense.
+/// Returns whether all values can be true. Otherwise nonsense in a report could starve a node or flood it
+/// with requests.
 pub fn is_plausible(report: &Report) -> bool {
-    let figures = [report.active, report.waiting, report.avg_ms, report.rps, report.err_rps];
-    figures.iter().flatten().all(|v| (0.0..=MOST).contains(v))
-        && report.cpu.is_none_or(|v| (0.0..=MOST_CPU).contains(&v))
+    let values = [report.active, report.waiting, report.avg_ms, report.rps, report.err_rps];
+    values.iter().flatten().all(|value| (0.0..=MAX_VALUE).contains(value))
+        && report.cpu.is_none_or(|value| (0.0..=MAX_CPU).contains(&value))
 }
 
-/// Reads pairs set apart by commas, name and value by `between`; names not known are skipped.
+/// Parses a report of comma-separated pairs, each a name and a value joined by `separator`. Unknown names are
+/// skipped.
 ///
-/// Both the names of the settings and those that operators use for the same figures are known.
+/// A value is known by its name in the settings and by the name that operators use for it.
 ///
 /// # Errors
 ///
-/// Returns the pair that is not a name and a number.
-pub fn parse_load_report(text: &str, between: char) -> Result<Report, String> {
+/// Returns a message with the pair that is not a name and a number.
+pub fn parse_load_report(text: &str, separator: char) -> Result<Report, String> {
     let mut report = Report::default();
     for pair in text.split(',').map(str::trim) {
-        let bad = || format!("a report value should be name{between}number, is '{pair}'");
-        let (name, value) = pair.split_once(between).ok_or_else(bad)?;
-        let value: f64 = value.trim().parse().map_err(|_| bad())?;
+        let invalid = || format!("a report value should be name{separator}number, is '{pair}'");
+        let (name, value) = pair.split_once(separator).ok_or_else(invalid)?;
+        let value: f64 = value.trim().parse().map_err(|_| invalid())?;
         let field = match name.trim() {
             "active" | "inflight" => &mut report.active,
             "waiting" | "queue" => &mut report.waiting,
