--- a/crates/sidecar/simulator-adapter/src/host.rs
+++ b/crates/sidecar/simulator-adapter/src/host.rs
@@ -1,7 +1,7 @@
-//! The balancer instances of this process, and the batch of lines that is being read.
+//! The balancer instances of this process and the batch of lines that is being read.
 //!
-//! A batch starts with `mark` (clock and number) and ends with `eob`. Its messages are handled line by line, and the
-//! actions are collected until `eob`, when the reply is complete.
+//! A batch starts with `mark` (clock and number) and ends with `eob`. Its messages are handled line by line,
+//! and the resulting actions are collected until `eob`, when the reply is complete.
 
 use crate::wire::{self, Fields, LineError};
 use passrelay_load_balancing::{Action, Balancer, Event};
@@ -17,20 +17,20 @@
 /// Whether a line completes a reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// The batch goes on.
+    /// The batch continues.
     Incomplete,
     /// The reply is complete; [`Host::take_reply`] returns it.
     Complete,
 }
 
-/// One balancer instance with the names of its classes, tenants and zones.
+/// A balancer instance with the names of its classes, tenants and zones.
 struct Instance {
-    /// `None` after a panic: its further messages are ignored.
+    /// `None` after a panic; further messages to the instance are ignored.
     balancer: Option<Balancer>,
     names: Names,
 }
 
-/// An endpoint list whose items are being read.
+/// An endpoint list whose entries are being read.
 #[derive(Clone, Copy)]
 struct OpenList {
     number: u64,
@@ -53,7 +53,7 @@
     open_list: Option<OpenList>,
     batch: Option<Batch>,
     reply: String,
-    /// Reused for each event.
+    /// Actions of the current event; the allocation is reused.
     actions: Vec<Action>,
 }
 
@@ -62,9 +62,9 @@
     ///
     /// # Errors
     ///
-    /// Returns what was expected in its place; the host can't go on after that.
+    /// Returns why the line is invalid; the host cannot continue after that.
     pub fn handle_line(&mut self, line: &str) -> Result<Reply, LineError> {
-        let fields = Fields::new(line);
+        let fields = Fields::parse(line);
         if let Some(list) = self.open_list {
             self.add_item(list, &fields)?;
             return Ok(Reply::Incomplete);
@@ -74,7 +74,7 @@
             return Ok(Reply::Incomplete);
         };
         match fields.name() {
-            "mark" => return Err("eob before the next mark".to_owned().into()),
+            "mark" => return Err("mark: the batch before it has no eob".to_owned().into()),
             "eob" => {
                 fields.check_count(0, 0)?;
                 self.reply.push_str(&format!("eor\t{}\n", batch.number));
@@ -89,26 +89,26 @@
         Ok(Reply::Incomplete)
     }
 
-    /// The reply to the batch, which is cleared.
+    /// Returns the reply to the batch and clears it.
     pub fn take_reply(&mut self) -> String {
         std::mem::take(&mut self.reply)
     }
 
     fn start_batch(&mut self, fields: &Fields<'_>) -> Result<(), LineError> {
         if fields.name() != "mark" {
-            return Err(format!("mark, got '{}'", fields.name()).into());
+            return Err(format!("got '{}' instead of the mark that starts a batch", fields.name()).into());
         }
         fields.check_count(2, 2)?;
         let now = fields.required_seconds(0, "a clock time")?;
-        let number = fields.required(1, "a batch number")?;
+        let number = fields.required_number(1, "a batch number")?;
         self.batch = Some(Batch { now, number });
         Ok(())
     }
 
     fn start_list(&mut self, fields: &Fields<'_>) -> Result<(), LineError> {
         fields.check_count(2, 2)?;
-        let number = fields.required(0, "a list number")?;
-        let remaining = fields.required(1, "a number of entries")?;
+        let number = fields.required_number(0, "a list number")?;
+        let remaining = fields.required_number(1, "a number of entries")?;
         self.lists.insert(number, Vec::new());
         self.open_list = (remaining > 0).then_some(OpenList { number, remaining });
         Ok(())
@@ -117,7 +117,11 @@
     fn add_item(&mut self, list: OpenList, fields: &Fields<'_>) -> Result<(), LineError> {
         let OpenList { number, remaining } = list;
         if fields.name() != "item" {
-            return Err(format!("{remaining} more item lines, got '{}'", fields.name()).into());
+            return Err(format!(
+                "got '{}' instead of an item; list {number} lacks {remaining} more",
+                fields.name()
+            )
+            .into());
         }
         self.lists.entry(number).or_default().push(wire::parse_item(fields)?);
         self.open_list = (remaining > 1).then(|| OpenList { number, remaining: remaining - 1 });
@@ -126,35 +130,37 @@
 
     fn start_instance(&mut self, now: f64, fields: &Fields<'_>) -> Result<(), LineError> {
         if fields.rest(0).len() < 2 {
-            return Err("power_on with an instance and a seed".to_owned().into());
+            return Err("power_on: needs an instance and a seed".to_owned().into());
         }
-        let id = fields.required(0, "an instance")?;
-        let seed = fields.required(1, "a seed")?;
+        let id = fields.required_number(0, "an instance")?;
+        let seed = fields.required_number(1, "a seed")?;
         let service =
             ServiceSettings::from_pairs(fields.rest(2)).map_err(|error| format!("power_on: {error}"))?;
-        let balancer = Balancer::new(service.settings, seed, now).map_err(|error| error.to_string())?;
+        let balancer =
+            Balancer::new(service.settings, seed, now).map_err(|error| format!("power_on: {error}"))?;
         self.instances.insert(id, Instance { balancer: Some(balancer), names: service.names });
         Ok(())
     }
 
     fn stop_instance(&mut self, fields: &Fields<'_>) -> Result<(), LineError> {
         fields.check_count(1, 1)?;
-        let id: u64 = fields.required(0, "an instance")?;
-        self.instances.remove(&id).ok_or_else(|| format!("an instance that runs, got {id}"))?;
+        let id: u64 = fields.required_number(0, "an instance")?;
+        self.instances.remove(&id).ok_or_else(|| format!("stop: instance {id} is not running"))?;
         Ok(())
     }
 
-    /// Passes a message to its instance and prints the actions. A panic ends the instance, not the process.
+    /// Passes a message to its instance and prints the resulting actions. A panic ends the instance, not the
+    /// process.
     fn handle_event(&mut self, now: f64, fields: &Fields<'_>) -> Result<(), LineError> {
         if !INSTANCE_MESSAGES.contains(&fields.name()) {
-            return Err(format!("a message of the wire, got '{}'", fields.name()).into());
+            return Err(format!("unknown message '{}'", fields.name()).into());
         }
-        let id: u64 = fields.required(0, "an instance")?;
+        let id: u64 = fields.required_number(0, "an instance")?;
         let Some(instance) = self.instances.get_mut(&id) else {
-            return Err(format!("an instance that was powered on, got {id}").into());
+            return Err(format!("{}: instance {id} was not powered on", fields.name()).into());
         };
         let event = if fields.name() == "directory_update" {
-            Some(directory_update(&self.lists, &mut instance.names, fields)?)
+            Some(parse_directory_update(&self.lists, &mut instance.names, fields)?)
         } else {
             wire::parse_event(fields, &instance.names)?
         };
@@ -176,7 +182,7 @@
 }
 
 /// Parses a `directory_update` line, which refers to a list sent before.
-fn directory_update(
+fn parse_directory_update(
     lists: &BTreeMap<u64, Vec<UnresolvedEntry>>,
     names: &mut Names,
     fields: &Fields<'_>,
@@ -186,13 +192,17 @@
     if form == "failed" {
         return Ok(Event::ListFailed);
     }
-    let number: u64 = fields.required(3, "a list number")?;
-    let items = lists.get(&number).ok_or_else(|| format!("a list sent before, got {number}"))?;
-    let entries = names.resolve_zones(items);
+    let number: u64 = fields.required_number(3, "a list number")?;
+    let list =
+        lists.get(&number).ok_or_else(|| format!("directory_update: list {number} was not sent before"))?;
+    let entries = names.resolve_zones(list);
     match form {
         "delta" => Ok(Event::ListChanges(entries)),
         "full" | "cached" => Ok(Event::FullList(entries)),
-        other => Err(format!("delta, full, cached or failed, got '{other}'").into()),
+        other => {
+            Err(format!("directory_update: form should be delta, full, cached or failed, is '{other}'")
+                .into())
+        }
     }
 }
 
--- a/crates/sidecar/simulator-adapter/src/main.rs
+++ b/crates/sidecar/simulator-adapter/src/main.rs
@@ -1,5 +1,6 @@
-//! Runs balancer instances for a simulator, on its line protocol over standard input and output. The protocol stands in
-//! `wire`, the instances in `host`; here is the loop over the lines.
+//! Runs balancer instances for a simulator, over its line protocol on standard input and output.
+//!
+//! `wire` parses and prints the protocol, `host` holds the instances, and `main` loops over the lines.
 
 mod host;
 mod wire;
@@ -8,7 +9,7 @@
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
-/// Name of the program in its messages.
+/// Name of the program in its error messages.
 const PROGRAM: &str = "passrelay-simulator-adapter";
 
 fn main() -> ExitCode {
@@ -22,7 +23,7 @@
             Ok(0) => break,
             Ok(_) => {}
             Err(error) => {
-                eprintln!("{PROGRAM}: line {number}: expected UTF-8 text: {error}");
+                eprintln!("{PROGRAM}: line {number}: cannot read standard input as UTF-8 text: {error}");
                 return ExitCode::FAILURE;
             }
         }
@@ -31,7 +32,7 @@
             Ok(Reply::Complete) => {
                 let reply = host.take_reply();
                 if output.write_all(reply.as_bytes()).and_then(|()| output.flush()).is_err() {
-                    eprintln!("{PROGRAM}: standard output is closed");
+                    eprintln!("{PROGRAM}: line {number}: cannot write the reply to standard output");
                     return ExitCode::FAILURE;
                 }
             }
--- a/crates/sidecar/simulator-adapter/src/wire.rs
+++ b/crates/sidecar/simulator-adapter/src/wire.rs
@@ -1,5 +1,5 @@
-//! The simulator's line protocol: parsing of its messages into events, printing of actions. No decisions are made here,
-//! and no state is kept.
+//! The simulator's line protocol: parses its messages into events and prints actions. This module makes no
+//! decisions and keeps no state.
 
 mod fields;
 
@@ -11,25 +11,26 @@
 use passrelay_sidecar_settings::{parse_load_report, Names, UnresolvedEntry};
 use std::fmt::{self, Write as _};
 
-/// Flag bits of a `submit` line: the work hint is valid; the client marked the request as a repeat.
+/// Flag bit of a `submit` line: the work hint is valid.
 const FLAG_WORK_HINT: u64 = 1;
+/// Flag bit of a `submit` line: the client marked the request as a repeat.
 const FLAG_REPEAT: u64 = 2;
 
-/// A line that can't be processed; displays what was expected in its place.
+/// A line that cannot be processed; displays the reason.
 #[derive(Debug)]
 pub struct LineError(String);
 
 impl fmt::Display for LineError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "expected {}", self.0)
+        f.write_str(&self.0)
     }
 }
 
 impl std::error::Error for LineError {}
 
 impl From<String> for LineError {
-    fn from(expected: String) -> Self {
-        LineError(expected)
+    fn from(reason: String) -> Self {
+        LineError(reason)
     }
 }
 
@@ -42,17 +43,17 @@
         "off" => Condition::Removed,
         other => return Err(format!("item: condition should be on, fading or off, is '{other}'").into()),
     };
-    // 0 is written for an upstream that started long ago.
+    // The simulator writes 0 for an upstream that started long ago.
     let started =
         fields.number::<f64>(6, "a start time")?.filter(|started| started.is_finite() && *started != 0.0);
-    let upstream = UpstreamId(fields.required(0, "an upstream id")?);
+    let upstream = UpstreamId(fields.required_number(0, "an upstream id")?);
     let cell = fields.number(3, "a cell number")?.unwrap_or(0);
     let entry = Entry { upstream, zone: ZoneId(0), cell, condition, started };
     Ok(UnresolvedEntry { entry, zone_name: fields.text(1).unwrap_or("").to_owned() })
 }
 
-/// Parses an event of one instance, other than those about lists, starts and stops. `None` for a message that the
-/// balancer does not use.
+/// Parses an event of one instance, except those about lists, starts and stops. Returns `None` for a message
+/// that the balancer does not use.
 pub fn parse_event(fields: &Fields<'_>, names: &Names) -> Result<Option<Event>, LineError> {
     let event = match fields.name() {
         "submit" => parse_submit(fields, names)?,
@@ -66,10 +67,10 @@
                 id: request_id(fields)?,
                 attempt: attempt_number(fields)?,
                 upstream: upstream_id(fields, 3)?,
-                ending: parse_ending(fields.required_text(4, "an outcome")?)?,
+                ending: parse_ending(fields, 4)?,
                 elapsed: fields.required_seconds(5, "a time")?,
                 last: fields.required_flag(6)?,
-                report: report(fields, 7)?,
+                report: parse_optional_report(fields, 7)?,
             })
         }
         "gone" => {
@@ -78,22 +79,22 @@
         }
         "ring" => {
             fields.check_count(2, 2)?;
-            Event::Wake(fields.required(1, "a token")?)
+            Event::Wake(fields.required_number(1, "a token")?)
         }
         "probed" => {
             fields.check_count(4, 5)?;
             Event::HealthChecked {
                 upstream: upstream_id(fields, 1)?,
-                ending: parse_ending(fields.required_text(2, "an outcome")?)?,
+                ending: parse_ending(fields, 2)?,
                 elapsed: fields.required_seconds(3, "a time")?,
-                report: report(fields, 4)?,
+                report: parse_optional_report(fields, 4)?,
             }
         }
         "from_peer" => {
             fields.check_count(3, 3)?;
             return Ok(None);
         }
-        other => return Err(format!("a message of the wire, got '{other}'").into()),
+        other => return Err(format!("unknown message '{other}'").into()),
     };
     Ok(Some(event))
 }
@@ -105,7 +106,7 @@
     let class = known.ok_or_else(|| format!("submit: unknown class '{class}'"))?;
     let tenant = names.tenant_id(fields.text(3).filter(|tenant| *tenant != "0"));
     let tenant = tenant.map_err(|tenant| format!("submit: unknown tenant '{tenant}'"))?;
-    // The key of a keyed request is checked but not used: the upstreams deduplicate.
+    // The key of a keyed request is validated but not used, since the upstreams deduplicate.
     fields.number::<u64>(4, "a key")?;
     let flags: u64 = fields.number(7, "flags")?.unwrap_or(0);
     Ok(Event::Request {
@@ -118,8 +119,8 @@
     })
 }
 
-fn parse_ending(name: &str) -> Result<Ending, LineError> {
-    Ok(match name {
+fn parse_ending(fields: &Fields<'_>, index: usize) -> Result<Ending, LineError> {
+    Ok(match fields.required_text(index, "an outcome")? {
         "delivered" => Ending::Delivered,
         "app_error" => Ending::AppError,
         "shed" => Ending::Shed,
@@ -128,29 +129,30 @@
         "dropped" => Ending::Dropped,
         "revoked" => Ending::Revoked,
         "unused" => Ending::Unused,
-        other => return Err(format!("unknown outcome '{other}'").into()),
+        other => return Err(format!("{}: unknown outcome '{other}'", fields.name()).into()),
     })
 }
 
-fn report(fields: &Fields<'_>, index: usize) -> Result<Option<Report>, LineError> {
-    Ok(fields.text(index).map(|text| parse_load_report(text, ':')).transpose()?)
+fn parse_optional_report(fields: &Fields<'_>, index: usize) -> Result<Option<Report>, LineError> {
+    let report = fields.text(index).map(|text| parse_load_report(text, ':')).transpose();
+    Ok(report.map_err(|problem| format!("{}: {problem}", fields.name()))?)
 }
 
 fn request_id(fields: &Fields<'_>) -> Result<RequestId, LineError> {
-    fields.required(1, "a request id").map(RequestId)
+    fields.required_number(1, "a request id").map(RequestId)
 }
 
 fn attempt_number(fields: &Fields<'_>) -> Result<u32, LineError> {
-    fields.required(2, "an attempt number")
+    fields.required_number(2, "an attempt number")
 }
 
 fn upstream_id(fields: &Fields<'_>, index: usize) -> Result<UpstreamId, LineError> {
-    fields.required(index, "an upstream id").map(UpstreamId)
+    fields.required_number(index, "an upstream id").map(UpstreamId)
 }
 
-/// Prints one action of an instance.
+/// Appends one action of an instance to `out`.
 pub fn print_action(out: &mut String, instance: u64, action: &Action) {
-    // Writing to a string can't fail.
+    // Writing to a string cannot fail.
     let _ = match action {
         Action::Send { id, upstream, timeout: None } => {
             writeln!(out, "attempt\t{instance}\t{}\t0\t{}", id.0, upstream.0)
