--- a/crates/sidecar/proxy/src/buffer_pool.rs
+++ b/crates/sidecar/proxy/src/buffer_pool.rs
@@ -29,8 +29,8 @@
         self.end == self.buf.len()
     }
 
-    /// Reads once from `from` and appends the bytes. Returns `Ok(0)` at the end of the stream; must not be
-    /// called on a full buffer, where the two cannot be told apart.
+    /// Reads once from `from` and appends the bytes. Returns `Ok(0)` at the end of the stream. Must not be
+    /// called on a full buffer, which would look like the end of the stream.
     pub fn fill_from(&mut self, from: &mut impl Read) -> io::Result<usize> {
         let n = from.read(&mut self.buf[self.end..])?;
         self.end += n;
@@ -43,7 +43,7 @@
     }
 
     /// Removes the bytes `from..to` and moves the bytes after them down.
-    pub fn cut(&mut self, from: usize, to: usize) {
+    pub fn remove_range(&mut self, from: usize, to: usize) {
         self.buf.copy_within(to..self.end, from);
         self.end -= to - from;
     }
--- a/crates/sidecar/proxy/src/client_connection.rs
+++ b/crates/sidecar/proxy/src/client_connection.rs
@@ -55,7 +55,7 @@
     pub new_since: Option<f64>,
     /// Serial number in order of acceptance; tells the connection from earlier ones in the same slot.
     pub serial: u64,
-    /// Whether to close after the current or next answer.
+    /// Whether to close the connection after the current or next response.
     pub close: bool,
     /// The client has shut down its write side: nobody waits for a response any more, whatever was sent
     /// before.
@@ -242,7 +242,7 @@
     /// Ends the exchange after its response is written. Pipelined bytes after the request are parsed next.
     pub fn finish_response(&mut self, now: f64, buffers: &mut BufferPool) {
         if let Some(buffer) = self.buffer.as_mut() {
-            buffer.cut(0, self.request_end);
+            buffer.remove_range(0, self.request_end);
         }
         let has_pipelined_input = self.buffer.as_ref().is_some_and(|buffer| !buffer.bytes().is_empty());
         if !has_pipelined_input {
--- a/crates/sidecar/proxy/src/connections.rs
+++ b/crates/sidecar/proxy/src/connections.rs
@@ -193,7 +193,7 @@
     }
 
     pub fn log_event(&mut self, level: &str, event: &str, values: &[(&str, &dyn Display)]) {
-        self.log.line(self.now, level, event, values);
+        self.log.write_event(self.now, level, event, values);
     }
 
     /// Runs the work that was left for this turn.
@@ -207,7 +207,7 @@
                 }
                 Continuation::Relay(upstream, serial) => {
                     if self.upstreams.get(upstream).is_some_and(|upstream| upstream.serial == serial) {
-                        self.pump(upstream);
+                        self.pump_relay(upstream);
                     }
                 }
             }
--- a/crates/sidecar/proxy/src/connections/clients.rs
+++ b/crates/sidecar/proxy/src/connections/clients.rs
@@ -161,7 +161,7 @@
     pub fn write_out(&mut self, key: usize) {
         let Some(client) = self.clients.get_mut(key) else { return };
         if let Stage::Relaying(upstream) = client.stage {
-            return self.pump(upstream);
+            return self.pump_relay(upstream);
         }
         match client.on_writable(self.now, &mut self.buffers) {
             Ok(true) if client.close => self.close_gracefully(key),
--- a/crates/sidecar/proxy/src/connections/relays.rs
+++ b/crates/sidecar/proxy/src/connections/relays.rs
@@ -16,11 +16,11 @@
         client.stage = Stage::Relaying(upstream_key);
         client.since = self.now;
         upstream.open_relay(client_key, client.close, self.now);
-        self.pump(upstream_key);
+        self.pump_relay(upstream_key);
     }
 
     /// Advances a body relay as far as both sides allow.
-    pub fn pump(&mut self, upstream_key: usize) {
+    pub fn pump_relay(&mut self, upstream_key: usize) {
         let Some(upstream) = self.upstreams.get_mut(upstream_key) else { return };
         let Some(client_key) = upstream.relay.as_ref().map(|relay| relay.client) else { return };
         let Some(client) = self.clients.get_mut(client_key) else {
--- a/crates/sidecar/proxy/src/connections/upstreams.rs
+++ b/crates/sidecar/proxy/src/connections/upstreams.rs
@@ -1,5 +1,5 @@
-//! Connections to nodes: attempts and health checks, reuse of idle connections, and what the dispatcher is
-//! told of failures.
+//! Connections to nodes: attempts and health checks, reuse of idle connections, and the reporting of failures
+//! to the dispatcher.
 
 use super::tokens::upstream_token;
 use super::{ConnectionEvent, Connections, Timer};
@@ -111,15 +111,15 @@
     /// Sends an attempt to a node, over an idle connection or a new one.
     pub(super) fn start_attempt(&mut self, node: UpstreamId, attempt: Attempt) {
         if let Some(key) = self.pick_idle(node) {
-            let idle = self.now - self.upstreams[key].since;
+            let idle_time = self.now - self.upstreams[key].since;
             self.track_attempt(attempt, key);
             if !self.write_attempt(key, attempt) {
                 self.return_to_pool(key);
                 return self.report_outcome(node, attempt, Ending::Unused);
             }
-            let wait = if idle < MIN_REST_S { MIN_REST_S - idle } else { LAST_BYTE_DELAY_S };
-            self.upstreams[key].last_byte_held =
-                idle < MIN_REST_S || idle >= HOLD_LAST_BYTE_AFTER_IDLE_S && self.must_not_repeat(attempt);
+            let wait = if idle_time < MIN_REST_S { MIN_REST_S - idle_time } else { LAST_BYTE_DELAY_S };
+            self.upstreams[key].last_byte_held = idle_time < MIN_REST_S
+                || idle_time >= HOLD_LAST_BYTE_AFTER_IDLE_S && self.must_not_repeat(attempt);
             if self.upstreams[key].last_byte_held {
                 self.timers.schedule(self.now + wait, Timer::SendLastByte(key, attempt));
             }
@@ -196,29 +196,33 @@
         let Some(upstream) = self.upstreams.get_mut(key) else { return };
         let (node, serial) = (upstream.node, upstream.serial);
         let Some(attempt) = upstream.attempt.take() else { return };
-        let to_node =
+        let connections_to_node =
             || self.upstreams.iter().map(|(_, upstream)| upstream).filter(|upstream| upstream.node == node);
-        let late = to_node().filter(|upstream| upstream.is_late()).count();
-        let serves =
-            to_node().any(|upstream| matches!(upstream.phase, Phase::Busy | Phase::Idle | Phase::Relaying));
-        if late > MAX_LATE_CONNECTIONS {
+        let late_count = connections_to_node().filter(|upstream| upstream.is_late()).count();
+        let has_established = connections_to_node()
+            .any(|upstream| matches!(upstream.phase, Phase::Busy | Phase::Idle | Phase::Relaying));
+        if late_count > MAX_LATE_CONNECTIONS {
             self.close_upstream(key);
         } else {
             self.timers.schedule(self.now + LATE_CONNECT_TIMEOUT_S, Timer::LateConnectTimeout(key, serial));
         }
-        let ending =
-            if serves { self.attribute_failure(node, Ending::DialFailed) } else { Ending::DialFailed };
+        let ending = if has_established {
+            self.attribute_failure(node, Ending::DialFailed)
+        } else {
+            Ending::DialFailed
+        };
         self.report_outcome(node, attempt, ending);
     }
 
     /// Withdraws the attempts of a request whose client has disconnected and that are not completely written:
     /// they have never run. Attempts that are sent still get their outcome.
     pub fn withdraw_unsent_attempts(&mut self, id: RequestId) {
-        let out: Vec<_> =
+        let keys: Vec<_> =
             self.in_flight.iter().filter(|((request, _), _)| *request == id).map(|(_, key)| *key).collect();
-        for key in out {
-            let unsent = |upstream: &UpstreamConnection| upstream.phase == Phase::Busy && !upstream.is_sent();
-            if self.upstreams.get(key).is_some_and(unsent) {
+        for key in keys {
+            let is_unsent =
+                |upstream: &UpstreamConnection| upstream.phase == Phase::Busy && !upstream.is_sent();
+            if self.upstreams.get(key).is_some_and(is_unsent) {
                 self.withdraw_unsent(key);
             }
         }
@@ -226,10 +230,9 @@
 
     /// Returns whether the node of this connection has changed its address or been removed.
     pub fn has_moved(&self, key: usize) -> bool {
-        let pool = self
-            .upstreams
-            .get(key)
-            .and_then(|b| self.pools.by_node.get(&b.node).filter(|pool| pool.address == b.address));
+        let pool = self.upstreams.get(key).and_then(|upstream| {
+            self.pools.by_node.get(&upstream.node).filter(|pool| pool.address == upstream.address)
+        });
         pool.is_none()
     }
 
--- a/crates/sidecar/proxy/src/discovery_client.rs
+++ b/crates/sidecar/proxy/src/discovery_client.rs
@@ -29,7 +29,7 @@
     Pending,
     /// A full list or changes. The next call follows after [`REQUEST_PAUSE_S`].
     Update(NodeListUpdate),
-    /// The call failed for this reason. The policy decides when to call again.
+    /// The call failed for this reason. The dispatcher decides when to call again.
     Failed(String),
 }
 
--- a/crates/sidecar/proxy/src/http.rs
+++ b/crates/sidecar/proxy/src/http.rs
@@ -229,7 +229,7 @@
     /// Removes the first `n` bytes of the body from the buffer after they have been forwarded.
     pub fn consume(&mut self, buffer: &mut Buffer, n: usize) {
         let n = n.min(self.end - self.start);
-        buffer.cut(self.start, self.start + n);
+        buffer.remove_range(self.start, self.start + n);
         self.end -= n;
         self.parsed_end -= n;
         self.consumed += n;
@@ -238,7 +238,7 @@
 
     /// Removes the bytes before the body from the buffer.
     pub fn drop_head(&mut self, buffer: &mut Buffer) {
-        buffer.cut(0, self.start);
+        buffer.remove_range(0, self.start);
         self.end -= self.start;
         self.parsed_end -= self.start;
         self.start = 0;
@@ -266,7 +266,7 @@
             Framing::Chunked => {
                 let done = self.read_chunks(buffer)?;
                 if !done && self.parsed_end > self.end {
-                    buffer.cut(self.end, self.parsed_end);
+                    buffer.remove_range(self.end, self.parsed_end);
                     self.parsed_end = self.end;
                 }
                 Ok(done)
--- a/crates/sidecar/proxy/src/log.rs
+++ b/crates/sidecar/proxy/src/log.rs
@@ -1,6 +1,6 @@
 //! Structured logging: one line of `key=value` pairs per event on standard error, with a rate limit.
 //!
-//! All log output passes through [`Log::line`] as an event name and named values, so the output format can be
+//! All log output passes through [`Log::write_event`] as an event name and named values, so the output format can be
 //! replaced here.
 
 use std::fmt::Display;
@@ -25,7 +25,7 @@
     }
 
     /// Writes one line, or drops it if this second's limit is reached. `now` is in seconds on any one clock.
-    pub fn line(&mut self, now: f64, level: &str, event: &str, values: &[(&str, &dyn Display)]) {
+    pub fn write_event(&mut self, now: f64, level: &str, event: &str, values: &[(&str, &dyn Display)]) {
         let second = now as u64;
         if second != self.second {
             self.second = second;
--- a/crates/sidecar/proxy/src/pool.rs
+++ b/crates/sidecar/proxy/src/pool.rs
@@ -210,7 +210,7 @@
                 return Err(());
             }
             if (100..200).contains(&head.status) {
-                buffer.cut(0, head.len);
+                buffer.remove_range(0, head.len);
                 continue;
             }
             let mut body = BodyReader::new(&head);
--- a/crates/sidecar/proxy/src/sidecar.rs
+++ b/crates/sidecar/proxy/src/sidecar.rs
@@ -35,7 +35,7 @@
 /// Upper bound of one wait for events, in seconds.
 const MAX_POLL_TIMEOUT_S: f64 = 0.5;
 
-/// Interval at which discovery is retried after a failure, in seconds, where the policy does not retry by
+/// Interval at which discovery is retried after a failure, in seconds, where the dispatcher does not retry by
 /// itself.
 const DISCOVERY_RETRY_S: f64 = 2.0;
 
@@ -173,8 +173,8 @@
             known_nodes.unwrap_or(NodeListUpdate { full: true, ..NodeListUpdate::default() }),
         );
         if !sidecar.connections.discovery.subscribed {
-            // In the simulator, some policies receive list changes without subscribing. Here changes come
-            // only with a subscription, so the sidecar always subscribes.
+            // With some settings, the simulator delivers list changes unasked. Here changes come only with a
+            // subscription, so the sidecar always subscribes.
             passrelay_load_balancing::dispatcher::Transport::subscribe(&mut sidecar.connections);
         }
         sidecar.dispatch_events();
@@ -208,7 +208,7 @@
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => continue,
                 other => other?,
             }
-            self.tick();
+            self.update_clock();
             for event in &events {
                 match event.token() {
                     LISTENER => self.listener_ready(),
@@ -242,7 +242,7 @@
     }
 
     /// Updates the time of the current turn.
-    fn tick(&mut self) {
+    fn update_clock(&mut self) {
         self.connections.now = self.started_at.elapsed().as_secs_f64();
     }
 
@@ -268,7 +268,7 @@
                 }
                 ConnectionEvent::DiscoveryFailed => {
                     if !self.service.settings.list_by_subscription {
-                        // Without a subscription policy, the dispatcher never calls discovery by itself.
+                        // With these settings, the dispatcher never subscribes by itself.
                         self.connections.discovery.subscribed = true;
                         self.connections.timers.schedule(now + DISCOVERY_RETRY_S, Timer::DiscoveryCall);
                     }
--- a/crates/sidecar/proxy/src/sidecar/discovery.rs
+++ b/crates/sidecar/proxy/src/sidecar/discovery.rs
@@ -37,7 +37,7 @@
                 running.push(node);
             } else {
                 let host: &str = &record.host;
-                self.connections.log.line(now, "info", "node_draining", &[("node", &host)]);
+                self.connections.log.write_event(now, "info", "node_draining", &[("node", &host)]);
             }
         }
         if update.full {
--- a/crates/sidecar/proxy/src/sidecar/operators.rs
+++ b/crates/sidecar/proxy/src/sidecar/operators.rs
@@ -6,7 +6,7 @@
 
 impl Sidecar {
     /// Updates whether responses close their connections, from the lifecycle and the shutdown phase.
-    pub(super) fn set_closing(&mut self) {
+    pub(super) fn update_close_after_response(&mut self) {
         self.connections.close_after_response =
             self.lifecycle.closes_after_answer(self.shutdown_phase == ShutdownPhase::Closed);
     }
@@ -44,7 +44,7 @@
             }
             AdminCommand::Standby => {
                 if self.lifecycle.standby(now) == Transition::Changed {
-                    self.set_closing();
+                    self.update_close_after_response();
                     self.connections.close_idle_clients();
                     self.connections.log_event(
                         "info",
@@ -59,7 +59,7 @@
             }
             AdminCommand::Active => {
                 if self.lifecycle.active() == Transition::Changed {
-                    self.set_closing();
+                    self.update_close_after_response();
                     self.connections.log_event(
                         "info",
                         "active",
--- a/crates/sidecar/proxy/src/sidecar/signals.rs
+++ b/crates/sidecar/proxy/src/sidecar/signals.rs
@@ -94,7 +94,7 @@
     /// Closes idle client connections; the others close with their response.
     pub(super) fn close_idle_and_drain(&mut self) {
         self.shutdown_phase = ShutdownPhase::Closed;
-        self.set_closing();
+        self.update_close_after_response();
         let keys: Vec<_> = self.connections.clients.iter().map(|(key, _)| key).collect();
         for key in keys {
             self.client_ready(key);
--- a/crates/sidecar/proxy/src/sidecar/upstreams.rs
+++ b/crates/sidecar/proxy/src/sidecar/upstreams.rs
@@ -38,17 +38,17 @@
                     self.connections.close_upstream(key);
                 }
             }
-            Phase::Relaying => self.connections.pump(key),
+            Phase::Relaying => self.connections.pump_relay(key),
         }
     }
 
     /// Sends the last byte that was held back, if the attempt is still wanted and its connection has shown no
     /// failure.
     pub(super) fn send_held_byte(&mut self, key: usize, attempt: Attempt) {
-        let held =
+        let is_held =
             |upstream: &UpstreamConnection| upstream.last_byte_held && upstream.attempt == Some(attempt);
-        if self.connections.upstreams.get(key).is_some_and(held) {
-            // Meanwhile the client may have disconnected, or the node may have been told to drain.
+        if self.connections.upstreams.get(key).is_some_and(is_held) {
+            // Meanwhile the client may have disconnected or the node may have begun to drain.
             if !self.is_wanted(attempt) {
                 return self.connections.withdraw_unsent(key);
             }
--- a/crates/sidecar/settings/src/config.rs
+++ b/crates/sidecar/settings/src/config.rs
@@ -196,7 +196,7 @@
             new.settings.classes[index] == self.settings.classes[old]
                 && new.deadlines[index] == self.deadlines[old]
         };
-        let kept: Vec<Option<usize>> = (0..new.names.classes.len())
+        let kept_positions: Vec<Option<usize>> = (0..new.names.classes.len())
             .map(|index| {
                 self.names
                     .classes
@@ -206,12 +206,12 @@
             })
             .collect();
         for (old, name) in merged.names.classes.iter_mut().enumerate() {
-            if !kept.contains(&Some(old)) {
+            if !kept_positions.contains(&Some(old)) {
                 name.clear();
             }
         }
-        for (index, kept) in kept.iter().enumerate() {
-            if kept.is_none() {
+        for (index, kept_position) in kept_positions.iter().enumerate() {
+            if kept_position.is_none() {
                 merged.names.classes.push(new.names.classes[index].clone());
                 merged.settings.classes.push(new.settings.classes[index].clone());
                 merged.deadlines.push(new.deadlines[index]);
