--- a/crates/sidecar/proxy/src/connections/upstreams.rs
+++ b/crates/sidecar/proxy/src/connections/upstreams.rs
@@ -115,7 +115,7 @@
             self.track_attempt(attempt, key);
             if !self.write_attempt(key, attempt) {
                 self.return_to_pool(key);
-                return self.report_outcome(node, attempt, Ending::Unused);
+                return self.report_outcome(node, attempt, Ending::NotSent);
             }
             let wait = if idle_time < MIN_REST_S { MIN_REST_S - idle_time } else { LAST_BYTE_DELAY_S };
             self.upstreams[key].last_byte_held = idle_time < MIN_REST_S
@@ -129,11 +129,11 @@
             return;
         }
         let Some(address) = self.pools.by_node.get(&node).map(|pool| pool.address) else {
-            return self.report_outcome(node, attempt, Ending::Unused);
+            return self.report_outcome(node, attempt, Ending::NotSent);
         };
         if self.upstreams.len() >= self.max_upstreams && !self.close_idlest_upstream() {
             self.log_event("warn", "node_connections_full", &[("node_connections", &self.upstreams.len())]);
-            return self.report_outcome(node, attempt, Ending::Unused);
+            return self.report_outcome(node, attempt, Ending::NotSent);
         }
         let socket = match TcpStream::connect(address) {
             Err(e) if matches!(e.raw_os_error(), Some(24 | 23)) => {
@@ -143,7 +143,7 @@
                 if self.close_idlest_upstream() || self.evict_idle_client() {
                     TcpStream::connect(address)
                 } else {
-                    return self.report_outcome(node, attempt, Ending::Unused);
+                    return self.report_outcome(node, attempt, Ending::NotSent);
                 }
             }
             other => other,
@@ -170,7 +170,7 @@
                 self.track_attempt(attempt, key);
                 self.timers.schedule(self.now + self.connect_timeout, Timer::ConnectTimeout(key, attempt));
             }
-            Err(_) => self.report_outcome(node, attempt, Ending::DialFailed),
+            Err(_) => self.report_outcome(node, attempt, Ending::ConnectFailed),
         }
     }
 
@@ -207,9 +207,9 @@
             self.timers.schedule(self.now + LATE_CONNECT_TIMEOUT_S, Timer::LateConnectTimeout(key, serial));
         }
         let ending = if has_established {
-            self.attribute_failure(node, Ending::DialFailed)
+            self.attribute_failure(node, Ending::ConnectFailed)
         } else {
-            Ending::DialFailed
+            Ending::ConnectFailed
         };
         self.report_outcome(node, attempt, ending);
     }
@@ -245,7 +245,7 @@
 
     /// Ends an attempt that is not completely written, so that it can no longer run.
     pub fn withdraw_unsent(&mut self, key: usize) {
-        self.end_attempt(key, Ending::Unused);
+        self.end_attempt(key, Ending::NotSent);
     }
 
     /// Returns whether this connection is in this phase, with this attempt.
@@ -261,8 +261,10 @@
     pub fn attribute_failure(&mut self, node: UpstreamId, ending: Ending) -> Ending {
         let Some(pool) = self.pools.by_node.get_mut(&node) else { return ending };
         match ending {
-            Ending::DialFailed if !std::mem::replace(&mut pool.failed_before_send, true) => Ending::Unused,
-            Ending::Delivered | Ending::AppError | Ending::Shed => {
+            Ending::ConnectFailed if !std::mem::replace(&mut pool.failed_before_send, true) => {
+                Ending::NotSent
+            }
+            Ending::Served | Ending::UpstreamError | Ending::Shed => {
                 pool.failed_before_send = false;
                 ending
             }
@@ -274,8 +276,8 @@
     pub fn log_failed_attempt(&mut self, node: UpstreamId, ending: Ending, blame: Blame) {
         let event = match ending {
             _ if blame == Blame::InvalidResponse => "invalid_response",
-            Ending::DialFailed => "node_unreachable",
-            Ending::Dropped => "node_disconnected",
+            Ending::ConnectFailed => "node_unreachable",
+            Ending::ConnectionLost => "node_disconnected",
             _ => return,
         };
         let host = self.pools.host(node).to_owned();
--- a/crates/sidecar/proxy/src/pool.rs
+++ b/crates/sidecar/proxy/src/pool.rs
@@ -5,7 +5,7 @@
 use crate::buffer_pool::{Buffer, BufferPool};
 use crate::http::{streamed_response_head, BodyReader, Head};
 use mio::net::TcpStream;
-use passrelay_load_balancing::{Ending, Report, RequestId, UpstreamId};
+use passrelay_load_balancing::{Ending, LoadReport, RequestId, UpstreamId};
 use passrelay_sidecar_settings::{is_plausible, parse_load_report};
 use std::collections::HashMap;
 use std::io::{self, Read, Write};
@@ -37,7 +37,7 @@
 /// Result of an attempt.
 pub struct AttemptResult {
     pub ending: Ending,
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
     /// The body of a complete response, and its media type.
     pub body: Option<ResponseBody>,
     /// Whether the connection can carry another attempt.
@@ -225,7 +225,7 @@
     /// Returns the result of an attempt whose connection failed. The request has certainly not been executed
     /// only if its last byte was never written.
     pub fn connection_failed(&mut self) -> AttemptResult {
-        let ending = if self.sent { Ending::Dropped } else { Ending::DialFailed };
+        let ending = if self.sent { Ending::ConnectionLost } else { Ending::ConnectFailed };
         AttemptResult {
             ending,
             report: None,
@@ -241,7 +241,7 @@
     fn streamed_response(&mut self) -> AttemptResult {
         let report =
             self.response.as_ref().and_then(|(head, _)| parse_plausible_report(head.header("x-load-report")));
-        AttemptResult { ending: Ending::Delivered, report, streamed: true, ..self.connection_failed() }
+        AttemptResult { ending: Ending::Served, report, streamed: true, ..self.connection_failed() }
     }
 
     /// Starts the relay of a served response to the client connection with the key `client`.
@@ -283,7 +283,11 @@
     /// Returns the result of an attempt that got an invalid response: the request may have been executed.
     /// Only this connection is discarded; the node may answer others well and is not considered unreachable.
     fn invalid_response(&mut self) -> AttemptResult {
-        AttemptResult { ending: Ending::AppError, blame: Blame::InvalidResponse, ..self.connection_failed() }
+        AttemptResult {
+            ending: Ending::UpstreamError,
+            blame: Blame::InvalidResponse,
+            ..self.connection_failed()
+        }
     }
 
     fn complete_response(&mut self, ended: bool) -> AttemptResult {
@@ -292,10 +296,10 @@
         };
         let is_health_check = matches!(self.attempt, Some(Attempt::HealthCheck { .. }));
         let ending = match head.status {
-            200 => Ending::Delivered,
+            200 => Ending::Served,
             503 | 504 if head.header("x-rejected") == Some("1") => Ending::Shed,
             503 if is_health_check => Ending::Shed,
-            _ => Ending::AppError,
+            _ => Ending::UpstreamError,
         };
         let text = std::str::from_utf8(&buffer.bytes()[body.start..body.end]).ok();
         let text = head.header("x-load-report").or(text.filter(|_| is_health_check));
@@ -322,7 +326,7 @@
 
 /// Parses a load report from a header or the body of a health check. Returns `None` for values that cannot be
 /// true.
-fn parse_plausible_report(text: Option<&str>) -> Option<Report> {
+fn parse_plausible_report(text: Option<&str>) -> Option<LoadReport> {
     text.and_then(|text| parse_load_report(text.trim(), '=').ok()).filter(is_plausible)
 }
 
--- a/crates/sidecar/proxy/src/sidecar.rs
+++ b/crates/sidecar/proxy/src/sidecar.rs
@@ -11,7 +11,7 @@
 use crate::pool::Phase;
 use mio::{Events, Interest, Poll};
 use passrelay_load_balancing::dispatcher::Dispatcher;
-use passrelay_load_balancing::lifecycle::{Lifecycle, PlannedEnd};
+use passrelay_load_balancing::lifecycle::{Lifecycle, ShutdownSchedule};
 use passrelay_load_balancing::Ending;
 use passrelay_sidecar_settings::{Config, NodeListUpdate, ServiceSettings};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
@@ -78,7 +78,7 @@
     /// When SIGTERM or SIGINT was received, in seconds on the loop's clock; infinite before.
     shutdown_requested_at: f64,
     /// Schedule of the graceful shutdown, from `shutdown_requested_at` on.
-    shutdown_schedule: PlannedEnd,
+    shutdown_schedule: ShutdownSchedule,
     /// Accepting is paused until the next sweep: the connection limit is reached, descriptors are exhausted or
     /// the listener failed.
     accept_paused: bool,
@@ -165,7 +165,7 @@
             unix_origin,
             shutdown_phase,
             shutdown_requested_at: f64::INFINITY,
-            shutdown_schedule: PlannedEnd::of(std::iter::empty()),
+            shutdown_schedule: ShutdownSchedule::for_deadlines(std::iter::empty()),
             accept_paused: false,
             accept_pending: false,
         };
@@ -261,7 +261,7 @@
             let now = self.connections.now;
             match event {
                 ConnectionEvent::AttemptOutcome { id, number, ending } => {
-                    self.dispatcher.outcome(now, id, number, ending, None, &mut self.connections);
+                    self.dispatcher.attempt_ended(now, id, number, ending, None, &mut self.connections);
                 }
                 ConnectionEvent::HealthCheckOutcome { node, ending } => {
                     self.dispatcher.health_check_ended(now, node, ending, 0.0, None, &mut self.connections);
@@ -313,7 +313,7 @@
             }
             Timer::HealthCheckTimeout(key, attempt) => {
                 if self.connections.is_in_phase(key, Phase::Busy, attempt) {
-                    self.connections.end_attempt(key, Ending::Expired);
+                    self.connections.end_attempt(key, Ending::TimedOut);
                 }
             }
             Timer::SendLastByte(key, attempt) => self.send_held_byte(key, attempt),
--- a/crates/sidecar/proxy/src/sidecar/discovery.rs
+++ b/crates/sidecar/proxy/src/sidecar/discovery.rs
@@ -3,7 +3,7 @@
 use super::Sidecar;
 use crate::connections::Timer;
 use crate::discovery_client::{DiscoveryResult, REQUEST_PAUSE_S};
-use passrelay_load_balancing::{Condition, Entry, ZoneId};
+use passrelay_load_balancing::{EndpointEntry, EndpointState, ZoneId};
 use passrelay_sidecar_settings::{NodeListUpdate, UnresolvedEntry};
 use std::fmt::Display;
 
@@ -29,11 +29,11 @@
             let node = self.connections.pools.id_of(&record.host);
             let started =
                 (record.started_at_ms > 0.0).then(|| record.started_at_ms / 1000.0 - self.unix_origin);
-            let (zone, condition) = (ZoneId(0), record.condition);
-            let entry = Entry { upstream: node, zone, cell: record.cell, condition, started };
+            let (zone, state) = (ZoneId(0), record.state);
+            let entry = EndpointEntry { upstream: node, zone, cell: record.cell, state, started };
             entries.push(UnresolvedEntry { entry, zone_name: record.zone.clone() });
-            self.connections.update_node(node, record.address, condition == Condition::Running);
-            if condition == Condition::Running {
+            self.connections.update_node(node, record.address, state == EndpointState::Running);
+            if state == EndpointState::Running {
                 running.push(node);
             } else {
                 let host: &str = &record.host;
--- a/crates/sidecar/proxy/src/sidecar/upstreams.rs
+++ b/crates/sidecar/proxy/src/sidecar/upstreams.rs
@@ -26,7 +26,7 @@
                 None => {}
                 Some(Ok(())) => self.upstream_connected(key),
                 Some(Err(_)) if upstream.is_late() => self.connections.close_upstream(key),
-                Some(Err(_)) => self.connections.end_attempt(key, Ending::DialFailed),
+                Some(Err(_)) => self.connections.end_attempt(key, Ending::ConnectFailed),
             },
             Phase::Busy => {
                 if let Some(result) = upstream.on_ready() {
@@ -88,7 +88,7 @@
                 self.handle_result(key, result);
             }
         } else if let Some((node, attempt)) = self.connections.finish_attempt(key, true) {
-            self.connections.report_outcome(node, attempt, Ending::Unused);
+            self.connections.report_outcome(node, attempt, Ending::NotSent);
         }
     }
 
@@ -101,7 +101,7 @@
             // dispatcher serves it.
             if let Some((_, Attempt::Request { id, number })) = self.connections.detach_attempt(key) {
                 self.connections.streamed_upstream = Some(key);
-                self.dispatcher.outcome(now, id, number, ending, report, &mut self.connections);
+                self.dispatcher.attempt_ended(now, id, number, ending, report, &mut self.connections);
             }
             if let Some(key) = self.connections.streamed_upstream.take() {
                 self.connections.close_upstream(key);
@@ -116,11 +116,11 @@
         match attempt {
             Attempt::Request { id, number } if blame == Blame::RejectedRequest => {
                 body.into_iter().for_each(|body| self.connections.buffers.release(body.buffer));
-                self.dispatcher.reject_invalid(now, id, number, &mut self.connections);
+                self.dispatcher.fail_invalid(now, id, number, &mut self.connections);
             }
             Attempt::Request { id, number } => {
                 self.connections.response_body = body;
-                self.dispatcher.outcome(now, id, number, ending, report, &mut self.connections);
+                self.dispatcher.attempt_ended(now, id, number, ending, report, &mut self.connections);
             }
             Attempt::HealthCheck { sent_at } => {
                 self.connections.response_body = body;
--- a/crates/sidecar/settings/src/config.rs
+++ b/crates/sidecar/settings/src/config.rs
@@ -4,7 +4,9 @@
 //! pairs, so that both go through the same checks.
 
 use crate::node_list::NodeListUpdate;
-use passrelay_load_balancing::{Class, DedupScope, Effect, Entry, Settings, Tenant, TenantId, ZoneId};
+use passrelay_load_balancing::{
+    Class, DedupScope, EndpointEntry, Idempotency, Settings, Tenant, TenantId, ZoneId,
+};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::fmt;
@@ -143,12 +145,12 @@
                 )
             }
         };
-        let effect = match self.text(&key("Idempotency")) {
-            Some("read_like") => Effect::Safe,
+        let idempotency = match self.text(&key("Idempotency")) {
+            Some("read_like") => Idempotency::Idempotent,
             Some("idempotency_key") => {
-                Effect::Keyed { scope, window: self.number(&key("RepeatWindow"), 0.0)? }
+                Idempotency::Keyed { scope, window: self.number(&key("RepeatWindow"), 0.0)? }
             }
-            Some("non_idempotent") | None => Effect::Unsafe,
+            Some("non_idempotent") | None => Idempotency::NonIdempotent,
             Some(other) => {
                 return invalid(
                     &key("Idempotency"),
@@ -175,7 +177,7 @@
             latency_target_per_work: self.number(&key("AimStretch"), defaults.latency_target_per_work)?,
             value: self.number(&key("Gain"), defaults.value)?,
             late_value: self.number(&key("LateValue"), defaults.late_value)?,
-            effect,
+            idempotency,
         };
         let deadline = self.duration(&key("GiveUp"), class.latency_target.max(0.0))?;
         Ok((name, class, deadline))
@@ -310,11 +312,12 @@
             reports_in_answers: pairs.text("Report.Source").is_none_or(|source| source == "piggyback"),
             reports_concurrency: reported("active"),
             reports_queue: reported("active") && reported("waiting"),
-            health_checks: pairs.flag("Limits.Probes", defaults.health_checks)?,
-            cancel: pairs.flag("Limits.Cancel", defaults.cancel)?,
-            duplicates: pairs.flag("Limits.MayDuplicate", defaults.duplicates)?,
+            allow_health_checks: pairs.flag("Limits.Probes", defaults.allow_health_checks)?,
+            allow_cancel: pairs.flag("Limits.Cancel", defaults.allow_cancel)?,
+            allow_concurrent_attempts: pairs
+                .flag("Limits.MayDuplicate", defaults.allow_concurrent_attempts)?,
             max_attempts: pairs.number("Limits.AttemptsCap", defaults.max_attempts)?,
-            retry_after: pairs.flag("Limits.RetryAfter", defaults.retry_after)?,
+            send_retry_after: pairs.flag("Limits.RetryAfter", defaults.send_retry_after)?,
             max_retry_after: pairs.number("Limits.MaxRetryAfter", defaults.max_retry_after)?,
             connect_timeout: pairs.number("Limits.ConnectTimeout", defaults.connect_timeout)?,
             drain_grace: pairs.number("Rules.DrainGrace", defaults.drain_grace)?,
@@ -517,17 +520,17 @@
 #[derive(Clone, Debug)]
 pub struct UnresolvedEntry {
     /// The entry; its zone is not set yet.
-    pub entry: Entry,
+    pub entry: EndpointEntry,
     /// Name of the entry's zone.
     pub zone_name: String,
 }
 
 impl Names {
     /// Sets the zone ids of node list entries.
-    pub fn resolve_zones(&mut self, entries: &[UnresolvedEntry]) -> Vec<Entry> {
+    pub fn resolve_zones(&mut self, entries: &[UnresolvedEntry]) -> Vec<EndpointEntry> {
         entries
             .iter()
-            .map(|unresolved| Entry { zone: self.zone_id(&unresolved.zone_name), ..unresolved.entry })
+            .map(|unresolved| EndpointEntry { zone: self.zone_id(&unresolved.zone_name), ..unresolved.entry })
             .collect()
     }
 }
--- a/crates/sidecar/settings/src/config/tests.rs
+++ b/crates/sidecar/settings/src/config/tests.rs
@@ -17,11 +17,11 @@
     let merged = old.reloaded_with(new).unwrap();
     assert_eq!(merged.names.classes, ["", "pay", "", "look", "book"]);
     assert_eq!(
-        merged.settings.classes[0].effect,
-        Effect::Safe,
+        merged.settings.classes[0].idempotency,
+        Idempotency::Idempotent,
         "the previous class 'look' is kept for its accepted requests"
     );
-    assert_eq!(merged.settings.classes[3].effect, Effect::Unsafe);
+    assert_eq!(merged.settings.classes[3].idempotency, Idempotency::NonIdempotent);
     assert_eq!(
         (merged.class_index("look"), merged.class_index("gone"), merged.class_index("")),
         (Some(3), None, None)
--- a/crates/sidecar/settings/src/node_list.rs
+++ b/crates/sidecar/settings/src/node_list.rs
@@ -1,6 +1,6 @@
 //! Node lists, as discovery sends them and as `known` in the configuration holds them.
 
-use passrelay_load_balancing::Condition;
+use passrelay_load_balancing::EndpointState;
 use serde_json::Value;
 use std::net::SocketAddr;
 
@@ -27,7 +27,7 @@
     /// Number of the node's cell, 0 if absent; written as `block`.
     pub cell: u64,
     /// Whether the node takes requests; written as `health`.
-    pub condition: Condition,
+    pub state: EndpointState,
     /// Unix time of the last start in milliseconds, 0 if it started long ago; written as `born_ms`.
     pub started_at_ms: f64,
 }
@@ -53,10 +53,10 @@
         let text = |key: &str| {
             host[key].as_str().ok_or_else(|| format!("hosts[{index}].{key} should be text, is {}", host[key]))
         };
-        let condition = match text("health")? {
-            "in_service" => Condition::Running,
-            "terminating" => Condition::Draining,
-            "terminated" => Condition::Removed,
+        let state = match text("health")? {
+            "in_service" => EndpointState::Running,
+            "terminating" => EndpointState::Draining,
+            "terminated" => EndpointState::Removed,
             other => {
                 return Err(format!(
                     "hosts[{index}].health should be in_service, terminating or terminated, is '{other}'"
@@ -71,7 +71,7 @@
                 .map_err(|_| format!("hosts[{index}].dial should be address:port, is '{address}'"))?,
             zone: host["site"].as_str().unwrap_or("").to_owned(),
             cell: host["block"].as_u64().unwrap_or(0),
-            condition,
+            state,
             started_at_ms: host["born_ms"].as_f64().filter(|started_at| *started_at > 0.0).unwrap_or(0.0),
         })
     }
--- a/crates/sidecar/simulator-adapter/src/host.rs
+++ b/crates/sidecar/simulator-adapter/src/host.rs
@@ -190,15 +190,15 @@
     fields.check_count(3, 4)?;
     let form = fields.required_text(1, "a form")?;
     if form == "failed" {
-        return Ok(Event::ListFailed);
+        return Ok(Event::EndpointListFailed);
     }
     let number: u64 = fields.required_number(3, "a list number")?;
     let list =
         lists.get(&number).ok_or_else(|| format!("directory_update: list {number} was not sent before"))?;
     let entries = names.resolve_zones(list);
     match form {
-        "delta" => Ok(Event::ListChanges(entries)),
-        "full" | "cached" => Ok(Event::FullList(entries)),
+        "delta" => Ok(Event::EndpointChanges(entries)),
+        "full" | "cached" => Ok(Event::EndpointList(entries)),
         other => {
             Err(format!("directory_update: form should be delta, full, cached or failed, is '{other}'")
                 .into())
