--- a/crates/router/configuration/src/delta_chain.rs
+++ b/crates/router/configuration/src/delta_chain.rs
@@ -1,21 +1,22 @@
-//! The deltas between the last few states, for whoever holds one of them.
+//! The deltas between the last few states, for processes that have one of these states.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Number of deltas that are kept; who has missed more changes gets the whole.
+/// Maximum number of deltas in a chain. A process that missed more changes receives the complete state.
 const MAX_DELTAS: usize = 16;
 
-/// What leads from one state to the next.
+/// A difference between one state and its successor.
 pub trait Delta {
-    /// What a state is known by.
+    /// Identifies a state in the sequence of states.
     type Position: PartialEq;
 
-    /// The state that it applies to.
+    /// Returns the position of the state that the delta applies to.
     fn base(&self) -> Self::Position;
 }
 
-/// Deltas, oldest first, each from the state that the one before it results in; the last one results in the newest state.
+/// Consecutive deltas, oldest first. Each delta applies to the result of the previous one, and the last one
+/// results in the newest state.
 #[derive(Clone, Debug)]
 pub struct DeltaChain<D> {
     deltas: VecDeque<Arc<D>>,
@@ -28,7 +29,8 @@
 }
 
 impl<D: Delta> DeltaChain<D> {
-    /// Appends the delta that led to a new state; without one, nothing leads to that state and all are forgotten.
+    /// Appends the delta that results in a new state. `None` means that there is no delta to the new state,
+    /// so the chain is cleared.
     pub fn push(&mut self, delta: Option<Arc<D>>) {
         match delta {
             Some(delta) => self.deltas.push_back(delta),
@@ -39,7 +41,8 @@
         }
     }
 
-    /// The deltas that lead from a state to the newest one; empty where they are not all known.
+    /// Returns the deltas from the state at `base` to the newest one, or no deltas if the chain does not
+    /// reach back to it.
     pub fn since(&self, base: &D::Position) -> Vec<Arc<D>> {
         self.deltas.iter().skip_while(|delta| delta.base() != *base).cloned().collect()
     }
--- a/crates/router/configuration/src/difference.rs
+++ b/crates/router/configuration/src/difference.rs
@@ -1,29 +1,29 @@
-//! The difference of two documents, item by item, and the patch that leads from one to the other.
+//! The difference between two documents, item by item, and the patch that transforms one into the other.
 
 use crate::patch::{name_of, LISTS};
 use serde_json::{json, Map, Value};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// How one item differs.
+/// Kind of difference between two versions of an item.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ItemChange {
-    /// Only the later document has it.
+    /// The item is only in the new document.
     Added,
-    /// Only the earlier document has it.
+    /// The item is only in the old document.
     Removed,
-    /// Both have it, and these of its fields differ.
+    /// The item is in both documents and differs in the named fields.
     Changed(BTreeSet<String>),
 }
 
-/// One item that differs.
+/// One item that differs between two documents.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ItemDifference {
-    /// The list that it belongs to, or `limits`.
+    /// Key of the list in the document that contains the item, or `limits`.
     pub list: &'static str,
-    /// Its name; empty for `limits`.
+    /// Name that identifies the item within its list; empty for `limits`.
     pub name: String,
-    /// How it differs.
+    /// Whether the item was added, removed or changed.
     pub change: ItemChange,
 }
 
@@ -46,16 +46,16 @@
 /// All items that differ between two documents.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Difference {
-    /// The items, by list and name; `limits` last.
+    /// The differing items, sorted by list and name, with `limits` last.
     pub items: Vec<ItemDifference>,
-    /// The `upsert` of the patch: items by list, and `limits`.
+    /// Value of `upsert` in the patch: items by list, and `limits`.
     upserts: Map<String, Value>,
-    /// The `remove` of the patch: names by list.
+    /// Value of `remove` in the patch: item names by list.
     removed: Map<String, Value>,
 }
 
 impl Difference {
-    /// The difference from one complete document to another. Items without a name are ignored.
+    /// Computes the difference from one complete document to another. Items without a name are ignored.
     pub fn between(from: &Value, to: &Value) -> Self {
         let mut difference = Difference::default();
         for list in LISTS {
@@ -65,7 +65,8 @@
         difference
     }
 
-    /// The patch that leads from the earlier document to the later, for [`apply_patch`](crate::apply_patch).
+    /// Returns the patch that transforms the old document into the new one, for
+    /// [`apply_patch`](crate::apply_patch).
     pub fn patch(&self, generation: u64) -> Value {
         json!({ "generation": generation, "upsert": self.upserts, "remove": self.removed })
     }
@@ -100,8 +101,8 @@
         }
     }
 
-    /// A patch can replace limits, not remove them: where the later document has none, the patch has empty ones, which stand for
-    /// the defaults.
+    /// Compares the limits. A patch can replace limits but not remove them, so if the new document has none,
+    /// the patch contains an empty object, which means the defaults.
     fn compare_limits(&mut self, from: Option<&Value>, to: Option<&Value>) {
         if from == to {
             return;
@@ -120,11 +121,11 @@
     items.into_iter().flatten().filter_map(|item| Some((name_of(item)?, item))).collect()
 }
 
-/// The fields of an item whose values differ, those that only one side has included.
+/// Returns the names of the fields whose values differ, including fields that only one of the two items has.
 fn changed_fields(before: &Value, after: &Value) -> BTreeSet<String> {
     let fields = |item: &Value| -> BTreeSet<String> {
         item.as_object().into_iter().flat_map(|fields| fields.keys().cloned()).collect()
     };
-    let all = &fields(before) | &fields(after);
-    all.into_iter().filter(|field| before.get(field) != after.get(field)).collect()
+    let all_fields = &fields(before) | &fields(after);
+    all_fields.into_iter().filter(|field| before.get(field) != after.get(field)).collect()
 }
--- a/crates/router/configuration/src/lib.rs
+++ b/crates/router/configuration/src/lib.rs
@@ -1,12 +1,18 @@
 //! The operators' configuration of the fleet, a JSON document: validation, patches and differences. No I/O.
 //!
-//! The problem: operators write and change the document by hand and by program, and a faulty one must be rejected with every
-//! error in it and where each stands. [`Configuration::read`] walks a document with a path-tracking reader and reports all
-//! errors at once, with their paths. [`apply_patch`] makes a new document from an old one and a patch by name. [`Difference`]
-//! compares two documents and makes the patch that leads from one to the other. [`DocumentDelta`] is the difference of two
-//! documents' texts, for transfer between processes.
+//! Operators edit the document by hand and with programs. An invalid document must be rejected with all of
+//! its errors and their locations.
 //!
-//! Storing a document and agreeing on it is for the control plane; what a configuration means for a request, for the data plane.
+//! * [`Configuration::read`] walks a document with a path-tracking reader and reports all errors at once,
+//!   with their paths.
+//! * [`apply_patch`] creates a new document from an old one and a patch that refers to items by name.
+//! * [`Difference`] compares two documents and creates the patch that transforms one into the other.
+//! * [`DocumentDelta`] is the difference between the texts of two documents, for transfer between processes.
+//! * [`ServiceVersions`] and [`Rollouts`] are replicated along with the document: the version of each service
+//!   that is in service, and the rollouts of new versions.
+//!
+//! The control plane stores documents and replicates them; the data plane applies the configuration to
+//! requests.
 
 mod delta_chain;
 mod difference;
--- a/crates/router/configuration/src/model.rs
+++ b/crates/router/configuration/src/model.rs
@@ -1,45 +1,46 @@
-//! The configuration as the planes use it. Field names follow the operators' API.
+//! The validated configuration, as used by the control plane and the data plane. Field names follow the
+//! operators' API.
 
 /// Whether the requests of a route are idempotent, and the form of its responses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteType {
-    /// Idempotent: may run more than once.
+    /// Requests are idempotent and may be executed more than once.
     Safe,
-    /// Not idempotent: may run at most once for each attempt of the client.
+    /// Requests are not idempotent and may be executed at most once for each attempt of the client.
     Unsafe,
-    /// Responds with a stream of events; unless `resumable`, treated as [`RouteType::Unsafe`].
+    /// Responses are event streams. Treated like [`RouteType::Unsafe`] unless the route is `resumable`.
     Streaming,
 }
 
-/// One service that a route sends traffic to.
+/// A service to which a route sends requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Backend {
     /// Name of the service.
     pub service: String,
-    /// Weight relative to the other backends of the route.
+    /// Weight relative to the other backends of the route; 0 for a backend that receives no requests.
     pub weight: f64,
 }
 
-/// A route: the requests that it matches, the services that they go to, and the policy for them.
+/// A route: the requests that it matches, the services that receive them, and the policy for them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Its name, unique among the routes.
+    /// Name of the route, unique among the routes.
     pub name: String,
-    /// The `Host` that it matches, case-insensitive.
+    /// `Host` header that the route matches, case-insensitive.
     pub hostname: String,
-    /// Prefix of the paths that it matches.
+    /// Prefix of the paths that the route matches.
     pub path_prefix: String,
-    /// Whether requests may be repeated.
+    /// Whether requests may be executed more than once.
     pub route_type: RouteType,
     /// Timeout of a request, in ms; at least 1.
     pub timeout_ms: u64,
-    /// Latency target, in ms: a response within it earns the request's full value.
+    /// Latency target, in ms. A response within the target has the full value.
     pub target_latency_ms: u64,
     /// Priority class; 0 is the highest.
     pub priority: u64,
-    /// The backends; their weights sum to more than 0.
+    /// Services that receive the requests. The weights sum to more than 0.
     pub backends: Vec<Backend>,
-    /// Maximum number of endpoints on which one attempt of the client may run; at least 1.
+    /// Maximum number of endpoints to which one attempt of the client may be sent; at least 1.
     pub max_attempts: u64,
     /// Whether requests need no API key.
     pub public: bool,
@@ -50,7 +51,7 @@
 }
 
 impl Route {
-    /// Whether a request may run more than once.
+    /// Returns whether a request may be executed more than once.
     pub fn is_idempotent(&self) -> bool {
         match self.route_type {
             RouteType::Safe => true,
@@ -60,64 +61,65 @@
     }
 }
 
-/// A service and what its endpoints have in common.
+/// A service and the common properties of its endpoints.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Its name, unique among the services.
+    /// Name of the service, unique among the services.
     pub name: String,
-    /// The only version whose endpoints get requests; `None` leaves it at the one that the core has recorded.
+    /// The only version whose endpoints receive requests. `None` keeps the version recorded by the control
+    /// plane.
     pub version: Option<String>,
-    /// Connections that one endpoint accepts from all sidecars together; 0 for no bound.
+    /// Maximum number of connections that one endpoint accepts from all routers together; 0 for no limit.
     pub max_connections: u64,
-    /// Batch size of a model's engine, in requests; 0 for services without an engine.
+    /// Batch size of the model's inference engine, in requests; 0 for services without an engine.
     pub engine_capacity: u64,
-    /// KV cache of a model's engine, in tokens; 0 for services without an engine.
+    /// Size of the KV cache of the model's inference engine, in tokens; 0 for services without an engine.
     pub kv_capacity_tokens: u64,
 }
 
-/// Bounds on the size and duration of clients' requests.
+/// Limits on the size and duration of clients' requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Maximum size of a request head, in bytes.
     pub max_header_bytes: usize,
     /// Maximum size of a request body, in bytes.
     pub max_body_bytes: usize,
-    /// Timeout for a request head, and for each further chunk of a body, in ms.
+    /// Timeout for receiving a request head, and for each further chunk of a body, in ms.
     pub header_timeout_ms: u64,
-    /// Idle timeout between the requests of a connection, in ms.
+    /// Idle timeout between two requests on a connection, in ms.
     pub idle_timeout_ms: u64,
 }
 
 /// The unit of a tenant's quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TokenUnit {
-    /// Each request counts 1.
+    /// Each request counts as 1.
     Requests,
-    /// Each request counts its tokens.
+    /// Each request counts as its number of tokens.
     TokenUsage,
 }
 
-/// A tenant: its API keys and its quota over all sidecars together.
+/// A tenant with its API keys and its quota, which is shared by all routers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Its name, unique among the tenants.
+    /// Name of the tenant, unique among the tenants.
     pub name: String,
-    /// Its API keys; no other tenant has any of them.
+    /// API keys of the tenant; not shared with any other tenant.
     pub api_keys: Vec<String>,
-    /// Priority class; takes precedence over that of the route.
+    /// Priority class; 0 is the highest. Takes precedence over the priority of the route.
     pub priority: u64,
-    /// Unit of the quota.
+    /// Unit in which the quota is measured.
     pub unit: TokenUnit,
-    /// Tokens that a request without `X-Passrelay-Token-Usage` counts.
+    /// Number of tokens charged for a request without `X-Passrelay-Token-Usage`.
     pub uncached_tokens: u64,
-    /// Refill rate of the quota, in units a second; 0 for no limit.
+    /// Refill rate of the quota, in units per second; 0 for no limit.
     pub rate_per_s: f64,
     /// Burst capacity above the rate, in units; 0 for no limit.
     pub burst: f64,
 }
 
 impl Tenant {
-    /// Whether the tenant's use is rate-limited.
+    /// Returns whether the tenant has a quota.
     pub fn is_limited(&self) -> bool {
         self.rate_per_s > 0.0
     }
@@ -126,14 +128,14 @@
 /// A complete, valid configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Configuration {
-    /// The operators' version number; increases with each change, not always by one.
+    /// Version number assigned by the operators. Increases with each change, but not necessarily by one.
     pub generation: u64,
-    /// All routes.
+    /// Routes, in document order. No two match the same host and path prefix.
     pub routes: Vec<Route>,
-    /// All services.
+    /// Services, in document order.
     pub services: Vec<Service>,
-    /// Bounds on clients' requests.
+    /// Limits on clients' requests.
     pub limits: Limits,
-    /// All tenants; without any, no request needs an API key.
+    /// Tenants, in document order. If empty, no request needs an API key.
     pub tenants: Vec<Tenant>,
 }
--- a/crates/router/configuration/src/patch.rs
+++ b/crates/router/configuration/src/patch.rs
@@ -1,30 +1,33 @@
-//! Patches: `upsert` adds items or replaces those of the same name, `remove` removes items by name.
+//! Patches of a document: `upsert` adds items or replaces items of the same name, and `remove` removes items
+//! by name.
 //!
-//! A patch works on the JSON document, not on the model, so that fields which this version does not know survive it.
+//! A patch is applied to the JSON document rather than the model, so that fields unknown to this version are
+//! preserved.
 
 use crate::errors::{ValidationErrorKind, ValidationErrors};
 use crate::reader::{ErrorCollector, PathReader};
 use serde_json::{Map, Value};
 use std::collections::{HashMap, HashSet};
 
-/// The lists whose items a patch may name, in the order in which they are applied and compared.
+/// Keys of the lists whose items a patch can change, in the order in which they are applied and compared.
 pub(crate) const LISTS: [&str; 3] = ["routes", "services", "tenants"];
 
-/// The changes of one list.
+/// Changes to one list.
 struct ListPatch {
+    /// Names of the items to remove.
     removed: HashSet<String>,
     /// In the order of the patch, which is the order in which new items are appended.
     upserts: Vec<Upsert>,
 }
 
-/// An item to add or replace.
+/// An item to add, or to replace the item of the same name.
 struct Upsert {
     name: String,
     item: Value,
 }
 
-/// Applies a patch to the document `current`. The result is not validated; see
-/// [`Configuration::read`](crate::Configuration::read).
+/// Applies a patch to the document `current`. The result is not validated; use
+/// [`Configuration::read`](crate::Configuration::read) for that.
 ///
 /// # Errors
 ///
@@ -46,7 +49,8 @@
     errors.into_result(Value::Object(document))
 }
 
-/// Limits have no name; a patch replaces them, in `upsert` or at its root.
+/// Returns the limits in a patch. Limits have no name, so a patch replaces all of them, either in `upsert` or
+/// at its root.
 fn patched_limits(patch: &Value) -> Option<&Value> {
     let upserted = patch.get("upsert").and_then(|upsert| upsert.get("limits"));
     upserted.or_else(|| patch.get("limits"))
@@ -64,7 +68,7 @@
     list.items().iter().map(PathReader::text).collect()
 }
 
-/// Reads the names of the items to add or replace; `items` are the values that `list` reads.
+/// Reads the items to add or replace and checks their names. `items` are the JSON values that `list` reads.
 fn read_upserts(list: &PathReader, items: &[Value], removed: &HashSet<String>) -> Vec<Upsert> {
     let mut names = HashSet::new();
     let mut upserts = Vec::new();
@@ -90,7 +94,7 @@
         _ => Vec::new(),
     };
     items.retain(|item| name_of(item).is_none_or(|name| !patch.removed.contains(name)));
-    // Indexed once, so that a patch of many items takes time in proportion to their number.
+    // The index is built once, so that the time to apply a patch is linear in its number of items.
     let index_by_name: HashMap<String, usize> = items
         .iter()
         .enumerate()
@@ -105,7 +109,7 @@
     document.insert(list.to_owned(), Value::Array(items));
 }
 
-/// The name of an item, which identifies it within its list.
+/// Returns the name of an item, which identifies it within its list.
 pub(crate) fn name_of(item: &Value) -> Option<&str> {
     item.get("name").and_then(Value::as_str)
 }
--- a/crates/router/configuration/src/reader.rs
+++ b/crates/router/configuration/src/reader.rs
@@ -1,13 +1,14 @@
-//! A reader that walks a JSON value and tracks the path, so that every error is reported with its path and all errors at once.
+//! A reader that walks a JSON value and tracks the path, so that all errors are reported at once, each with
+//! its path.
 //!
-//! Reads don't fail: after an error they report it and return a placeholder, and the walk goes on. The result of a walk is valid
-//! only if [`ErrorCollector::into_result`] returns it.
+//! Reading a value never fails: an invalid value is reported and replaced by a placeholder, and the walk
+//! continues. The result of a walk is valid only if it is returned by [`ErrorCollector::into_result`].
 
 use crate::errors::{ValidationError, ValidationErrorKind, ValidationErrors};
 use serde_json::Value;
 use std::cell::RefCell;
 
-/// The errors of one walk, in the order in which they were reported. Shared by all readers of the walk.
+/// Errors found in one walk, in the order in which they were reported. Shared by all readers of the walk.
 #[derive(Debug, Default)]
 pub(crate) struct ErrorCollector(RefCell<Vec<ValidationError>>);
 
@@ -16,7 +17,7 @@
         self.0.borrow_mut().push(error);
     }
 
-    /// The result of the walk, or all errors if any was reported.
+    /// Returns the result of the walk if no error was reported, and all errors otherwise.
     pub(crate) fn into_result<T>(self, result: T) -> Result<T, ValidationErrors> {
         let errors = self.0.into_inner();
         if errors.is_empty() {
@@ -27,30 +28,30 @@
     }
 }
 
-/// The last step of a path.
+/// The last segment of a path.
 enum PathSegment<'a> {
     Root,
     Field(&'a str),
     Item(usize),
 }
 
-/// A reader at one path of a document. The value there may be absent. The path is written out only for an error: a document
-/// has some ten thousand paths and mostly no error.
+/// A reader at one path of a document, where the value may be absent. The path is only formatted for an
+/// error, since a document has some ten thousand paths and usually no errors.
 pub(crate) struct PathReader<'a> {
     value: Option<&'a Value>,
-    /// The reader that this one was made from; none at the root.
+    /// Reader of the object or list that contains the value; `None` at the root.
     parent: Option<&'a PathReader<'a>>,
     segment: PathSegment<'a>,
     errors: &'a ErrorCollector,
 }
 
 impl<'a> PathReader<'a> {
-    /// A reader at the root of a document.
+    /// Creates a reader at the root of a document.
     pub(crate) fn root(value: &'a Value, errors: &'a ErrorCollector) -> Self {
         PathReader { value: Some(value), parent: None, segment: PathSegment::Root, errors }
     }
 
-    /// The path; empty at the root.
+    /// Returns the path of the value; empty at the root.
     fn path(&self) -> String {
         let mut path = self.parent.map(PathReader::path).unwrap_or_default();
         match self.segment {
@@ -66,24 +67,24 @@
         path
     }
 
-    /// Reports an error at this path.
+    /// Reports an error at the path of this reader.
     pub(crate) fn report(&self, kind: ValidationErrorKind) {
         let path = Some(self.path()).filter(|path| !path.is_empty()).unwrap_or_else(|| "document".to_owned());
         self.errors.push(ValidationError { path, kind });
     }
 
-    /// Whether there is a value other than null.
+    /// Returns whether there is a value other than null.
     pub(crate) fn is_present(&self) -> bool {
         self.value.is_some_and(|value| !value.is_null())
     }
 
-    /// The field of this name.
+    /// Returns a reader of the named field. The field may be absent.
     pub(crate) fn field<'b>(&'b self, name: &'b str) -> PathReader<'b> {
         let value = self.value.and_then(|value| value.get(name));
         PathReader { value, parent: Some(self), segment: PathSegment::Field(name), errors: self.errors }
     }
 
-    /// The items of a list; an absent list is empty.
+    /// Returns readers of the items of a list. An absent list is empty; a value of another type is reported.
     pub(crate) fn items(&self) -> Vec<PathReader<'_>> {
         match self.value {
             None | Some(Value::Null) => Vec::new(),
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Reports an error unless this is an object.
+    /// Reports an error unless the value is an object.
     pub(crate) fn expect_object(&self) {
         match self.value {
             Some(Value::Object(_)) => {}
@@ -112,7 +113,7 @@
         }
     }
 
-    /// A required text that is not empty.
+    /// Reads a required non-empty string.
     pub(crate) fn text(&self) -> String {
         match self.value {
             Some(Value::String(text)) if !text.is_empty() => text.clone(),
@@ -121,7 +122,7 @@
         }
     }
 
-    /// A text that is not empty, or a default if absent.
+    /// Reads a non-empty string, or returns `default` if it is absent.
     pub(crate) fn text_or(&self, default: &str) -> String {
         if self.is_present() {
             self.text()
@@ -130,12 +131,12 @@
         }
     }
 
-    /// A text that is not empty, or `None` if absent.
+    /// Reads a non-empty string, or returns `None` if it is absent.
     pub(crate) fn text_if_present(&self) -> Option<String> {
         self.is_present().then(|| self.text())
     }
 
-    /// A required unsigned integer.
+    /// Reads a required unsigned integer.
     pub(crate) fn unsigned(&self) -> u64 {
         match self.value {
             Some(value) => value
@@ -145,7 +146,7 @@
         }
     }
 
-    /// An unsigned integer, or a default if absent.
+    /// Reads an unsigned integer, or returns `default` if it is absent.
     pub(crate) fn unsigned_or(&self, default: u64) -> u64 {
         if self.is_present() {
             self.unsigned()
@@ -154,7 +155,7 @@
         }
     }
 
-    /// A finite number that is not negative, or a default if absent.
+    /// Reads a finite non-negative number, or returns `default` if it is absent.
     pub(crate) fn non_negative_or(&self, default: f64) -> f64 {
         if !self.is_present() {
             return default;
@@ -172,7 +173,7 @@
         }
     }
 
-    /// A boolean, or a default if absent.
+    /// Reads a boolean, or returns `default` if it is absent.
     pub(crate) fn bool_or(&self, default: bool) -> bool {
         if !self.is_present() {
             return default;
@@ -183,7 +184,7 @@
         })
     }
 
-    /// Reports an error and returns the placeholder for a required value.
+    /// Reports an error and returns a placeholder for a required value.
     fn reject<T: Default>(&self, kind: ValidationErrorKind) -> T {
         self.report(kind);
         T::default()
--- a/crates/router/configuration/src/rollouts.rs
+++ b/crates/router/configuration/src/rollouts.rs
@@ -1,8 +1,9 @@
-//! Roll-outs: operators' orders to move a service to another version, and how far each has come.
+//! Rollouts: operators' orders to move a service to another version, and their progress.
 //!
-//! The record of a roll-out is part of the replicated state, beside the document, so that an acknowledged order outlives the process
-//! that took it, and whoever knows a configuration knows which roll-outs run. What a record doesn't hold, the evidence of the judge
-//! and the shares of traffic, is rebuilt from the sidecars.
+//! The record of a rollout is part of the replicated state, like the document. An acknowledged order
+//! therefore survives a failure of the process that accepted it, and every process that knows a configuration
+//! knows which rollouts are running. Data that is not in the record, namely the observations on which
+//! versions are judged and the traffic shares, is rebuilt from the routers' reports.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -10,53 +11,54 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// The longest deadline of an order.
+/// Maximum deadline of an order.
 const MAX_DEADLINE: Duration = Duration::from_secs(7 * 24 * 3_600);
-/// The longest version, in bytes: it is replicated.
-const MAX_VERSION_BYTES: usize = 256;
-/// Orders of one service that may wait for the one that runs.
+/// Maximum length of a service name or a version in an order, in bytes. It is limited because it is
+/// replicated.
+const MAX_NAME_BYTES: usize = 256;
+/// Maximum number of orders of one service that wait for the current rollout.
 const MAX_WAITING: usize = 4;
 
-/// An order to move a service to the endpoints of a version.
+/// An order to move a service to the endpoints of another version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutOrder {
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// The version that it is moved to.
+    /// Version that is in service after the rollout.
     pub target_version: String,
-    /// Time from the order within which it has to end, in ms.
+    /// Time from the order until the rollout has to end, in ms; at least 1.
     pub deadline_ms: u64,
 }
 
-/// Why the body of an order can't be read. The texts are part of the operators' API.
+/// Reason why the body of an order is rejected. The messages are part of the operators' API.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum OrderError {
-    /// No JSON object.
+    /// The body is not JSON.
     #[error("the order cannot be read as JSON: {0}")]
     Unreadable(String),
-    /// A key has no valid value.
+    /// The value of a key is missing or invalid.
     #[error("{key}: should be {expected}")]
     BadValue {
-        /// The key.
+        /// JSON key of the value.
         key: &'static str,
-        /// What is expected.
+        /// Description of valid values.
         expected: &'static str,
     },
 }
 
 impl RolloutOrder {
-    /// Reads the JSON body of an order.
+    /// Parses the JSON body of an order.
     ///
     /// # Errors
     ///
-    /// Returns the first fault, with its key.
+    /// Returns the first error found, with its key.
     pub fn read(body: &[u8]) -> Result<Self, OrderError> {
         let body: Value =
             serde_json::from_slice(body).map_err(|error| OrderError::Unreadable(error.to_string()))?;
         let text = |key: &'static str| {
             let value = body.get(key).and_then(Value::as_str);
-            let fitting = value.filter(|text| !text.is_empty() && text.len() <= MAX_VERSION_BYTES);
-            fitting.ok_or(OrderError::BadValue { key, expected: "a text of 1 to 256 bytes" })
+            let valid = value.filter(|text| !text.is_empty() && text.len() <= MAX_NAME_BYTES);
+            valid.ok_or(OrderError::BadValue { key, expected: "a text of 1 to 256 bytes" })
         };
         let seconds = body.get("deadline-s").and_then(Value::as_f64);
         let seconds = seconds.filter(|seconds| *seconds > 0.0 && *seconds <= MAX_DEADLINE.as_secs_f64());
@@ -72,30 +74,31 @@
     }
 }
 
-/// How far a roll-out has come.
+/// Progress of a rollout. The order of the phases is significant: the final ones come last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum RolloutPhase {
-    /// Waits for the one before it.
+    /// The order waits for the previous rollout of the service to end.
     Waiting,
-    /// A bounded share of the requests goes to the new version, which is judged by them.
+    /// A limited share of the requests goes to the new version, which is judged by their outcomes.
     Canary,
-    /// The version was judged good: its share grows beyond the bound.
+    /// The new version was judged good, and its share grows beyond the limit of the canary phase.
     Promoting,
-    /// The new version is in service; requests of before end on the old one.
+    /// The new version is in service. Requests sent to the old version before the switch are still in flight
+    /// there.
     Switched,
-    /// The new version is in service and the old one is free to stop. Final.
+    /// The new version is in service, and the old one may be stopped. Final.
     Completed,
-    /// The version of before is in service. Final.
+    /// The previous version is in service again. Final.
     RolledBack,
 }
 
 impl RolloutPhase {
-    /// Whether it has ended.
+    /// Returns whether the rollout has ended.
     pub fn is_final(self) -> bool {
         self >= RolloutPhase::Completed
     }
 
-    /// The state that operators are told.
+    /// Returns the state that is reported to operators.
     pub fn state(self) -> &'static str {
         match self {
             RolloutPhase::Completed => "completed",
@@ -105,82 +108,83 @@
     }
 }
 
-/// A roll-out.
+/// An order and its progress.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rollout {
-    /// The index of the state in which the order was accepted; unique.
+    /// Index of the replicated state in which the order was accepted; unique.
     pub id: u64,
-    /// The order.
+    /// The order as submitted by the operator.
     pub order: RolloutOrder,
-    /// The version in service before it; none before it began.
+    /// Version that was in service before the rollout; `None` before the rollout begins.
     pub base_version: Option<String>,
-    /// How far it has come.
+    /// Current phase, or the final phase if the rollout has ended.
     pub phase: RolloutPhase,
-    /// Time since the order when the record was last written, in ms: a lower bound of its age.
+    /// Time from the order until the record was last written, in ms: a lower bound of the order's age.
     pub age_ms: u64,
-    /// Why it has ended, or was judged as it was; for operators.
+    /// Reason why the rollout ended or why the version was judged as it was, for operators.
     pub reason: String,
 }
 
-/// The roll-outs of one service.
+/// The rollouts of one service.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceRollouts {
-    /// The one that runs, or else the one that ended last.
+    /// The running rollout, or the one that ended last if none is running.
     pub current: Option<Rollout>,
-    /// Orders that wait for it, oldest first.
+    /// Orders that wait for the current rollout to end, oldest first.
     pub waiting: Vec<Rollout>,
 }
 
 impl ServiceRollouts {
-    /// All roll-outs, the current one first.
+    /// Returns all rollouts, the current one first.
     pub fn all(&self) -> impl DoubleEndedIterator<Item = &Rollout> {
         self.current.iter().chain(&self.waiting)
     }
 
-    /// Whether any of them has not ended.
+    /// Returns whether any rollout of the service has not ended.
     pub fn is_active(&self) -> bool {
         self.all().any(|rollout| !rollout.phase.is_final())
     }
 
-    /// Whether one more order can wait.
+    /// Returns whether another order may be added to the waiting ones.
     pub fn has_queue_capacity(&self) -> bool {
         self.waiting.len() < MAX_WAITING
     }
 }
 
-/// The roll-outs of all services. Serialised as a map by service.
+/// The rollouts of all services. Serialized as a map by service name.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Rollouts(BTreeMap<String, ServiceRollouts>);
 
 impl Rollouts {
-    /// Whether there has been none.
+    /// Returns whether no service has a rollout.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// The roll-outs of a service.
+    /// Returns the rollouts of a service, or `None` if it has none.
     pub fn get(&self, service: &str) -> Option<&ServiceRollouts> {
         self.0.get(service)
     }
 
-    /// The roll-outs of a service, to be changed.
+    /// Returns a mutable reference to the rollouts of a service, which are inserted empty if the service has
+    /// none.
     pub fn get_or_insert_default(&mut self, service: &str) -> &mut ServiceRollouts {
         self.0.entry(service.to_owned()).or_default()
     }
 
-    /// All services that had an order.
+    /// Iterates over all services that have rollouts, sorted by service name.
     pub fn iter(&self) -> impl Iterator<Item = (&String, &ServiceRollouts)> {
         self.0.iter()
     }
 
-    /// The roll-out of an id.
+    /// Returns the rollout with this id.
     pub fn find(&self, id: u64) -> Option<&Rollout> {
         self.0.values().flat_map(ServiceRollouts::all).find(|rollout| rollout.id == id)
     }
 
-    /// Forgets services that have no active roll-out and that `is_kept` is false for.
-    pub fn retain_services(&mut self, is_kept: impl Fn(&str) -> bool) {
-        self.0.retain(|service, rollouts| rollouts.is_active() || is_kept(service));
+    /// Removes services that have no active rollout and for which `keep` returns false.
+    pub fn retain_services(&mut self, keep: impl Fn(&str) -> bool) {
+        self.0.retain(|service, rollouts| rollouts.is_active() || keep(service));
     }
 }
--- a/crates/router/configuration/src/validate.rs
+++ b/crates/router/configuration/src/validate.rs
@@ -1,7 +1,7 @@
 //! Reads a configuration from its JSON document and reports every error in it.
 //!
-//! Fields that the model does not know are ignored. Defaults of optional fields are here, each a named constant or beside
-//! its field.
+//! Fields that are unknown to the model are ignored. The defaults of optional fields are defined in this
+//! module, either as constants or where the field is read.
 
 use crate::errors::{ValidationError, ValidationErrorKind, ValidationErrors};
 use crate::model::{Backend, Configuration, Limits, Route, RouteType, Service, Tenant, TokenUnit};
@@ -20,7 +20,8 @@
 ///
 /// # Errors
 ///
-/// Returns an error of the document itself when the bytes are no JSON (truncated, nested too deeply, not UTF-8).
+/// Returns an error at the path `document` if the bytes are not valid JSON (truncated, nested too deeply, not
+/// UTF-8).
 pub fn parse_document(bytes: &[u8]) -> Result<Value, ValidationErrors> {
     serde_json::from_slice(bytes)
         .map_err(|error| ValidationErrors::of_document(ValidationErrorKind::Unreadable(error.to_string())))
@@ -31,18 +32,18 @@
     ///
     /// # Errors
     ///
-    /// Returns all errors with their paths.
+    /// Returns all errors in the document, with their paths.
     pub fn read(document: &Value) -> Result<Self, ValidationErrors> {
         let errors = ErrorCollector::default();
         let configuration = read_configuration(&PathReader::root(document, &errors));
         errors.into_result(configuration)
     }
 
-    /// Checks that this configuration may follow one of generation `current`.
+    /// Checks that this configuration may replace a configuration of generation `current`.
     ///
     /// # Errors
     ///
-    /// Returns an error at `generation` when it isn't above `current`.
+    /// Returns an error at the path `generation` if the generation is not above `current`.
     pub fn check_generation_above(&self, current: u64) -> Result<(), ValidationErrors> {
         if self.generation > current {
             return Ok(());
@@ -54,7 +55,7 @@
 
 fn read_configuration(root: &PathReader) -> Configuration {
     root.expect_object();
-    // Services come first: routes are checked against their names.
+    // Services are read first, since the backends of routes are checked against their names.
     let services = read_services(&root.field("services"));
     let service_names: HashSet<&str> = services.iter().map(|service| service.name.as_str()).collect();
     let routes = read_routes(&root.field("routes"), &service_names);
@@ -67,7 +68,8 @@
     }
 }
 
-/// Reports an item whose name an earlier item has. An empty name has been reported as such.
+/// Reports an error if an earlier item has the same name. An empty name is skipped, since it was already
+/// reported.
 fn check_unique_name(item: &PathReader, name: &str, earlier_names: &mut HashSet<String>) {
     if !name.is_empty() && !earlier_names.insert(name.to_owned()) {
         item.report(ValidationErrorKind::DuplicateName(name.to_owned()));
@@ -91,16 +93,16 @@
     list.items().iter().map(read).collect()
 }
 
-/// What a route matches. Two routes must not match the same.
+/// The host and path prefix that a route matches; unique among the routes.
 #[derive(PartialEq, Eq, Hash)]
 struct RouteMatch {
-    /// In lower case: host names are case-insensitive.
+    /// In lower case, since host names are case-insensitive.
     hostname: String,
     path_prefix: String,
 }
 
 impl RouteMatch {
-    fn of(route: &Route) -> Self {
+    fn from_route(route: &Route) -> Self {
         RouteMatch { hostname: route.hostname.to_ascii_lowercase(), path_prefix: route.path_prefix.clone() }
     }
 }
@@ -112,7 +114,8 @@
     for item in list.items() {
         let route = read_route(&item, service_names);
         check_unique_name(&item, &route.name, &mut names);
-        if let Some(earlier_route) = name_by_match.insert(RouteMatch::of(&route), route.name.clone()) {
+        let route_match = RouteMatch::from_route(&route);
+        if let Some(earlier_route) = name_by_match.insert(route_match, route.name.clone()) {
             item.report(ValidationErrorKind::DuplicateMatch(earlier_route));
         }
         routes.push(route);
@@ -121,7 +124,7 @@
 }
 
 fn read_route(item: &PathReader, service_names: &HashSet<&str>) -> Route {
-    // Fields are read in the order in which their errors are reported.
+    // The order in which fields are read determines the order in which their errors are reported.
     let path_prefix = read_path_prefix(&item.field("path-prefix"));
     let timeout_ms = read_timeout(&item.field("timeout-ms"));
     Route {
@@ -168,7 +171,7 @@
     }
 }
 
-/// The weighted backends of `traffic-split` where it is present, else the one `backend`.
+/// Reads the weighted backends of `traffic-split` if it is present, and the single `backend` otherwise.
 fn read_backends(route: &PathReader, service_names: &HashSet<&str>) -> Vec<Backend> {
     let split = route.field("traffic-split");
     if !split.is_present() {
@@ -228,7 +231,8 @@
     list.items().iter().map(read).collect()
 }
 
-/// The keys of a tenant, without those of another one, which are reported. `owners` maps each key read so far to its tenant.
+/// Returns the API keys of a tenant. Keys that another tenant has as well are reported and left out. `owners`
+/// maps each key read so far to its tenant.
 fn read_api_keys(list: &PathReader, tenant: &str, owners: &mut HashMap<String, String>) -> Vec<String> {
     let mut api_keys = Vec::new();
     for item in list.items() {
@@ -241,7 +245,7 @@
     api_keys
 }
 
-/// Any text other than `token_usage` counts requests.
+/// Reads the unit of a quota. Any string other than `token_usage` selects [`TokenUnit::Requests`].
 fn read_token_unit(reader: &PathReader) -> TokenUnit {
     match reader.text_or("requests").as_str() {
         "token_usage" => TokenUnit::TokenUsage,
--- a/crates/router/configuration/tests/common/mod.rs
+++ b/crates/router/configuration/tests/common/mod.rs
@@ -1,8 +1,8 @@
-//! The document that the tests alter.
+//! A valid document that the tests modify.
 
 use serde_json::{json, Value};
 
-/// A valid document of generation 4 with two routes, services and tenants.
+/// Returns a valid document of generation 4 with two routes, two services and two tenants.
 pub fn valid_document() -> Value {
     json!({
         "generation": 4,
--- a/crates/router/configuration/tests/difference.rs
+++ b/crates/router/configuration/tests/difference.rs
@@ -1,4 +1,4 @@
-//! Differences of documents, and the patches made of them.
+//! Differences between documents, and the patches created from them.
 
 use passrelay_configuration::{apply_patch, Difference};
 use rstest::rstest;
@@ -14,7 +14,7 @@
 }
 
 #[rstest]
-#[case::the_same(before(), &[])]
+#[case::identical(before(), &[])]
 #[case::an_item_added(json!({ "services": [{ "name": "lm", "capacity": 4 }, { "name": "gates" }],
     "routes": [{ "name": "c" }, { "name": "a", "timeout-ms": 10 }, { "name": "b", "timeout-ms": 10 }],
     "limits": { "max-body-bytes": 100 } }), &["+ routes c"])]
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn the_patch_of_a_difference_leads_to_the_later_document() {
+fn applying_the_patch_of_a_difference_results_in_the_new_document() {
     let after = json!({
         "generation": 9,
         "services": [{ "name": "lm", "capacity": 8 }],
--- a/crates/router/configuration/tests/document_delta.rs
+++ b/crates/router/configuration/tests/document_delta.rs
@@ -5,10 +5,10 @@
 use rstest::rstest;
 use serde_json::json;
 
-/// The digest of no document.
+/// A digest that does not match any document in these tests.
 const NO_DIGEST: [u8; 32] = [0; 32];
 
-/// A document with as many routes, of which one has this time-out.
+/// Returns a document with `routes` routes, of which the one with index `changed` has this timeout.
 fn document(generation: u64, routes: usize, changed: usize, timeout_ms: u64) -> String {
     let route = |number: usize| {
         let timeout = if number == changed { timeout_ms } else { 3_000 };
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn one_changed_route_of_1600_takes_some_hundred_bytes() {
+fn a_delta_for_one_changed_route_of_1600_is_shorter_than_600_bytes() {
     let base = document(7, 1_600, 0, 3_000);
     let target = document(9, 1_600, 800, 500);
     let delta = DocumentDelta::between(&base, &target);
@@ -35,7 +35,7 @@
 #[case::repeated_items(r#"[{"a":1},{"a":1},{"a":1}]"#, r#"[{"a":1},{"a":1},{"a":1},{"a":1}]"#)]
 #[case::other_order(r#"[{"a":1},{"b":1},{"c":1}]"#, r#"[{"c":1},{"a":1},{"b":1}]"#)]
 #[case::no_braces("abc", "abd")]
-#[case::characters_of_many_bytes(r#"{"ñ":"}é"}"#, r#"{"ñ":"}éé"}"#)]
+#[case::multibyte_characters(r#"{"ñ":"}é"}"#, r#"{"ñ":"}éé"}"#)]
 fn a_delta_results_in_its_target(#[case] base: &str, #[case] target: &str) {
     let delta = DocumentDelta::between(base, target);
     assert_eq!(delta.apply(base).as_deref(), Ok(target));
@@ -48,19 +48,19 @@
     assert_eq!(delta.apply("{}"), Err(DeltaError::RangeOutsideBase));
 }
 
-// Deltas come from other processes; whatever they hold, none may panic or blow up.
+// Guards against panics and excessive memory use caused by invalid deltas from other processes.
 #[rstest]
 #[case::range_overflows(json!([{ "C": { "o": u64::MAX, "l": 5 } }]), DeltaError::RangeOutsideBase)]
 #[case::range_beyond_the_end(json!([{ "C": { "o": 1, "l": 8 } }]), DeltaError::RangeOutsideBase)]
 #[case::range_within_a_character(json!([{ "C": { "o": 3, "l": 1 } }]), DeltaError::RangeOutsideBase)]
 #[case::other_text(json!([{ "I": "x" }]), DeltaError::DigestMismatch)]
-fn a_damaged_delta_is_rejected(#[case] hunks: serde_json::Value, #[case] error: DeltaError) {
+fn a_corrupt_delta_is_rejected(#[case] hunks: serde_json::Value, #[case] error: DeltaError) {
     let delta: DocumentDelta = serde_json::from_value(json!({ "h": hunks, "d": NO_DIGEST })).unwrap();
     assert_eq!(delta.apply(r#"{"ñ":1}"#), Err(error));
 }
 
 #[test]
-fn a_delta_that_results_in_too_much_is_rejected() {
+fn a_delta_that_results_in_too_long_a_document_is_rejected() {
     let base = " ".repeat(1 << 20);
     let copy = json!({ "C": { "o": 0, "l": base.len() } });
     let delta: DocumentDelta =
--- a/crates/router/configuration/tests/patch.rs
+++ b/crates/router/configuration/tests/patch.rs
@@ -1,4 +1,4 @@
-//! Patches add, replace and remove items by name.
+//! Patches that add, replace and remove items by name.
 
 mod common;
 
@@ -47,6 +47,6 @@
         started_at.elapsed()
     };
     let small = time(1_000).max(Duration::from_millis(1));
-    // Eight times the items; sixty-four times the time would be the square.
+    // With 8 times as many items, quadratic time would be 64 times as long.
     assert!(time(8_000) < small * 30);
 }
--- a/crates/router/configuration/tests/validation.rs
+++ b/crates/router/configuration/tests/validation.rs
@@ -22,15 +22,15 @@
 #[rstest]
 #[case::unknown_service("/routes/0/backend", json!("u"), "routes[0].backend", ValidationErrorKind::UnknownService("u".into()))]
 #[case::unknown_split("/routes/1/traffic-split/1/backend", json!("u"), "routes[1].traffic-split[1].backend", ValidationErrorKind::UnknownService("u".into()))]
-#[case::no_weight("/routes/1/traffic-split", json!([{ "backend": "s", "weight": 0 }]), "routes[1].traffic-split", ValidationErrorKind::ZeroTotalWeight)]
-#[case::no_timeout("/routes/0/timeout-ms", json!(0), "routes[0].timeout-ms", ValidationErrorKind::OutOfRange("from 1 up"))]
-#[case::same_match("/routes/1/path-prefix", json!("/a/"), "routes[1]", ValidationErrorKind::DuplicateMatch("a".into()))]
-#[case::same_name("/routes/1/name", json!("a"), "routes[1]", ValidationErrorKind::DuplicateName("a".into()))]
-#[case::shared_key("/tenants/1/api-keys", json!(["k2"]), "tenants[1].api-keys[0]", ValidationErrorKind::DuplicateApiKey("x".into()))]
-#[case::no_list("/routes", json!({}), "routes", ValidationErrorKind::WrongType("a list"))]
-#[case::no_number("/generation", json!("four"), "generation", ValidationErrorKind::WrongType("a whole number from 0 up"))]
+#[case::zero_total_weight("/routes/1/traffic-split", json!([{ "backend": "s", "weight": 0 }]), "routes[1].traffic-split", ValidationErrorKind::ZeroTotalWeight)]
+#[case::zero_timeout("/routes/0/timeout-ms", json!(0), "routes[0].timeout-ms", ValidationErrorKind::OutOfRange("from 1 up"))]
+#[case::duplicate_match("/routes/1/path-prefix", json!("/a/"), "routes[1]", ValidationErrorKind::DuplicateMatch("a".into()))]
+#[case::duplicate_name("/routes/1/name", json!("a"), "routes[1]", ValidationErrorKind::DuplicateName("a".into()))]
+#[case::duplicate_api_key("/tenants/1/api-keys", json!(["k2"]), "tenants[1].api-keys[0]", ValidationErrorKind::DuplicateApiKey("x".into()))]
+#[case::not_a_list("/routes", json!({}), "routes", ValidationErrorKind::WrongType("a list"))]
+#[case::not_a_number("/generation", json!("four"), "generation", ValidationErrorKind::WrongType("a whole number from 0 up"))]
 #[case::out_of_range("/generation", json!(1e30), "generation", ValidationErrorKind::WrongType("a whole number from 0 up"))]
-#[case::no_host("/routes/0/hostname", json!(""), "routes[0].hostname", ValidationErrorKind::WrongType("a text that is not empty"))]
+#[case::empty_host("/routes/0/hostname", json!(""), "routes[0].hostname", ValidationErrorKind::WrongType("a text that is not empty"))]
 #[case::negative_weight("/routes/1/traffic-split/0/weight", json!(-1), "routes[1].traffic-split[0].weight", ValidationErrorKind::OutOfRange("from 0 up"))]
 fn an_error_is_reported_with_its_path(
     #[case] pointer: &str,
@@ -58,7 +58,7 @@
 #[case::empty(b"")]
 #[case::not_utf8(b"\xff\xfe{}")]
 #[case::two_documents(b"{} {}")]
-fn bytes_that_are_no_document_are_rejected(#[case] bytes: &[u8]) {
+fn bytes_that_are_not_a_json_document_are_rejected(#[case] bytes: &[u8]) {
     assert!(matches!(parse_document(bytes).unwrap_err().0[0].kind, ValidationErrorKind::Unreadable(_)));
 }
 
--- a/crates/router/data-plane/src/prompt.rs
+++ b/crates/router/data-plane/src/prompt.rs
@@ -2,7 +2,7 @@
 //!
 //! The client declares them; they are not checked against the body. The tenant's quota is charged for the
 //! declared size, so a malformed size is an error, a size above [`MAX_DECLARED_TOKENS`] counts as this
-//! maximum, and no size counts as less than it says up to there. The prefixes only help to select an
+//! maximum, and no size counts as less than declared up to the maximum. The prefixes only help to select an
 //! endpoint, so malformed ones are skipped.
 
 use thiserror::Error;
--- a/crates/router/data-plane/src/quota/share.rs
+++ b/crates/router/data-plane/src/quota/share.rs
@@ -127,7 +127,7 @@
     }
 
     /// Adds refunded tokens as a lease that expires when the one they came from does. Tokens that have
-    /// expired are lost. The refunded tokens are spent first, since no other lease expires earlier.
+    /// expired are lost. The refunded tokens are spent first, since normally no other lease expires earlier.
     pub(super) fn refund(&mut self, now: Duration, spent: SpentTokens) {
         let lease = TokenLease { tokens: spent.tokens, expires_at: spent.expires_at };
         if lease.is_live(now) {
--- a/crates/router/data-plane/src/rollout_shares.rs
+++ b/crates/router/data-plane/src/rollout_shares.rs
@@ -1,4 +1,4 @@
-//! A router's part in roll-outs: selects the requests that go to a new version, and counts the outcomes of
+//! A router's part in rollouts: selects the requests that go to a new version, and counts the outcomes of
 //! requests at both versions.
 //!
 //! The share of requests for a new version is a lease: it expires a fixed time after the router requested it,
@@ -17,10 +17,10 @@
 /// A share expires this long after the report that it answers was sent. About three reports are sent in this
 /// time.
 pub const SHARE_LIFETIME: Duration = Duration::from_millis(1_200);
-/// Maximum number of request classes that a router distinguishes per roll-out. Requests of further classes
+/// Maximum number of request classes that a router distinguishes per rollout. Requests of further classes
 /// are not compared.
 const MAX_CLASSES: usize = 48;
-/// Maximum number of request classes per roll-out in a report, since a report has to fit into a datagram.
+/// Maximum number of request classes per rollout in a report, since a report has to fit into a datagram.
 const MAX_REPORTED_CLASSES: usize = 12;
 /// Exclusive upper limits of all prompt size classes except the last one, in tokens to prefill.
 const SIZE_CLASS_LIMITS: [u64; 3] = [512, 2_048, 8_192];
@@ -36,7 +36,7 @@
     expires_at: Duration,
 }
 
-/// A roll-out that is running according to the committed state known to this router.
+/// A rollout that is running according to the committed state known to this router.
 #[derive(Debug)]
 struct RunningRollout {
     id: u64,
@@ -67,7 +67,7 @@
     target: Tally,
 }
 
-/// Version of the endpoint for a request that takes part in a roll-out.
+/// Version of the endpoint for a request that takes part in a rollout.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CanaryChoice {
     /// The new version, or in a load test either of the two.
@@ -88,7 +88,7 @@
     }
 }
 
-/// A request whose outcome is counted for a roll-out.
+/// A request whose outcome is counted for a rollout.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ObservedRequest {
     rollout_id: u64,
@@ -109,15 +109,15 @@
     pub is_load_test: bool,
 }
 
-/// All running roll-outs known to this router, with its shares and outcome counts.
+/// All running rollouts known to this router, with its shares and outcome counts.
 #[derive(Debug)]
 pub struct RolloutShares {
-    /// Credit with which each roll-out starts, 0 to 1. It differs between routers, so that all routers
+    /// Credit with which each rollout starts, 0 to 1. It differs between routers, so that all routers
     /// together adhere to the share over few requests as well.
     initial_credit: f64,
-    /// Running roll-outs by service.
+    /// Running rollouts by service.
     running: HashMap<String, RunningRollout>,
-    /// When this router first learned of each roll-out that has not ended, by roll-out id.
+    /// When this router first learned of each rollout that has not ended, by rollout id.
     known_since: BTreeMap<u64, Duration>,
     /// Number of the last report, 0 before the first.
     last_request_id: u64,
@@ -126,7 +126,7 @@
 }
 
 impl RolloutShares {
-    /// Creates an instance without roll-outs. `initial_credit` is a random number from 0 to 1.
+    /// Creates an instance without rollouts. `initial_credit` is a random number from 0 to 1.
     pub fn new(initial_credit: f64) -> Self {
         RolloutShares {
             initial_credit,
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Applies the committed roll-outs. Outcome counts of roll-outs that continue are kept, and so is a lease
+    /// Applies the committed rollouts. Outcome counts of rollouts that continue are kept, and so is a lease
     /// while the phase does not change.
     pub fn configure(&mut self, now: Duration, rollouts: &Rollouts) {
         let active = rollouts.iter().flat_map(|(_, service_rollouts)| service_rollouts.all());
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Decides whether the next request of a service takes part in a roll-out, and counts it as sent. Returns
+    /// Decides whether the next request of a service takes part in a rollout, and counts it as sent. Returns
     /// `None` if the request goes to the version in service.
     pub fn choose(&mut self, now: Duration, service: &str) -> Option<CanaryChoice> {
         let running = self.running.get_mut(service)?;
@@ -188,7 +188,7 @@
 
     // ---- Outcomes ----
 
-    /// Begins to observe a request to an endpoint of `version`. Returns `None` if no roll-out of its service
+    /// Begins to observe a request to an endpoint of `version`. Returns `None` if no rollout of its service
     /// is running, so that its outcome does not count.
     pub fn observe(
         &self,
@@ -220,7 +220,7 @@
         }
     }
 
-    /// Returns the tally to which a request counts, or `None` if its roll-out has ended or [`MAX_CLASSES`] is
+    /// Returns the tally to which a request counts, or `None` if its rollout has ended or [`MAX_CLASSES`] is
     /// reached.
     fn tally(&mut self, request: &ObservedRequest, measure: Measure) -> Option<&mut Tally> {
         let running = self.running.get_mut(&request.service)?;
@@ -237,7 +237,7 @@
 
     // ---- Reports and shares ----
 
-    /// Returns whether any roll-out has not ended.
+    /// Returns whether any rollout has not ended.
     pub fn is_active(&self) -> bool {
         !self.known_since.is_empty()
     }
--- a/crates/router/data-plane/tests/rollout_shares.rs
+++ b/crates/router/data-plane/tests/rollout_shares.rs
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_share_ends_with_its_phase_and_with_the_roll_out() {
+fn a_share_ends_with_its_phase_and_with_the_rollout() {
     let mut shares = shares_with_grant(1_000);
     shares.configure(ms(200), &rollouts(RolloutPhase::Canary));
     assert!(shares.choose(ms(200), "s").is_some(), "the share is kept while the phase does not change");
