--- a/crates/sidecar/proxy/src/sidecar.rs
+++ b/crates/sidecar/proxy/src/sidecar.rs
@@ -11,7 +11,7 @@
 use crate::pool::Phase;
 use mio::{Events, Interest, Poll};
 use passrelay_load_balancing::dispatcher::Dispatcher;
-use passrelay_load_balancing::lifecycle::{Lifecycle, PlannedEnd};
+use passrelay_load_balancing::lifecycle::{Lifecycle, ShutdownSchedule};
 use passrelay_load_balancing::Ending;
 use passrelay_sidecar_settings::{Config, NodeListUpdate, ServiceSettings};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
@@ -76,7 +76,7 @@
     shutdown_phase: ShutdownPhase,
     /// When SIGTERM came, in seconds on the loop's clock (infinite before), and the schedule from then on.
     shutdown_requested_at: f64,
-    end: PlannedEnd,
+    end: ShutdownSchedule,
     listener_full: bool,
     /// The listener's backlog may hold more clients than one turn accepts.
     accept_backlog: bool,
@@ -97,7 +97,7 @@
             seed,
             max_clients,
             max_upstreams,
-            known,
+            known_nodes,
             service,
             file,
             ..
@@ -116,9 +116,12 @@
         // One reading of both clocks: a start time that moved would look like a restart.
         let (began, epoch) = (Instant::now(), SystemTime::now().duration_since(UNIX_EPOCH)?.as_secs_f64());
         let s = &service.settings;
-        let bounds =
-            Bounds { max_upstreams, connect_timeout: s.connect_timeout, conn_idle: service.conn_idle };
-        let client = DiscoveryClient::new(discovery, known.as_ref().map(|k| k.seq));
+        let bounds = Bounds {
+            max_upstreams,
+            connect_timeout: s.connect_timeout,
+            conn_idle: service.node_idle_timeout,
+        };
+        let client = DiscoveryClient::new(discovery, known_nodes.as_ref().map(|k| k.version));
         let registry = poll.registry().try_clone()?;
         let mut connections = Connections::new(registry, s.tick, client, Log::new(&name), &name, &bounds);
         let dispatcher = Dispatcher::new(&service.settings, seed)?;
@@ -149,11 +152,13 @@
             epoch,
             shutdown_phase,
             shutdown_requested_at: f64::INFINITY,
-            end: PlannedEnd::of(std::iter::empty()),
+            end: ShutdownSchedule::for_deadlines(std::iter::empty()),
             listener_full: false,
             accept_backlog: false,
         };
-        sidecar.apply_node_list(known.unwrap_or(NodeListUpdate { whole: true, ..NodeListUpdate::default() }));
+        sidecar.apply_node_list(
+            known_nodes.unwrap_or(NodeListUpdate { full: true, ..NodeListUpdate::default() }),
+        );
         if !sidecar.connections.discovery.wanted {
             // The list is asked for also where changes come unasked in the simulator: here they never do.
             passrelay_load_balancing::dispatcher::Transport::subscribe(&mut sidecar.connections);
@@ -240,7 +245,7 @@
             let now = self.connections.now;
             match events {
                 ConnectionEvent::AttemptOutcome { id, number, ending } => {
-                    self.dispatcher.outcome(now, id, number, ending, None, &mut self.connections);
+                    self.dispatcher.attempt_ended(now, id, number, ending, None, &mut self.connections);
                 }
                 ConnectionEvent::ProbeOutcome { node, ending } => {
                     self.dispatcher.health_check_ended(now, node, ending, 0.0, None, &mut self.connections);
@@ -282,7 +287,7 @@
             }
             Timer::Probe(key, attempt) => {
                 if self.connections.is_at(key, Phase::Busy, attempt) {
-                    self.connections.end_attempt(key, Ending::Expired);
+                    self.connections.end_attempt(key, Ending::TimedOut);
                 }
             }
             Timer::LastByte(key, attempt) => self.send_held_byte(key, attempt),
