--- a/crates/router/data-plane/src/rollout_shares.rs
+++ b/crates/router/data-plane/src/rollout_shares.rs
@@ -9,7 +9,8 @@
 
 use passrelay_configuration::{Rollout, RolloutPhase, Rollouts};
 use passrelay_dissemination::{
-    ClassOutcomes, Measure, RequestClass, RolloutReport, ShareGrant, Tally, LOAD_TEST_CLASS,
+    ClassOutcomes, LatencyMeasure, RequestClass, RequestTally, RolloutReport, ShareGrant,
+    LOAD_TEST_SIZE_CLASS,
 };
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -63,8 +64,8 @@
 /// Outcomes of the requests of one class at both versions.
 #[derive(Debug, Default)]
 struct Comparison {
-    base: Tally,
-    target: Tally,
+    base: RequestTally,
+    target: RequestTally,
 }
 
 /// Version of the endpoint for a request that takes part in a rollout.
@@ -82,7 +83,7 @@
     /// Returns the size class. Requests of a load test form a class of their own.
     fn size_class(&self) -> u8 {
         if self.is_load_test {
-            return LOAD_TEST_CLASS;
+            return LOAD_TEST_SIZE_CLASS;
         }
         SIZE_CLASS_LIMITS.iter().filter(|limit| self.prefill_tokens >= **limit).count() as u8
     }
@@ -207,27 +208,27 @@
     }
 
     /// Records a latency of a request.
-    pub fn record_latency(&mut self, request: &ObservedRequest, measure: Measure, latency: Duration) {
+    pub fn record_latency(&mut self, request: &ObservedRequest, measure: LatencyMeasure, latency: Duration) {
         if let Some(tally) = self.tally(request, measure) {
-            tally.add_latency(latency);
+            tally.record_latency(latency);
         }
     }
 
     /// Records that a request has ended.
     pub fn record_end(&mut self, request: &ObservedRequest, failed: bool) {
-        if let Some(tally) = self.tally(request, Measure::FirstByte) {
-            tally.add_end(failed);
+        if let Some(tally) = self.tally(request, LatencyMeasure::FirstByte) {
+            tally.record_end(failed);
         }
     }
 
     /// Returns the tally to which a request counts, or `None` if its rollout has ended or [`MAX_CLASSES`] is
     /// reached.
-    fn tally(&mut self, request: &ObservedRequest, measure: Measure) -> Option<&mut Tally> {
+    fn tally(&mut self, request: &ObservedRequest, measure: LatencyMeasure) -> Option<&mut RequestTally> {
         let running = self.running.get_mut(&request.service)?;
         if running.id != request.rollout_id {
             return None;
         }
-        let class = RequestClass { route: request.route.clone(), size: request.size_class, measure };
+        let class = RequestClass { route: request.route.clone(), size_class: request.size_class, measure };
         if running.outcomes.len() >= MAX_CLASSES && !running.outcomes.contains_key(&class) {
             return None;
         }
