--- a/crates/router/control-plane/src/configuration_change.rs
+++ b/crates/router/control-plane/src/configuration_change.rs
@@ -99,7 +99,7 @@
     ///
     /// The history is searched first: a change that has been applied never matches the current generation again, so in
     /// the other order its retry would be rejected.
-    pub fn adjudicate(&self, state: &ReplicatedState) -> Verdict {
+    pub fn evaluate(&self, state: &ReplicatedState) -> Verdict {
         let digest = self.digest();
         if state.applied_changes.iter().any(|applied| applied.digest == digest) {
             return Verdict::AlreadyApplied;
--- a/crates/router/control-plane/src/coordinator.rs
+++ b/crates/router/control-plane/src/coordinator.rs
@@ -26,7 +26,7 @@
 use crate::replication::{DurableState, NonVotingSeed, Replica, ReplicaSettings, WriteId};
 use crate::rollout::ExposureBound;
 use context::Context;
-use operator_calls::{Caller, Core, OperatorCalls};
+use operator_calls::{Caller, CoreView, OperatorCalls};
 use passrelay_dissemination::{
     Announcement, EndpointLoad, EndpointRecord, Gossip, GossipSettings, Heartbeat, Incarnation, Peer,
 };
@@ -156,7 +156,7 @@
         envelope: Envelope,
         actions: &mut Vec<Action>,
     ) {
-        if !envelope.is_for(self.own.incarnation) {
+        if !envelope.is_addressed_to(self.own.incarnation) {
             self.stale_responses_dropped += 1;
             return;
         }
@@ -267,7 +267,7 @@
     }
 
     fn submit_operator_call(&mut self, caller: Caller, request: OperatorRequest, context: &mut Context<'_>) {
-        let core = Core::new(self.replica.as_mut(), &self.gossip, &self.rollouts);
+        let core = CoreView::new(self.replica.as_mut(), &self.gossip, &self.rollouts);
         self.operator_calls.submit(core, caller, request, context);
     }
 
@@ -277,7 +277,7 @@
         self.publish(context);
         self.record_versions(context);
         self.advance_rollouts(context);
-        let core = Core::new(self.replica.as_mut(), &self.gossip, &self.rollouts);
+        let core = CoreView::new(self.replica.as_mut(), &self.gossip, &self.rollouts);
         self.operator_calls.advance(core, context);
     }
 }
--- a/crates/router/control-plane/src/coordinator/bootstrap.rs
+++ b/crates/router/control-plane/src/coordinator/bootstrap.rs
@@ -47,7 +47,7 @@
 
     /// The member that this process speaks for. Without a replica it is none, so nothing it sends counts as a vote.
     fn replication_sender(&self) -> Member {
-        let nobody = Member { id: MemberId::NOBODY, address: self.own.address };
+        let nobody = Member { id: MemberId::UNKNOWN, address: self.own.address };
         self.replica.as_ref().map_or(nobody, Replica::own)
     }
 }
--- a/crates/router/control-plane/src/coordinator/load_reports.rs
+++ b/crates/router/control-plane/src/coordinator/load_reports.rs
@@ -20,7 +20,7 @@
         if !self.replica.as_ref().is_some_and(Replica::is_established) {
             return;
         }
-        let totals = self.load_totals.report(context.now(), from.address, request_id, loads);
+        let totals = self.load_totals.handle_report(context.now(), from.address, request_id, loads);
         if from.address == self.own.address {
             context.push(Action::LoadTotals(totals));
         } else {
--- a/crates/router/control-plane/src/coordinator/operator_calls.rs
+++ b/crates/router/control-plane/src/coordinator/operator_calls.rs
@@ -17,7 +17,7 @@
 //! If the term changes while a call waits, its adjudication is void and the operator has to retry.
 //!
 //! Calls are retried at any step without harm: a change is recognised by its digest
-//! ([`ConfigurationChange::adjudicate`]). Nothing here is durable.
+//! ([`ConfigurationChange::evaluate`]). Nothing here is durable.
 
 #[cfg(test)]
 mod tests;
@@ -42,7 +42,7 @@
 const FORWARD_RETRY_INTERVAL: Duration = Duration::from_millis(300);
 
 /// What operator calls see of the core.
-pub(super) struct Core<'a> {
+pub(super) struct CoreView<'a> {
     /// The replica of this process, on voters.
     replica: Option<&'a mut Replica>,
     /// Address of the primary, as far as gossip knows it.
@@ -51,13 +51,13 @@
     rollouts: &'a ControllerLifecycle,
 }
 
-impl<'a> Core<'a> {
+impl<'a> CoreView<'a> {
     pub(super) fn new(
         replica: Option<&'a mut Replica>,
         gossip: &Gossip,
         rollouts: &'a ControllerLifecycle,
     ) -> Self {
-        Core { replica, primary: gossip.core().map(|core| core.primary), rollouts }
+        CoreView { replica, primary: gossip.core().map(|core| core.primary), rollouts }
     }
 
     fn established_replica(&mut self) -> Option<&mut Replica> {
@@ -85,7 +85,7 @@
     /// Adds a call and advances all calls. A duplicate of a pending call is ignored.
     pub(super) fn submit(
         &mut self,
-        core: Core<'_>,
+        core: CoreView<'_>,
         caller: Caller,
         request: OperatorRequest,
         context: &mut Context<'_>,
@@ -113,7 +113,7 @@
     }
 
     /// Advances every call as far as possible, and answers those that are complete or timed out.
-    pub(super) fn advance(&mut self, mut core: Core<'_>, context: &mut Context<'_>) {
+    pub(super) fn advance(&mut self, mut core: CoreView<'_>, context: &mut Context<'_>) {
         for mut call in std::mem::take(&mut self.pending) {
             match call.advance(&mut core, context) {
                 Some(outcome) => call.answer(outcome, context),
@@ -134,11 +134,11 @@
 
 impl Call {
     /// Takes the next transition, if it is possible now. Returns the outcome of a call that is complete.
-    fn advance(&mut self, core: &mut Core<'_>, context: &mut Context<'_>) -> Option<OperatorOutcome> {
+    fn advance(&mut self, core: &mut CoreView<'_>, context: &mut Context<'_>) -> Option<OperatorOutcome> {
         if matches!(self.state, CallState::Open { .. }) {
             let rollouts = core.rollouts;
             match core.established_replica() {
-                Some(replica) => self.state = adjudicate(&self.request, replica, rollouts, context)?,
+                Some(replica) => self.state = evaluate(&self.request, replica, rollouts, context)?,
                 None => {
                     self.forward(core.primary, context);
                     return None;
@@ -159,7 +159,7 @@
         if forwarded.as_ref().is_some_and(|forwarded| forwarded.is_in_flight(now, primary)) {
             return;
         }
-        *forwarded = Some(Forwarded { to: primary, at: now });
+        *forwarded = Some(Forwarded { to: primary, sent_at: now });
         let message = OperatorMessage::Call { call, request: self.request.clone() };
         context.send(primary, Message::Operator(message));
     }
@@ -183,13 +183,13 @@
 /// The last forwarding of a call.
 struct Forwarded {
     to: SocketAddrV4,
-    at: Duration,
+    sent_at: Duration,
 }
 
 impl Forwarded {
     /// Whether an answer of this primary may still be on its way.
     fn is_in_flight(&self, now: Duration, primary: SocketAddrV4) -> bool {
-        self.to == primary && now.saturating_sub(self.at) < FORWARD_RETRY_INTERVAL
+        self.to == primary && now.saturating_sub(self.sent_at) < FORWARD_RETRY_INTERVAL
     }
 }
 
@@ -202,14 +202,14 @@
     AwaitCommit { position: StateVersion, generation: u64 },
     /// An order of a roll-out, acknowledged once the state at `position` is committed and on a majority of disks.
     AwaitMajority { position: StateVersion },
-    /// An order that is rejected once a quorum has confirmed the primary at or after `adjudicated_at`.
-    AwaitOrderRejection { position: StateVersion, adjudicated_at: Duration, rejection: OrderRejection },
+    /// An order that is rejected once a quorum has confirmed the primary at or after `evaluated_at`.
+    AwaitOrderRejection { position: StateVersion, evaluated_at: Duration, rejection: OrderRejection },
     /// A read of a roll-out, served once a quorum has confirmed the primary at or after `requested_at` and the state is on a majority
     /// of disks.
     AwaitRolloutRead { term: u64, requested_at: Duration, service: String },
     /// A rejection, valid once the state at `position` is committed and a quorum has confirmed the primary at or after
-    /// `adjudicated_at`.
-    AwaitRejectionConfirmation { position: StateVersion, adjudicated_at: Duration, rejection: Rejection },
+    /// `evaluated_at`.
+    AwaitRejectionConfirmation { position: StateVersion, evaluated_at: Duration, rejection: Rejection },
     /// A read, served once a quorum has confirmed the primary at or after `requested_at`.
     AwaitReadConfirmation { term: u64, requested_at: Duration },
     /// A change that may have been applied and dropped from the history since.
@@ -219,7 +219,7 @@
 impl CallState {
     /// The outcome, once it is safe to answer with.
     fn outcome(&self, replica: &Replica) -> Option<OperatorOutcome> {
-        let term = self.adjudicated_term()?;
+        let term = self.evaluated_term()?;
         let committed = replica.committed().filter(|_| replica.is_established());
         let Some(committed) = committed.filter(|committed| committed.version.term == term) else {
             return Some(Err(OperatorError::PrimaryChanged));
@@ -228,9 +228,9 @@
             CallState::Open { .. } => None,
             CallState::AwaitCommit { position, generation } => (committed.version.index >= position.index)
                 .then_some(Ok(OperatorReply::Acknowledged { generation: *generation })),
-            CallState::AwaitRejectionConfirmation { position, adjudicated_at, rejection } => {
-                let confirmed = replica.confirmed_at() >= Some(*adjudicated_at)
-                    || replica.mutation().rejects_unconfirmed();
+            CallState::AwaitRejectionConfirmation { position, evaluated_at, rejection } => {
+                let confirmed =
+                    replica.confirmed_at() >= Some(*evaluated_at) || replica.mutation().rejects_unconfirmed();
                 (committed.version.index >= position.index && confirmed)
                     .then(|| Err(OperatorError::Rejected(rejection.clone())))
             }
@@ -240,18 +240,18 @@
                 confirmed.then(|| read(committed))
             }
             CallState::AwaitMajority { position } => {
-                let is_durable =
-                    committed.version.index >= position.index && replica.is_on_majority(position.index);
+                let is_durable = committed.version.index >= position.index
+                    && replica.is_durable_on_majority(position.index);
                 is_durable.then_some(Ok(OperatorReply::RolloutAccepted))
             }
-            CallState::AwaitOrderRejection { position, adjudicated_at, rejection } => {
-                let confirmed = replica.confirmed_at() >= Some(*adjudicated_at);
+            CallState::AwaitOrderRejection { position, evaluated_at, rejection } => {
+                let confirmed = replica.confirmed_at() >= Some(*evaluated_at);
                 (committed.version.index >= position.index && confirmed)
                     .then(|| Err(OperatorError::OrderRejected(rejection.clone())))
             }
             CallState::AwaitRolloutRead { requested_at, service, .. } => {
                 let confirmed = replica.confirmed_at() >= Some(*requested_at);
-                (confirmed && replica.is_on_majority(committed.version.index))
+                (confirmed && replica.is_durable_on_majority(committed.version.index))
                     .then(|| read_rollout(committed, service))
             }
             CallState::HistoryTruncated { .. } => Some(Err(OperatorError::HistoryTruncated)),
@@ -259,7 +259,7 @@
     }
 
     /// The term of the primary that adjudicated the call.
-    fn adjudicated_term(&self) -> Option<u64> {
+    fn evaluated_term(&self) -> Option<u64> {
         match self {
             CallState::Open { .. } => None,
             CallState::AwaitCommit { position, .. }
@@ -287,7 +287,7 @@
 }
 
 /// Adjudicates a request on an established primary. `None` if a change cannot be proposed right now; the call stays open.
-fn adjudicate(
+fn evaluate(
     request: &OperatorRequest,
     replica: &mut Replica,
     rollouts: &ControllerLifecycle,
@@ -299,8 +299,8 @@
             let term = replica.state().version.term;
             Some(CallState::AwaitReadConfirmation { term, requested_at: context.now() })
         }
-        OperatorRequest::Change(change) => adjudicate_change(change, replica, context),
-        OperatorRequest::OrderRollout(order) => adjudicate_order(order, replica, rollouts, context),
+        OperatorRequest::Change(change) => evaluate_change(change, replica, context),
+        OperatorRequest::OrderRollout(order) => evaluate_order(order, replica, rollouts, context),
         OperatorRequest::ReadRollout { service } => {
             replica.request_confirmation();
             let term = replica.state().version.term;
@@ -311,7 +311,7 @@
 }
 
 /// Adjudicates an order of a roll-out against the newest state, committed or not.
-fn adjudicate_order(
+fn evaluate_order(
     order: &RolloutOrder,
     replica: &mut Replica,
     rollouts: &ControllerLifecycle,
@@ -321,14 +321,14 @@
     let state = replica.state().clone();
     let position = state.version;
     if !rollouts.is_enabled() {
-        let rejection = OrderRejection::NotInContract;
-        return Some(CallState::AwaitOrderRejection { position, adjudicated_at: now, rejection });
+        let rejection = OrderRejection::RolloutsNotEnabled;
+        return Some(CallState::AwaitOrderRejection { position, evaluated_at: now, rejection });
     }
-    match rollout::adjudicate(order, &state, |id| rollouts.age(now, id)) {
+    match rollout::evaluate_order(order, &state, |id| rollouts.age(now, id)) {
         OrderVerdict::AlreadyAccepted => Some(CallState::AwaitMajority { position }),
         OrderVerdict::Reject(rejection) => {
             replica.request_confirmation();
-            Some(CallState::AwaitOrderRejection { position, adjudicated_at: now, rejection })
+            Some(CallState::AwaitOrderRejection { position, evaluated_at: now, rejection })
         }
         OrderVerdict::Accept(accepted) => {
             let versions = state.service_versions.clone();
@@ -342,7 +342,7 @@
 
 /// Adjudicates a change against the newest state, committed or not: changes are proposed one on the other without
 /// waiting for the commit of the one before.
-fn adjudicate_change(
+fn evaluate_change(
     change: &ConfigurationChange,
     replica: &mut Replica,
     context: &mut Context<'_>,
@@ -350,14 +350,14 @@
     let now = context.now();
     let state = replica.state().clone();
     let position = state.version;
-    let same_number = replica.mutation().is_applied_by_generation(change, &state);
-    let verdict = if same_number { Verdict::AlreadyApplied } else { change.adjudicate(&state) };
+    let is_applied_by_generation = replica.mutation().is_applied_by_generation(change, &state);
+    let verdict = if is_applied_by_generation { Verdict::AlreadyApplied } else { change.evaluate(&state) };
     match verdict {
         Verdict::HistoryTruncated => Some(CallState::HistoryTruncated { term: position.term }),
         Verdict::AlreadyApplied => Some(CallState::AwaitCommit { position, generation: state.generation }),
         Verdict::Reject(rejection) => {
             replica.request_confirmation();
-            Some(CallState::AwaitRejectionConfirmation { position, adjudicated_at: now, rejection })
+            Some(CallState::AwaitRejectionConfirmation { position, evaluated_at: now, rejection })
         }
         Verdict::Apply { generation, document, applied_change } => {
             let index = context.step_replica(replica, |replica, actions| {
--- a/crates/router/control-plane/src/coordinator/operator_calls/tests.rs
+++ b/crates/router/control-plane/src/coordinator/operator_calls/tests.rs
@@ -1,6 +1,6 @@
 //! Operator calls on a process that is not the primary: forwarding, completion and timeout.
 
-use super::{Caller, Core, OperatorCalls};
+use super::{Caller, CoreView, OperatorCalls};
 use crate::coordinator::context::Context;
 use crate::coordinator::rollouts::ControllerLifecycle;
 use crate::messages::{Action, CallId, Envelope, Message, OperatorAnswer, OperatorMessage, OperatorRequest};
@@ -25,11 +25,11 @@
 }
 
 /// Runs a step at a time in ms, on a process without replica that knows this primary; the actions it emits.
-fn step(at_ms: u64, primary: Option<u16>, step: impl FnOnce(Core<'_>, &mut Context<'_>)) -> Vec<Action> {
+fn step(at_ms: u64, primary: Option<u16>, step: impl FnOnce(CoreView<'_>, &mut Context<'_>)) -> Vec<Action> {
     let mut actions = Vec::new();
     let mut context = Context::new(Duration::from_millis(at_ms), process(OWN), &mut actions);
     let rollouts = ControllerLifecycle::new(None);
-    step(Core { replica: None, primary: primary.map(address), rollouts: &rollouts }, &mut context);
+    step(CoreView { replica: None, primary: primary.map(address), rollouts: &rollouts }, &mut context);
     actions
 }
 
--- a/crates/router/control-plane/src/coordinator/operator_outcome.rs
+++ b/crates/router/control-plane/src/coordinator/operator_outcome.rs
@@ -71,7 +71,7 @@
     fn status(&self) -> u16 {
         match self {
             OperatorError::NotConfigured | OperatorError::NoRollout => STATUS_NOT_FOUND,
-            OperatorError::OrderRejected(OrderRejection::NotInContract) => STATUS_NOT_FOUND,
+            OperatorError::OrderRejected(OrderRejection::RolloutsNotEnabled) => STATUS_NOT_FOUND,
             OperatorError::OrderRejected(OrderRejection::TooManyWaiting(_)) => STATUS_CONFLICT,
             OperatorError::OrderRejected(_) => STATUS_UNPROCESSABLE,
             OperatorError::Rejected(Rejection::GenerationMismatch { .. }) => STATUS_PRECONDITION_FAILED,
--- a/crates/router/control-plane/src/coordinator/publication.rs
+++ b/crates/router/control-plane/src/coordinator/publication.rs
@@ -21,13 +21,13 @@
             self.gossip.observe_core(core);
         }
         let Some(state) = publishable_state(replica) else {
-            self.quota.resign(now);
-            self.rollouts.resign();
+            self.quota.stop(now);
+            self.rollouts.stop();
             return;
         };
         let published_index = self.gossip.configuration().map_or(0, |configuration| configuration.index);
         publish_configuration(&mut self.gossip, replica, &state, context);
-        let started = self.quota.start_term(now, state.version.term, replica.leads_since());
+        let started = self.quota.start_term(now, state.version.term, replica.primary_since());
         self.rollouts.start_term(state.version.term);
         if started || published_index != state.version.index {
             if let Some(configuration) = read_configuration(&state) {
--- a/crates/router/control-plane/src/coordinator/quota_grantor.rs
+++ b/crates/router/control-plane/src/coordinator/quota_grantor.rs
@@ -35,7 +35,7 @@
 
     /// Stops granting. Keeps the final levels, unless those of a successor have come already: if this process is the next
     /// grantor too, it resumes from them.
-    pub(super) fn resign(&mut self, now: Duration) {
+    pub(super) fn stop(&mut self, now: Duration) {
         let Some(mut grantor) = self.grantor.take() else { return };
         let levels = grantor.levels(now);
         self.observe_levels(now, levels);
@@ -47,7 +47,7 @@
         if self.grantor.as_ref().is_some_and(|grantor| grantor.term() == term) {
             return false;
         }
-        self.resign(now);
+        self.stop(now);
         let started_at = primary_since.unwrap_or(now);
         self.grantor = Some(Grantor::new(started_at, term, self.bounds, self.reported_levels.as_ref()));
         true
--- a/crates/router/control-plane/src/coordinator/rollouts.rs
+++ b/crates/router/control-plane/src/coordinator/rollouts.rs
@@ -4,7 +4,7 @@
 //! that is cut off or was deposed stops, and the leases that it granted end by themselves.
 
 use super::context::Context;
-use super::version_recorder::has_only_committed;
+use super::version_recorder::is_newest_state_committed;
 use super::Coordinator;
 use crate::messages::{Action, Message};
 use crate::rollout::{Controller, ExposureBound, RolloutMessage};
@@ -29,7 +29,7 @@
     }
 
     /// This process is not the established primary.
-    pub(super) fn resign(&mut self) {
+    pub(super) fn stop(&mut self) {
         self.controller = None;
     }
 
@@ -64,7 +64,7 @@
         let Some(replica) = &mut self.replica else { return };
         let Some((_, controller)) = &mut self.rollouts.controller else { return };
         let Some(bound) = self.rollouts.exposure_bound else { return };
-        if replica.state().rollouts.is_empty() || !has_only_committed(replica) {
+        if replica.state().rollouts.is_empty() || !is_newest_state_committed(replica) {
             return;
         }
         let now = context.now();
--- a/crates/router/control-plane/src/coordinator/version_recorder.rs
+++ b/crates/router/control-plane/src/coordinator/version_recorder.rs
@@ -17,24 +17,24 @@
     enabled: bool,
     /// The services of the configuration, with the version that it sets.
     services: BTreeMap<String, Option<String>>,
-    /// Registry revision and state that were last examined: the same ones give the same result.
-    examined: Option<(u64, StateVersion)>,
+    /// Registry revision and state that were last last_examined: the same ones give the same result.
+    last_examined: Option<(u64, StateVersion)>,
 }
 
 impl VersionRecorder {
     pub(super) fn new(enabled: bool) -> Self {
-        VersionRecorder { enabled, services: BTreeMap::new(), examined: None }
+        VersionRecorder { enabled, services: BTreeMap::new(), last_examined: None }
     }
 
     /// Takes the committed configuration.
     pub(super) fn configure(&mut self, configuration: &Configuration) {
         let services = configuration.services.iter();
         self.services = services.map(|service| (service.name.clone(), service.version.clone())).collect();
-        self.examined = None;
+        self.last_examined = None;
     }
 
     /// The versions to be in service: as the configuration sets them, else as recorded, else as most endpoints have them.
-    fn versions(&self, recorded: &ServiceVersions, registry: &Registry) -> ServiceVersions {
+    fn desired_versions(&self, recorded: &ServiceVersions, registry: &Registry) -> ServiceVersions {
         let version = |(service, set): (&String, &Option<String>)| {
             let known = set.clone().or_else(|| recorded.of(service).map(str::to_owned));
             let version = known.or_else(|| most_common_version(registry, service))?;
@@ -60,17 +60,17 @@
     /// in flight.
     pub(super) fn record_versions(&mut self, context: &mut Context<'_>) {
         let Some(replica) = &mut self.replica else { return };
-        if !self.versions.enabled || !has_only_committed(replica) {
+        if !self.versions.enabled || !is_newest_state_committed(replica) {
             return;
         }
         let state = replica.state().clone();
         let registry = self.gossip.registry();
-        let examined = Some((registry.revision(), state.version));
-        if self.versions.examined == examined {
+        let last_examined = Some((registry.revision(), state.version));
+        if self.versions.last_examined == last_examined {
             return;
         }
-        self.versions.examined = examined;
-        let versions = self.versions.versions(&state.service_versions, registry);
+        self.versions.last_examined = last_examined;
+        let versions = self.versions.desired_versions(&state.service_versions, registry);
         if versions != state.service_versions {
             let now = context.now();
             context.step_replica(replica, |replica, actions| {
@@ -81,7 +81,7 @@
 }
 
 /// Whether a replica is the established primary and its newest state is committed.
-pub(super) fn has_only_committed(replica: &Replica) -> bool {
+pub(super) fn is_newest_state_committed(replica: &Replica) -> bool {
     let committed = replica.committed().filter(|_| replica.is_established());
     committed.is_some_and(|committed| committed.version == replica.state().version)
 }
--- a/crates/router/control-plane/src/lib.rs
+++ b/crates/router/control-plane/src/lib.rs
@@ -19,7 +19,7 @@
 //! How messages flow, through [`Coordinator::receive`] and its siblings:
 //!
 //! ```text
-//!  operator call ----> operator_calls --adjudicate--> configuration_change
+//!  operator call ----> operator_calls --evaluate--> configuration_change
 //!        (forwarded        |    ^                          |
 //!        to the primary)   |    | committed, confirmed     | propose
 //!                          v    |                          v
--- a/crates/router/control-plane/src/load/endpoint_outcomes.rs
+++ b/crates/router/control-plane/src/load/endpoint_outcomes.rs
@@ -41,7 +41,7 @@
     }
 
     /// Outcomes that count now: failures only with a quorum of reporters.
-    pub(super) fn counts(&mut self, now: Duration) -> RoundedOutcomes {
+    pub(super) fn rounded_outcomes(&mut self, now: Duration) -> RoundedOutcomes {
         self.failure_reporters.retain(|_, at| now.saturating_sub(*at) < FAILURE_REPORTER_TIMEOUT);
         let decayed = self.outcomes.decayed(now);
         let failed = if self.has_failure_quorum() { decayed.failed } else { 0.0 };
--- a/crates/router/control-plane/src/load/totals.rs
+++ b/crates/router/control-plane/src/load/totals.rs
@@ -35,7 +35,7 @@
 impl LoadTotals {
     /// Replaces the load of the sidecar `from` by that of a new report, adds its outcomes, and responds with the totals,
     /// which may be some milliseconds old.
-    pub fn report(
+    pub fn handle_report(
         &mut self,
         now: Duration,
         from: SocketAddrV4,
@@ -70,7 +70,7 @@
     fn add_loads(&mut self, now: Duration, totals: &mut BTreeMap<u64, EndpointLoad>) {
         self.reports.retain(|_, report| now.saturating_sub(report.received_at) < REPORT_TIMEOUT);
         for load in self.reports.values().flat_map(|report| &report.loads) {
-            let total = total_of(totals, load.endpoint);
+            let total = total_entry(totals, load.endpoint);
             total.pending_prompt_tokens =
                 total.pending_prompt_tokens.saturating_add(load.pending_prompt_tokens);
             total.in_flight = total.in_flight.saturating_add(load.in_flight);
@@ -80,18 +80,18 @@
     /// Adds the outcomes that count now, and drops endpoints without any.
     fn add_outcomes(&mut self, now: Duration, totals: &mut BTreeMap<u64, EndpointLoad>) {
         self.outcomes.retain(|endpoint, outcomes| {
-            let counts = outcomes.counts(now);
-            if !counts.is_empty() {
-                let total = total_of(totals, *endpoint);
-                total.answered = counts.answered;
-                total.failed = counts.failed;
+            let rounded = outcomes.rounded_outcomes(now);
+            if !rounded.is_empty() {
+                let total = total_entry(totals, *endpoint);
+                total.answered = rounded.answered;
+                total.failed = rounded.failed;
             }
-            !counts.is_empty() || outcomes.has_failure_reporters()
+            !rounded.is_empty() || outcomes.has_failure_reporters()
         });
     }
 }
 
 /// The total of an endpoint, zero at first.
-fn total_of(totals: &mut BTreeMap<u64, EndpointLoad>, endpoint: u64) -> &mut EndpointLoad {
+fn total_entry(totals: &mut BTreeMap<u64, EndpointLoad>, endpoint: u64) -> &mut EndpointLoad {
     totals.entry(endpoint).or_insert(EndpointLoad { endpoint, ..EndpointLoad::default() })
 }
--- a/crates/router/control-plane/src/messages.rs
+++ b/crates/router/control-plane/src/messages.rs
@@ -83,9 +83,9 @@
 
 impl Message {
     /// Whether this responds to a request, and so is valid only for the incarnation that sent the request.
-    pub fn is_answer(&self) -> bool {
+    pub fn is_response(&self) -> bool {
         match self {
-            Message::Replication(envelope) => envelope.message.is_answer(),
+            Message::Replication(envelope) => envelope.message.is_response(),
             Message::Gossip(message) => matches!(message, GossipMessage::DigestResponse { .. }),
             Message::Quota(message) => matches!(message, QuotaMessage::Grant { .. }),
             Message::Load(message) => matches!(message, LoadMessage::Totals { .. }),
@@ -112,10 +112,10 @@
 
 impl Envelope {
     /// Whether the process of this incarnation may handle the message. A response without addressee is for nobody.
-    pub fn is_for(&self, incarnation: Incarnation) -> bool {
+    pub fn is_addressed_to(&self, incarnation: Incarnation) -> bool {
         match self.addressee {
             Some(addressee) => addressee == incarnation,
-            None => !self.message.is_answer(),
+            None => !self.message.is_response(),
         }
     }
 }
--- a/crates/router/control-plane/src/replication.rs
+++ b/crates/router/control-plane/src/replication.rs
@@ -1,17 +1,17 @@
 //! Primary-backup replication of one document, with epoch records agreed on by vote.
 //!
-//! The core of the fleet has to keep the configuration that it acknowledged while machines fail, disks are lost and the
-//! network partitions. Every member is a witness (acceptor) and a backup. Witnesses store the epoch record and the
-//! highest term they have promised: a candidate becomes primary of a term with the promises of a quorum, and its record
-//! is in force once a quorum has accepted it. A state is committed once the whole in-sync set that the record names has
-//! synced it. Safety never rests on a clock; clocks only decide when to try.
+//! The core of the fleet must keep every acknowledged configuration while machines fail, disks are lost and the network
+//! partitions. Every member is a witness (a Paxos acceptor) and a backup. Witnesses store the epoch record and the
+//! highest term they have promised. A candidate becomes the primary of a term once a quorum has promised it that term,
+//! and its record is in force once a quorum has accepted it. A state is committed once every member of the in-sync set
+//! named by the record has synced it. Safety never depends on clocks; they only decide when to start an attempt.
 //!
-//! - [`Replica`] is one member: elections, acceptance of records and states, durable writes, requests for membership.
+//! - [`Replica`] is one member: elections, acceptance of records and states, durable writes, membership requests.
 //! - `leadership` is the primary's part: heartbeats, replication and commit, changes of the record.
-//! - `bootstrap_election`, `voter_discovery` and [`NonVotingSeed`] bring about the first record.
-//! - `mutation` is where the cluster simulation breaks the protocol on purpose.
+//! - `bootstrap_election`, `voter_discovery` and [`NonVotingSeed`] establish the first record.
+//! - `mutation` contains the protocol faults that the cluster simulation injects.
 //!
-//! Nothing here does I/O, reads a clock, or knows what the document says.
+//! This module does no I/O, reads no clock and treats the document as opaque.
 
 mod action;
 mod bootstrap_election;
--- a/crates/router/control-plane/src/replication/action.rs
+++ b/crates/router/control-plane/src/replication/action.rs
@@ -1,28 +1,28 @@
-//! What replication asks its driver to do.
+//! Side effects that replication requests from its driver.
 
 use super::durable::{DurableWrite, WriteId};
 use super::message::ReplicationMessage;
 use passrelay_dissemination::Incarnation;
 use std::net::SocketAddrV4;
 
-/// An action for the driver, which carries them out in order.
+/// A side effect for the driver. The driver executes the actions of a step in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReplicaAction {
     /// Send a message to a member; it may be lost.
     Send {
-        /// Destination.
+        /// Address of the receiving process.
         to: SocketAddrV4,
-        /// For a reply: the incarnation that asked.
+        /// Incarnation that sent the request, if this is a reply. `None` for messages that are no replies.
         addressee: Option<Incarnation>,
-        /// The message.
+        /// Payload; the driver adds the sender.
         message: ReplicationMessage,
     },
-    /// Write and sync, then call [`Replica::write_completed`](super::Replica::write_completed). Replies that depend on the
-    /// write are sent only then.
+    /// Write and sync, then call [`Replica::write_completed`](super::Replica::write_completed), which sends the replies
+    /// that depend on the write.
     Write {
-        /// Identifies the write.
+        /// To be passed to `write_completed`.
         write_id: WriteId,
-        /// What to write.
+        /// Records to be written atomically.
         write: DurableWrite,
     },
 }
--- a/crates/router/control-plane/src/replication/context.rs
+++ b/crates/router/control-plane/src/replication/context.rs
@@ -1,4 +1,4 @@
-//! What every step of a decider gets: the time, and where its actions go.
+//! The context of one step of a replication state machine: the current time and the list of emitted actions.
 
 use super::action::ReplicaAction;
 use super::identity::Sender;
@@ -6,11 +6,11 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// The context of one step. Deciders read no clock and do no I/O.
+/// The context of one step. The state machines read no clock and do no I/O; they use this instead.
 pub(super) struct Context<'a> {
     /// Time since the process started.
     pub(super) now: Duration,
-    /// The actions of the step, in the order in which the driver carries them out.
+    /// The actions of the step, in the order in which the driver executes them.
     pub(super) actions: &'a mut Vec<ReplicaAction>,
 }
 
@@ -24,7 +24,7 @@
         self.actions.push(ReplicaAction::Send { to, addressee: None, message });
     }
 
-    /// Replies to the process that asked.
+    /// Replies to the incarnation that sent the request.
     pub(super) fn reply(&mut self, to: Sender, message: ReplicationMessage) {
         self.actions.push(ReplicaAction::Send {
             to: to.member.address,
--- a/crates/router/control-plane/src/replication/durable.rs
+++ b/crates/router/control-plane/src/replication/durable.rs
@@ -1,4 +1,4 @@
-//! What a member stores on its disk, and the writes that change it.
+//! The records that a member stores on its disk, and the writes that update them.
 
 use super::epoch::EpochRecord;
 use super::identity::MemberId;
@@ -6,33 +6,33 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// What a member stores as a witness (acceptor) of epoch records.
+/// The state that a member stores as a witness (Paxos acceptor) of epoch records.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WitnessState {
-    /// The highest term promised. Invariant: never decreases, and nothing of a lower term is accepted.
+    /// The highest term promised. Invariant: never decreases, and no message of a lower term is accepted.
     pub promised: u64,
-    /// The candidate that it was promised to; `None` if the term is only known from a message. Invariant: the same term
-    /// is never promised to two candidates.
+    /// The candidate to which the term was promised; `None` if this member only learned the term from a message.
+    /// Invariant: the same term is never promised to two candidates.
     pub promised_to: Option<MemberId>,
     /// The highest epoch record accepted. Invariant: its position never decreases, and its term is at most `promised`.
     pub record: Option<EpochRecord>,
 }
 
-/// Everything that a member has on disk.
+/// The contents of a member's disk, as recovered at a start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DurableState {
-    /// As a witness.
+    /// Promises and accepted epoch record.
     pub witness: WitnessState,
-    /// As a backup or primary.
+    /// The newest replicated state that was synced, as a backup or as the primary.
     pub state: ReplicatedState,
 }
 
 /// One atomic write: both parts take effect or neither does.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DurableWrite {
-    /// The witness's part, if it changed.
+    /// New promises and record; `None` if they did not change.
     pub witness: Option<WitnessState>,
-    /// The replicated state, if it changed.
+    /// New replicated state; `None` if it did not change.
     pub state: Option<Arc<ReplicatedState>>,
 }
 
--- a/crates/router/control-plane/src/replication/epoch.rs
+++ b/crates/router/control-plane/src/replication/epoch.rs
@@ -1,4 +1,4 @@
-//! The epoch record: who is primary, who votes, and which replicas are complete.
+//! The epoch record, which names the primary, the voters and the in-sync replicas.
 
 use super::identity::{Member, MemberId};
 use passrelay_dissemination::CoreHint;
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(from = "(u64, u64)", into = "(u64, u64)")]
 pub struct RecordPosition {
-    /// The term.
+    /// Term of the primary that proposed the record.
     pub term: u64,
     /// Number of the record within its term, from 0.
     pub sequence: u64,
@@ -35,38 +35,39 @@
     }
 }
 
-/// The configuration of the core in one epoch. Members agree on it by vote; everything else follows from it.
+/// The configuration of the core in one epoch. Members agree on it by vote; it determines who may commit states.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EpochRecord {
-    /// The term. Invariant: a term has at most one primary, since each voter promises a term to one candidate only.
+    /// Term of its primary. Invariant: a term has at most one primary, since each voter promises a term to one candidate
+    /// only.
     pub term: u64,
     /// Number of the record within its term, from 0. Invariant: a primary proposes one record at a time, so two records
-    /// of the same position are equal. Only a bootstrap without voting seeds can't guarantee it.
+    /// of the same position are equal. Only a bootstrap without voting seeds cannot guarantee this.
     pub sequence: u64,
-    /// The primary.
+    /// The member that proposed this record and leads its term.
     pub primary: MemberId,
-    /// The voters.
+    /// The voters. Each of them is also a backup.
     pub members: Vec<Member>,
-    /// The voters of the record before. While they differ from `members`, this is a joint configuration: a quorum needs
-    /// a majority of both, so no two quorums of consecutive records are disjoint.
+    /// The voters of the preceding record. While they differ from `members`, this is a joint configuration: a quorum
+    /// needs a majority of both, so no two quorums of consecutive records are disjoint.
     pub previous_members: Vec<Member>,
-    /// Members whose replica is complete. Invariant: each of them has synced every committed state; a state is committed
+    /// Members with a complete replica. Invariant: each of them has synced every committed state; a state is committed
     /// only when all of them have synced it, and only one of them may become primary.
     pub in_sync: BTreeSet<MemberId>,
 }
 
 impl EpochRecord {
-    /// Its position in the order of records.
+    /// Returns the position of this record in the total order of records.
     pub fn position(&self) -> RecordPosition {
         RecordPosition { term: self.term, sequence: self.sequence }
     }
 
-    /// The voter with this identity.
+    /// Returns the voter with this identity, or `None` if no voter of this record has it.
     pub fn member(&self, id: MemberId) -> Option<&Member> {
         self.members.iter().find(|member| member.id == id)
     }
 
-    /// Whether these are a majority of the voters, and of the voters of the record before.
+    /// Returns whether `ids` contains a majority of the voters, and also of the voters of the preceding record.
     pub fn is_quorum(&self, ids: &BTreeSet<MemberId>) -> bool {
         is_majority(&self.members, ids) && is_majority(&self.previous_members, ids)
     }
--- a/crates/router/control-plane/src/replication/leadership.rs
+++ b/crates/router/control-plane/src/replication/leadership.rs
@@ -1,7 +1,7 @@
 //! The primary of one term: heartbeats, replication of states, and changes of the epoch record.
 //!
-//! It knows nothing of elections and of its own disk; [`super::Replica`] reports to it what is durable there, like any
-//! other member does.
+//! It handles neither elections nor its own disk; [`super::Replica`] reports what is durable locally, in the same way as
+//! other members report it.
 
 mod heartbeat;
 mod heartbeat_rounds;
@@ -29,37 +29,39 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// An unacknowledged record, or a state on top of its transfer time, is sent again after this.
+/// An unacknowledged record is resent after this time; an unacknowledged state, after this plus its transfer time.
 const RESEND_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// The state of a primary in one term.
 pub(super) struct Leadership {
     own: Member,
-    /// The in-sync set is never made smaller than this: one replica more than losses are tolerated.
+    /// Minimum size of the in-sync set: one more replica than the number of tolerated losses.
     min_in_sync: usize,
     term: u64,
     started_at: Duration,
     /// The newest record of this term that a quorum has accepted.
     in_force: Option<EpochRecord>,
-    /// Invariant: at most one record is proposed at a time, and its sequence follows that of the record in force.
+    /// The record awaiting acceptance. Invariant: at most one record is proposed at a time, and its sequence follows that
+    /// of the record in force.
     proposal: Option<Proposal>,
     rounds: HeartbeatRounds,
     next_heartbeat: Duration,
     progress: ProgressTracker,
     /// Set by the first [`Leadership::replicate`]. Invariant: its version is of this term.
     newest: Option<NewestState>,
-    /// How the newest state came about from those before it.
+    /// Deltas between the most recent states, up to the newest one.
     recent_deltas: DeltaChain<StateDelta>,
-    /// States that are not known to be committed, by index.
+    /// States of this term that are not known to be committed, by index.
     uncommitted: BTreeMap<u64, Arc<ReplicatedState>>,
-    /// Invariant: its version is of this term and never decreases, and every in-sync member has synced it.
+    /// The newest committed state. Invariant: its version is of this term and never decreases, and every in-sync member
+    /// has synced it.
     committed: Option<Arc<ReplicatedState>>,
     joiners: BTreeMap<MemberId, Joiner>,
     mutation: Mutations,
 }
 
 impl Leadership {
-    /// A primary that proposes its first record.
+    /// Creates a primary that proposes `record` as the first one of its term.
     pub(super) fn new(now: Duration, settings: &ReplicaSettings, record: EpochRecord) -> Self {
         Leadership {
             own: settings.own,
@@ -80,7 +82,7 @@
         }
     }
 
-    /// When this member became primary.
+    /// Returns when this member became primary.
     pub(super) fn started_at(&self) -> Duration {
         self.started_at
     }
@@ -101,18 +103,18 @@
         self.committed.as_ref()
     }
 
-    /// Whether its record is in force and a state is committed under its term.
+    /// Returns whether a record of this term is in force and a state is committed in it.
     pub(super) fn is_established(&self) -> bool {
         self.in_force.is_some() && self.committed.is_some()
     }
 
-    /// The last time at which a quorum had promised nothing above this term.
+    /// Returns the last time at which a quorum is known to have promised no term above this one.
     pub(super) fn confirmed_at(&self) -> Option<Duration> {
         self.rounds.confirmed_at()
     }
 
-    /// Advances timers to `now`: pings peers, resends the proposal and lagging states, proposes the next change of the
-    /// record.
+    /// Advances the timers: pings peers, resends the proposal, sends the newest state to lagging members, and proposes the
+    /// next change of the record.
     pub(super) fn tick(&mut self, context: &mut Context) {
         self.tick_heartbeat(context);
         self.send_proposal(context);
@@ -126,7 +128,7 @@
         }
     }
 
-    /// All members of the record in force and of the proposed one, and of the records before them, but for this member.
+    /// Returns all members, except this one, of the record in force and the proposed one, and of their predecessors.
     fn peers(&self) -> Vec<Member> {
         let proposed = self.proposal.as_ref().map(|proposal| &proposal.record);
         let records = self.in_force.iter().chain(proposed);
--- a/crates/router/control-plane/src/replication/leadership/heartbeat.rs
+++ b/crates/router/control-plane/src/replication/leadership/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Heartbeats: pings to all members, and what their replies report.
+//! Heartbeats: pings to all members, and the handling of their replies.
 
 use super::Leadership;
 use crate::replication::context::Context;
@@ -8,34 +8,35 @@
 use crate::replication::state::StateVersion;
 use std::time::Duration;
 
-/// Interval of heartbeats.
+/// Interval between heartbeat rounds of a primary that a quorum confirms.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
-/// A primary without a quorum for this long slows its heartbeats to this interval, so that followers start an election.
+/// A primary without a quorum for this long increases its heartbeat interval to this value, so that followers start an
+/// election.
 const QUORUM_LOSS_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// A member's reply to a ping.
 pub(in crate::replication) struct PongReport {
-    /// The member.
+    /// The member that replied.
     pub(in crate::replication) from: MemberId,
     /// Term of the ping.
     pub(in crate::replication) term: u64,
-    /// Round of the ping.
+    /// Heartbeat round of the ping.
     pub(in crate::replication) round: u64,
     /// Position of the record that is durable at the member.
     pub(in crate::replication) position: RecordPosition,
     /// Version of the state that is durable at the member.
     pub(in crate::replication) synced: StateVersion,
-    /// Whether the member understands states as differences.
+    /// Whether the member accepts states as deltas.
     pub(in crate::replication) accepts_deltas: bool,
 }
 
 impl Leadership {
-    /// Has the next tick start a heartbeat round.
+    /// Makes a heartbeat round due, so that the next tick starts one.
     pub(in crate::replication) fn request_heartbeat(&mut self) {
         self.next_heartbeat = Duration::ZERO;
     }
 
-    /// Starts a heartbeat round when it is due.
+    /// Starts a heartbeat round if one is due.
     pub(super) fn tick_heartbeat(&mut self, context: &mut Context) {
         let now = context.now;
         if now < self.next_heartbeat {
@@ -45,8 +46,8 @@
         let last_quorum = self.rounds.confirmed_at().unwrap_or(self.started_at);
         let position = self.in_force.as_ref().map(EpochRecord::position).unwrap_or_default();
         let round = self.rounds.start(now, self.own.id, self.in_force.as_ref());
-        // Without a quorum the followers have to elect another primary. The members that still answer are pinged all
-        // the same: the quorum may come back before anyone is elected.
+        // Without a quorum, the followers have to elect another primary. The members that still reply are pinged
+        // nevertheless: the quorum may return before anyone is elected.
         if now.saturating_sub(last_quorum) > QUORUM_LOSS_TIMEOUT {
             self.next_heartbeat = now + QUORUM_LOSS_TIMEOUT;
         }
@@ -56,7 +57,7 @@
         }
     }
 
-    /// A member has replied to a ping. Its progress is taken over; a member that missed the record in force gets it.
+    /// Handles a member's reply to a ping: records its progress, and sends the record in force to a member that lacks it.
     pub(in crate::replication) fn handle_pong(&mut self, context: &mut Context, pong: &PongReport) {
         if pong.term != self.term {
             return;
--- a/crates/router/control-plane/src/replication/leadership/membership.rs
+++ b/crates/router/control-plane/src/replication/leadership/membership.rs
@@ -1,7 +1,7 @@
 //! Changes of the epoch record: members that join or are replaced, and members that leave or rejoin the in-sync set.
 //!
-//! A primary proposes one change at a time. A member that is replaced stays a voter of the joint configuration until the
-//! change is in force; only then do the new members decide alone.
+//! A primary proposes one change at a time. A replaced member remains a voter of the joint configuration until the change
+//! is in force; only then do the new members decide alone.
 
 use super::proposal::Proposal;
 use super::Leadership;
@@ -9,32 +9,35 @@
 use crate::replication::identity::{Member, MemberId};
 use std::time::Duration;
 
-/// A member of the in-sync set that is silent, or owes a state, for this long is removed from the set.
+/// A member of the in-sync set that has been silent, or has not synced the newest state, for this long is removed from
+/// the set.
 const IN_SYNC_TIMEOUT: Duration = Duration::from_millis(450);
-/// The same for a member that was never in contact in this term: a failed member has been silent since before the
-/// election, so that a failover commits without waiting the whole timeout once more.
+/// Timeout for members that have not been in contact in this term, in place of [`IN_SYNC_TIMEOUT`]. A failed member has
+/// been silent since before the election, so a failover commits without waiting for the full timeout again.
 const FIRST_CONTACT_TIMEOUT: Duration = Duration::from_millis(220);
-/// A member that was in contact within this time is available.
+/// A member that has been in contact within this time counts as available.
 const ACTIVE_TIMEOUT: Duration = Duration::from_millis(400);
-/// A member that was silent for this long may be replaced.
+/// A member that has been silent for this long may be replaced.
 const REPLACE_TIMEOUT: Duration = Duration::from_millis(700);
-/// A request for membership expires after this; joiners repeat it every 300 ms.
+/// A membership request expires after this time; joiners repeat it every 300 ms.
 const JOIN_REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A voter that asks for membership.
+/// A voter that has requested membership.
 pub(super) struct Joiner {
     member: Member,
+    /// Whether it takes part in the bootstrap of the cluster; it is then added without replacing a member.
     bootstrapping: bool,
     requested_at: Duration,
 }
 
 impl Leadership {
-    /// A voter asks for membership.
+    /// Records a voter's membership request, replacing an earlier one.
     pub(in crate::replication) fn handle_join(&mut self, now: Duration, member: Member, bootstrapping: bool) {
         self.joiners.insert(member.id, Joiner { member, bootstrapping, requested_at: now });
     }
 
-    /// Proposes the next change of the record in force, if one is due.
+    /// Proposes the next change of the record in force, if one is due. Leaving a joint configuration goes first, then
+    /// removals from the in-sync set, then additions to it, then new members.
     pub(super) fn propose_next_record(&mut self, now: Duration) {
         let Some(record) = self.in_force.clone() else { return };
         let next = self
@@ -52,14 +55,15 @@
         self.proposal = Some(Proposal::new(next));
     }
 
-    /// A change of members is in force: from the next record on, the new members decide alone.
+    /// Returns the record that ends a joint configuration: from it on, the new members decide alone. Returns `None` if
+    /// the record in force is not a joint configuration.
     fn leave_joint_configuration(&self, record: &EpochRecord) -> Option<EpochRecord> {
         (record.previous_members != record.members)
             .then(|| EpochRecord { previous_members: record.members.clone(), ..record.clone() })
     }
 
-    /// The first member of the in-sync set that holds up commits is removed from it, as long as enough replicas remain
-    /// to bear the tolerated losses.
+    /// Returns the record without the first member of the in-sync set that delays commits. Returns `None` if there is
+    /// none, or if too few replicas would remain for the tolerated losses.
     fn remove_from_in_sync(&self, now: Duration, record: &EpochRecord) -> Option<EpochRecord> {
         if record.in_sync.len() <= self.mutation.min_in_sync(self.min_in_sync) {
             return None;
@@ -71,8 +75,8 @@
         Some(next)
     }
 
-    /// Whether a member is silent, or hasn't synced the newest state in time. The time counts from when the transfer
-    /// to all members could be complete.
+    /// Returns whether a member is silent or has not synced the newest state in time. The time is measured from when the
+    /// transfer to all members should have completed.
     fn is_lagging(&self, now: Duration, id: MemberId, members: usize) -> bool {
         if id == self.own.id {
             return false;
@@ -81,15 +85,16 @@
         let timeout = if had_contact { IN_SYNC_TIMEOUT } else { FIRST_CONTACT_TIMEOUT };
         let is_silent = !self.progress.is_active_within(now, id, timeout);
         let members = u32::try_from(members).unwrap_or(u32::MAX);
-        let owes_state = self.newest.as_ref().is_some_and(|newest| {
+        let is_state_overdue = self.newest.as_ref().is_some_and(|newest| {
             let transferred_at = newest.replicated_at + newest.state.transfer_time() * members;
             self.progress.synced(id) < newest.state.version
                 && now.saturating_sub(transferred_at) > IN_SYNC_TIMEOUT
         });
-        is_silent || owes_state
+        is_silent || is_state_overdue
     }
 
-    /// The first member outside the in-sync set that has caught up and is available rejoins it.
+    /// Returns the record with the first available, caught-up member outside the in-sync set added to that set. Returns
+    /// `None` if there is no such member.
     fn readmit_to_in_sync(&self, now: Duration, record: &EpochRecord) -> Option<EpochRecord> {
         let newest = self.newest.as_ref()?.state.version;
         let has_caught_up = |member: &&Member| {
@@ -103,8 +108,9 @@
         Some(next)
     }
 
-    /// The joiner with the lowest id becomes a member, in exchange for another where [`Self::placement`] says so. It
-    /// joins the in-sync set only later, when it has caught up.
+    /// Returns the record with the joiner of the lowest id as a member, in exchange for another one if [`Self::placement`]
+    /// requires it. The new member joins the in-sync set only later, when it has caught up. Returns `None` if no joiner
+    /// can be added now.
     fn add_member(&mut self, now: Duration, record: &EpochRecord) -> Option<EpochRecord> {
         self.joiners.retain(|id, joiner| {
             now.saturating_sub(joiner.requested_at) < JOIN_REQUEST_TIMEOUT && record.member(*id).is_none()
@@ -128,9 +134,10 @@
         Some(next)
     }
 
-    /// Where a joiner fits in. `None` while there is no member to replace, nor room for one more.
+    /// Returns how a joiner can be added: in place of another member or in addition. Returns `None` if there is neither a
+    /// member to replace nor room for one more.
     fn placement(&self, now: Duration, record: &EpochRecord, joiner: &Joiner) -> Option<Placement> {
-        // The member at the joiner's address has lost its disk: two processes can't listen at one address.
+        // A member at the joiner's address has lost its disk: two processes cannot listen at the same address.
         let predecessor = record.members.iter().find(|member| member.address == joiner.member.address);
         if let Some(predecessor) = predecessor {
             return Some(Placement::Replaces(*predecessor));
@@ -144,8 +151,9 @@
         self.lacks_members(now, record).then_some(Placement::Additional)
     }
 
-    /// Whether a joiner replaces nobody: there are fewer members than bear the tolerated losses, and all of them were in
-    /// contact just now. A member that may have failed is waited for, since it is the one to replace.
+    /// Returns whether a joiner can be added without replacing a member: there are fewer members than needed for the
+    /// tolerated losses, and all of them were in contact within [`ACTIVE_TIMEOUT`]. While a member may have failed, the
+    /// joiner waits, since that member is the one to replace.
     fn lacks_members(&self, now: Duration, record: &EpochRecord) -> bool {
         let is_active = |member: &Member| {
             let last_contact = self.progress.last_contact(member.id);
@@ -155,7 +163,7 @@
         too_few && record.members.iter().all(|member| member.id == self.own.id || is_active(member))
     }
 
-    /// The member that has been silent for longest, if it may be replaced.
+    /// Returns the member that has been silent for the longest time, among those silent for at least [`REPLACE_TIMEOUT`].
     fn longest_silent_member(&self, now: Duration, record: &EpochRecord) -> Option<Member> {
         let others = record.members.iter().filter(|member| member.id != self.own.id);
         others
@@ -165,8 +173,10 @@
     }
 }
 
-/// Where a joiner fits in among the members.
+/// How a joiner becomes a member.
 enum Placement {
+    /// In addition to the current members.
     Additional,
+    /// In place of this member.
     Replaces(Member),
 }
--- a/crates/router/control-plane/src/replication/leadership/proposal.rs
+++ b/crates/router/control-plane/src/replication/leadership/proposal.rs
@@ -1,4 +1,4 @@
-//! The proposed epoch record: sent until a quorum has accepted it, then in force.
+//! The proposed epoch record, which is sent to the members until a quorum has accepted it and it comes into force.
 
 use super::{Leadership, RESEND_TIMEOUT};
 use crate::replication::context::Context;
@@ -8,11 +8,12 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// A record that isn't in force yet.
+/// A record that is not in force yet.
 pub(super) struct Proposal {
     pub(super) record: EpochRecord,
-    /// Members at which it is durable, the primary among them.
+    /// Members at which the record is durable, including the primary.
     accepted: BTreeSet<MemberId>,
+    /// Time at which the record was last sent to the peers; `None` before the first time.
     sent_at: Option<Duration>,
 }
 
@@ -23,7 +24,7 @@
 }
 
 impl Leadership {
-    /// Sends the proposal to the peers that haven't accepted it, and again after the resend timeout.
+    /// Sends the proposal to the peers that have not accepted it, at most once per resend timeout.
     pub(super) fn send_proposal(&mut self, context: &mut Context) {
         let peers = self.peers();
         let Some(proposal) = &mut self.proposal else { return };
@@ -36,8 +37,8 @@
         }
     }
 
-    /// The record at this position is durable at a member, this one or another. The proposal comes into force with a
-    /// quorum.
+    /// Records that the record at `position` is durable at a member, which may be this one. The proposal comes into force
+    /// once a quorum has accepted it.
     pub(in crate::replication) fn handle_accepted(
         &mut self,
         context: &mut Context,
@@ -55,7 +56,7 @@
         self.in_force = self.proposal.take().map(|proposal| proposal.record);
         self.advance_commit();
         self.send_lagging_states(context);
-        // The next round starts without delay: it is the first that counts by the new record.
+        // The next heartbeat round starts without delay: it is the first whose quorum is that of the new record.
         self.request_heartbeat();
     }
 }
--- a/crates/router/control-plane/src/replication/leadership/state_transfer.rs
+++ b/crates/router/control-plane/src/replication/leadership/state_transfer.rs
@@ -1,4 +1,4 @@
-//! Replication of states to the backups, and their commit.
+//! Replication of states to the backups, and their commitment.
 
 use super::{Leadership, RESEND_TIMEOUT};
 use crate::replication::context::Context;
@@ -12,12 +12,13 @@
 /// The newest state of a primary, committed or not.
 pub(super) struct NewestState {
     pub(super) state: Arc<ReplicatedState>,
-    /// When the primary began to replicate it.
+    /// Time at which the primary first sent the state.
     pub(super) replicated_at: Duration,
 }
 
 impl Leadership {
-    /// Sends a new state to all peers. It replaces the newest one, which may not be committed yet.
+    /// Sends a new state to all peers without a transfer in flight. It replaces the newest state, which may not be
+    /// committed yet.
     pub(in crate::replication) fn replicate(&mut self, context: &mut Context, state: &Arc<ReplicatedState>) {
         if let Some(previous) = &self.newest {
             self.recent_deltas.push(state.delta_from(&previous.state).map(Arc::new));
@@ -33,7 +34,8 @@
         }
     }
 
-    /// A version is durable at a member, this one or another. The newest state follows where that isn't it.
+    /// Records that a version is durable at a member, which may be this one. Commits what has become committable, and
+    /// sends the newest state to members that lack it.
     pub(in crate::replication) fn handle_synced(
         &mut self,
         context: &mut Context,
@@ -68,9 +70,10 @@
         }
     }
 
-    /// Commits the newest state that every in-sync member has synced. While a record is proposed, its in-sync set has to
-    /// hold the state as well as that of the record in force: either may be the one that a later primary is elected by.
-    /// A state of an earlier term is never committed by count; the primary replicates it again under its own term.
+    /// Commits the newest state that every in-sync member has synced. While a record is proposed, both its in-sync set and
+    /// that of the record in force must have synced the state, since a later primary may be elected under either record.
+    /// A state of an earlier term is never committed by counting replicas; the primary replicates it again under its own
+    /// term.
     pub(super) fn advance_commit(&mut self) {
         let Some(record) = &self.in_force else { return };
         let proposed = self.proposal.iter().flat_map(|proposal| &proposal.record.in_sync);
@@ -84,15 +87,16 @@
         }
     }
 
-    /// Whether a majority of the members of the record in force has synced the state of this index or a later one of this term.
-    pub(in crate::replication) fn is_on_majority(&self, index: u64) -> bool {
+    /// Returns whether a majority of the members of the record in force has synced the state at `index`, or a later one,
+    /// of this term.
+    pub(in crate::replication) fn is_durable_on_majority(&self, index: u64) -> bool {
         let Some(record) = &self.in_force else { return false };
-        let wanted = StateVersion { term: self.term, index };
-        let holders = record.members.iter().filter(|member| self.progress.synced(member.id) >= wanted);
+        let required = StateVersion { term: self.term, index };
+        let holders = record.members.iter().filter(|member| self.progress.synced(member.id) >= required);
         2 * holders.count() > record.members.len()
     }
 
-    /// A member could not apply differences: it gets the whole state.
+    /// Sends the complete state to a member that could not apply deltas.
     pub(in crate::replication) fn handle_rejected_deltas(
         &mut self,
         context: &mut Context,
@@ -105,7 +109,7 @@
         }
     }
 
-    /// Sends the newest state: as differences where the member holds a recent one, as a whole otherwise.
+    /// Sends the newest state to a member: as deltas if the member holds a recent state, otherwise as a whole.
     fn send_state(&mut self, context: &mut Context, member: Member, state: &Arc<ReplicatedState>) {
         self.progress.record_sent(context.now, member.id, state.version);
         let base = self.progress.delta_base(member.id);
@@ -119,7 +123,8 @@
     }
 }
 
-/// How long a state may be in flight before it is sent again, when it is sent to so many peers over one slow link.
+/// Returns how long a state may be in flight before it is resent, given that it is sent to `peers` members over the same
+/// slow link.
 fn transfer_timeout(state: &ReplicatedState, peers: usize) -> Duration {
     RESEND_TIMEOUT + state.transfer_time() * u32::try_from(peers).unwrap_or(u32::MAX)
 }
--- a/crates/router/control-plane/src/replication/message.rs
+++ b/crates/router/control-plane/src/replication/message.rs
@@ -1,4 +1,4 @@
-//! Messages of replication. They are CBOR on the wire; a renamed variant or field keeps its written name.
+//! Replication messages. They are encoded as CBOR; a variant or field that is renamed here keeps its name on the wire.
 
 use super::epoch::{EpochRecord, RecordPosition};
 use super::identity::{Member, MemberId};
@@ -8,133 +8,133 @@
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
-/// A message and its sender. The sender's identity counts, not its address: see [`MemberId`].
+/// A message and its sender.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicationEnvelope {
-    /// The sender.
+    /// The member that the message is attributed to. Its identity counts, not its address: see [`MemberId`].
     pub sender: Member,
-    /// The message.
+    /// Payload.
     pub message: ReplicationMessage,
 }
 
-/// Messages between members, voters that ask for membership, and seeds.
+/// Messages between members, voters that request membership, and seeds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReplicationMessage {
     /// Bootstrap: a voter announces itself to the seeds.
     Present {
-        /// The voter.
+        /// Identity and address of the voter.
         member: Member,
     },
-    /// Bootstrap: a seed announces that it is no voter.
+    /// Bootstrap: a seed announces that it is not a voter.
     #[serde(rename = "SeedWithoutDisk")]
     NonVotingSeed {
-        /// Its address.
+        /// Address of the seed.
         address: SocketAddrV4,
     },
-    /// A voter that is no member asks the primary for membership.
+    /// A voter that is not a member requests membership from the primary.
     Join {
-        /// The voter.
+        /// Identity and address of the voter.
         member: Member,
-        /// Whether it takes part in the bootstrap of the cluster.
+        /// Whether the voter takes part in the bootstrap of the cluster.
         #[serde(rename = "founding")]
         bootstrapping: bool,
     },
-    /// Asks whether a vote would be granted. Changes nothing at the receiver.
+    /// Asks whether the receiver would vote for the sender. Does not change the receiver's state.
     PreVote {
-        /// The term that the sender would stand for.
+        /// The term that the sender would campaign for.
         term: u64,
     },
-    /// The vote would be granted.
+    /// Reply to [`ReplicationMessage::PreVote`]: the vote would be granted.
     PreVoteGranted {
-        /// The term of the pre-vote.
+        /// Term of the pre-vote.
         term: u64,
     },
-    /// A candidate asks for a promise (phase 1 of Paxos).
+    /// A candidate requests a promise (phase 1 of Paxos).
     Prepare {
-        /// Its term.
+        /// The term that the candidate campaigns for.
         term: u64,
-        /// The candidate.
+        /// Identity of the candidate.
         candidate: MemberId,
     },
-    /// The promise: nothing of a lower term will be accepted.
+    /// Reply to [`ReplicationMessage::Prepare`]: no message of a lower term will be accepted.
     Promise {
         /// The term promised.
         term: u64,
-        /// The highest record accepted so far.
+        /// The highest record accepted so far; `None` if there is none.
         record: Option<EpochRecord>,
     },
-    /// A primary asks to accept a record (phase 2 of Paxos).
+    /// A primary requests acceptance of a record (phase 2 of Paxos).
     Accept {
-        /// The record.
+        /// The proposed record, or the one in force for a member that missed it.
         record: EpochRecord,
     },
-    /// The record is durable.
+    /// Reply to [`ReplicationMessage::Accept`]: the record is durable.
     Accepted {
-        /// Its position.
+        /// Position of the accepted record.
         position: RecordPosition,
     },
-    /// A message of a lower term than promised was rejected.
+    /// Reply to a message whose term is lower than the promised one.
     #[serde(rename = "Refused")]
     Rejected {
-        /// The term promised.
+        /// The highest term promised by the sender of this reply.
         promised: u64,
     },
     /// Heartbeat of a primary.
     Ping {
-        /// Its term.
+        /// Term of the primary.
         term: u64,
-        /// Number of the heartbeat round.
+        /// Number of the heartbeat round within the term.
         round: u64,
         /// Position of the record in force.
         position: RecordPosition,
     },
-    /// Reply to a ping: nothing higher than its term had been promised when it arrived.
+    /// Reply to [`ReplicationMessage::Ping`]: no higher term had been promised when the ping arrived.
     Pong {
-        /// The term of the ping.
+        /// Term of the ping.
         term: u64,
-        /// The round of the ping.
+        /// Round of the ping.
         round: u64,
-        /// Position of the durable record.
+        /// Position of the record that is durable at the member.
         position: RecordPosition,
-        /// Version of the durable state.
+        /// Version of the state that is durable at the member.
         synced: StateVersion,
-        /// Whether the member understands [`ReplicationMessage::ReplicateDeltas`]. Absent in messages of earlier builds,
-        /// and then not written either.
+        /// Whether the member supports [`ReplicationMessage::ReplicateDeltas`]. Messages of earlier builds lack this
+        /// field; it is not written if false.
         #[serde(default, rename = "deltas", skip_serializing_if = "std::ops::Not::not")]
         accepts_deltas: bool,
     },
-    /// A state for a backup to sync.
+    /// A complete state for a backup to sync.
     Replicate {
         /// Term of the primary.
         term: u64,
-        /// The state.
+        /// The newest state of the primary.
         state: Arc<ReplicatedState>,
     },
-    /// A state for a backup to sync, as the differences from the one that it holds. Sent only to members that have said
-    /// that they understand it.
+    /// A state for a backup to sync, as deltas from the state that the backup holds. Sent only to members that have
+    /// reported support for it.
     ReplicateDeltas {
         /// Term of the primary.
         term: u64,
-        /// The differences, each from the state that the one before it results in.
+        /// Consecutive deltas: the base of each is the result of the preceding one.
         deltas: Vec<Arc<StateDelta>>,
     },
-    /// Differences can't be applied here; the whole state is needed.
+    /// Reply to [`ReplicationMessage::ReplicateDeltas`]: the deltas cannot be applied, and the complete state is needed.
     DeltasRejected {
-        /// Term of the primary that sent them.
+        /// Term of the primary that sent the deltas.
         term: u64,
     },
-    /// The state is durable.
+    /// Reply to a replicated state: it is durable.
     Synced {
-        /// Term of the primary that sent it.
+        /// Term of the primary that sent the state.
         term: u64,
-        /// Its version.
+        /// Version of the durable state.
         version: StateVersion,
     },
 }
 
 impl ReplicationMessage {
-    /// Whether this is a reply to a message of the process that it is sent to.
-    pub fn is_answer(&self) -> bool {
+    /// Returns whether this is a reply to a message from the process that it is sent to.
+    pub fn is_response(&self) -> bool {
         match self {
             ReplicationMessage::PreVoteGranted { .. }
             | ReplicationMessage::Promise { .. }
--- a/crates/router/control-plane/src/replication/mutation.rs
+++ b/crates/router/control-plane/src/replication/mutation.rs
@@ -1,9 +1,10 @@
-//! Mutations of the protocol: one place for every decision that the cluster simulation can break on purpose.
+//! Protocol mutations: every decision of the protocol that the cluster simulation can break on purpose.
 //!
-//! The simulation checks histories against the promises of the control plane. To check the checkers, it runs clusters
-//! whose members break one rule and expects a violation to be found. The deciders ask [`Mutations`] at each decision
-//! that some [`ProtocolMutation`] alters. Only the feature `mutations`, which only the cluster simulation turns on, can
-//! make an answer differ from the correct protocol's; without it the type has no size and every answer is constant.
+//! The simulation checks histories against the guarantees of the control plane. To test its checkers, it runs clusters
+//! whose members break one rule, and expects a violation to be found (mutation testing). The state machines consult
+//! [`Mutations`] at each decision that a [`ProtocolMutation`] alters. A decision can differ from the correct protocol only
+//! with the feature `mutations`, which only the cluster simulation enables; without it, the type is zero-sized and every
+//! method returns the result of the correct protocol.
 
 use super::durable::WitnessState;
 use super::epoch::EpochRecord;
@@ -29,7 +30,7 @@
     OmitsAppliedChanges,
     /// A read is answered without a quorum confirmation since the request.
     ReadsUnconfirmed,
-    /// A configuration change is rejected without a quorum confirmation since it was judged.
+    /// A configuration change is rejected without a quorum confirmation since its evaluation.
     RejectsUnconfirmed,
     /// A state is published before it is committed.
     PublishesUncommitted,
@@ -39,11 +40,11 @@
     BootstrapsAgain,
     /// The discovered voters bootstrap the cluster without a majority of the seeds.
     BootstrapsWithoutSeeds,
-    /// Request ids and the incarnation repeat after a restart. Carried out by the simulation, which draws both.
+    /// Request ids and the incarnation repeat after a restart. Implemented by the simulation, which draws both.
     ReusesRequestIds,
-    /// A quorum confirms the primary as of the arrival of its answers, not as of the start of the round.
+    /// A quorum confirms the primary as of the arrival of its replies, not as of the start of the round.
     ConfirmsAtArrival,
-    /// A configuration change counts as applied if the last applied one has the same generation.
+    /// A configuration change is treated as applied if the last applied one has the same generation.
     AcknowledgesByGeneration,
     /// A new member joins the in-sync set before it has synced the state.
     AdmitsUnsyncedMember,
@@ -55,18 +56,19 @@
     DropsAppliedChangesAtFailover,
     /// Replies are sent although the write that they depend on failed.
     RepliesAfterFailedWrite,
-    /// A backup takes a delta for applied, whatever state it holds, and keeps its old document under the new version.
+    /// A backup reports a delta as applied regardless of the state that it holds, and keeps its old document under the
+    /// new version.
     SkipsDeltas,
 }
 
-/// The mutation of one member, if any.
+/// The active mutation of one member, if any.
 #[cfg(feature = "mutations")]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Mutations {
     active: Option<ProtocolMutation>,
 }
 
-/// The mutation of one member: none in this build.
+/// The active mutation of one member: always none in this build.
 #[cfg(not(feature = "mutations"))]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Mutations {
@@ -75,7 +77,7 @@
 
 #[cfg(feature = "mutations")]
 impl Mutations {
-    /// The correct protocol.
+    /// The unmodified protocol.
     pub const NONE: Mutations = Mutations { active: None };
 
     const fn has(self, mutation: ProtocolMutation) -> bool {
@@ -92,7 +94,7 @@
 
 #[cfg(not(feature = "mutations"))]
 impl Mutations {
-    /// The correct protocol.
+    /// The unmodified protocol.
     pub const NONE: Mutations = Mutations { _private: () };
 
     const fn has(self, _: ProtocolMutation) -> bool {
@@ -101,23 +103,26 @@
 }
 
 #[cfg(not(feature = "mutations"))]
-const _: () = assert!(std::mem::size_of::<Mutations>() == 0, "the program's build carries no mutation");
+const _: () = assert!(
+    std::mem::size_of::<Mutations>() == 0,
+    "builds without the feature `mutations` contain no mutation"
+);
 
-/// Decisions of a witness and backup. Each method names the decision; the correct protocol's answer comes first in its
-/// description.
+/// Decisions of a witness and backup. Each method stands for one decision; its description gives the behaviour of the
+/// correct protocol.
 impl Mutations {
-    /// Never: whether a record that replaces an older one is acknowledged before it is durable. Even then the first
-    /// record of a witness waits for its write.
+    /// Returns whether a record that replaces an older one is acknowledged before it is durable; never in the correct
+    /// protocol. Under the mutation, the first record of a witness still waits for its write.
     pub(super) fn accepts_before_sync(self, durable: &WitnessState) -> bool {
         self.has(ProtocolMutation::AcceptsBeforeSync) && durable.record.is_some()
     }
 
-    /// Never: whether replies are sent whose write failed.
+    /// Returns whether replies are sent although their write failed; never in the correct protocol.
     pub(super) fn replies_after_failed_write(self) -> bool {
         self.has(ProtocolMutation::RepliesAfterFailedWrite)
     }
 
-    /// The state as it was received: what a backup stores of it.
+    /// Returns the state that a backup stores; in the correct protocol, the received one unchanged.
     pub(super) fn state_to_store(self, received: Arc<ReplicatedState>) -> Arc<ReplicatedState> {
         if self.has(ProtocolMutation::OmitsAppliedChanges) {
             return without_applied_changes(&received);
@@ -125,7 +130,7 @@
         received
     }
 
-    /// The delta applied to the state that it is made from: what a backup stores of it.
+    /// Returns the state that a backup stores for a delta; in the correct protocol, the delta applied to its base state.
     pub(super) fn state_after_delta(
         self,
         state: &ReplicatedState,
@@ -140,7 +145,7 @@
 
 /// Decisions of a candidate.
 impl Mutations {
-    /// The newest promised record: what a candidate continues from.
+    /// Returns the record that a candidate continues from; in the correct protocol, the newest one among the promises.
     pub(super) fn record_to_campaign_with(
         self,
         newest: Option<EpochRecord>,
@@ -152,7 +157,7 @@
         newest
     }
 
-    /// The whole state: what a new primary continues from.
+    /// Returns the state that a new primary continues from; in the correct protocol, its newest state unchanged.
     pub(super) fn state_at_failover(self, state: ReplicatedState) -> ReplicatedState {
         if self.has(ProtocolMutation::DropsAppliedChangesAtFailover) {
             return ReplicatedState { applied_changes: Default::default(), ..state };
@@ -163,17 +168,18 @@
 
 /// Decisions of the bootstrap.
 impl Mutations {
-    /// Only a member that was started with the whole cluster: whether this one takes part in the bootstrap.
+    /// Returns whether this member takes part in the bootstrap; in the correct protocol, only if it was started for the
+    /// first start of the cluster.
     pub(super) fn may_bootstrap(self, bootstrapping: bool) -> bool {
         bootstrapping || self.has(ProtocolMutation::BootstrapsAgain)
     }
 
-    /// As observed: whether a running cluster is known, which rules out a bootstrap.
+    /// Returns whether a running cluster is known, which rules out a bootstrap; in the correct protocol, as observed.
     pub(super) fn knows_cluster(self, knows_cluster: bool) -> bool {
         knows_cluster && !self.has(ProtocolMutation::BootstrapsAgain)
     }
 
-    /// `None`, the voting seeds: the voters on the first record.
+    /// Returns the voters on the first record; in the correct protocol `None`, which stands for the voting seeds.
     pub(super) fn bootstrap_electorate(
         self,
         own: Member,
@@ -185,12 +191,12 @@
         self.bootstrap_members(own)
     }
 
-    /// `None`, the discovered voters: the members of the first record.
+    /// Returns the members of the first record; in the correct protocol `None`, which stands for the discovered voters.
     pub(super) fn bootstrap_members(self, own: Member) -> Option<Vec<Member>> {
         self.bootstraps_alone().then(|| vec![own])
     }
 
-    /// Never: whether a member bootstraps without waiting for others.
+    /// Returns whether a member bootstraps without waiting for others; never in the correct protocol.
     pub(super) fn bootstraps_alone(self) -> bool {
         self.has(ProtocolMutation::BootstrapsAgain)
     }
@@ -198,21 +204,22 @@
 
 /// Decisions of a primary about its record.
 impl Mutations {
-    /// The start of the round: the time as of which a quorum's answers confirm the primary.
-    pub(super) fn quorum_confirmation_time(self, began: Duration, now: Duration) -> Duration {
+    /// Returns the time as of which the replies of a quorum confirm the primary; in the correct protocol, the start of
+    /// the heartbeat round.
+    pub(super) fn quorum_confirmation_time(self, round_started_at: Duration, now: Duration) -> Duration {
         if self.has(ProtocolMutation::ConfirmsAtArrival) {
             return now;
         }
-        began
+        round_started_at
     }
 
-    /// Never: whether the next record takes effect without a quorum.
+    /// Returns whether the next record takes effect without a quorum; never in the correct protocol.
     pub(super) fn shrinks_without_quorum(self, current: &EpochRecord, next: &EpochRecord) -> bool {
         self.has(ProtocolMutation::ShrinksInSyncSetWithoutQuorum)
             && next.in_sync.len() < current.in_sync.len()
     }
 
-    /// As configured: the size below which removals never bring the in-sync set.
+    /// Returns the minimum size of the in-sync set after removals; in the correct protocol, the configured one.
     pub(super) fn min_in_sync(self, configured: usize) -> usize {
         if self.has(ProtocolMutation::RemovesLastReplicas) {
             return 0;
@@ -220,12 +227,12 @@
         configured
     }
 
-    /// The replaced member: the one that leaves the members in exchange for a new one.
+    /// Returns the member to remove in exchange for a new one; in the correct protocol, the replaced one.
     pub(super) fn member_to_remove(self, replaced: Option<Member>) -> Option<Member> {
         replaced.filter(|_| !self.has(ProtocolMutation::CountsReplacedMember))
     }
 
-    /// None: a new member that is put into the in-sync set at once.
+    /// Returns a new member to put into the in-sync set at once; in the correct protocol, none.
     pub(super) fn unsynced_member_to_admit(self, new_member: MemberId) -> Option<MemberId> {
         self.has(ProtocolMutation::AdmitsUnsyncedMember).then_some(new_member)
     }
@@ -233,7 +240,7 @@
 
 /// Decisions of the coordinator on top of replication.
 impl Mutations {
-    /// As confirmed: the time of the quorum confirmation that a quota grant relies on.
+    /// Returns the time of the quorum confirmation that a quota grant relies on; in the correct protocol, as confirmed.
     pub(crate) fn grant_confirmation_time(
         self,
         now: Duration,
@@ -245,7 +252,7 @@
         confirmed_at
     }
 
-    /// The committed state: what is published to the fleet.
+    /// Returns the state to publish to the fleet; in the correct protocol, the committed one.
     pub(crate) fn state_to_publish(
         self,
         committed: Arc<ReplicatedState>,
@@ -257,7 +264,8 @@
         committed
     }
 
-    /// Never: whether a change counts as applied by its generation alone, whatever its digest.
+    /// Returns whether a change is treated as applied because of its generation alone, regardless of its digest; never in
+    /// the correct protocol.
     pub(crate) fn is_applied_by_generation(
         self,
         change: &ConfigurationChange,
@@ -266,12 +274,12 @@
         self.has(ProtocolMutation::AcknowledgesByGeneration) && change.generation() == Some(state.generation)
     }
 
-    /// Never: whether a change is rejected without a quorum confirmation.
+    /// Returns whether a change is rejected without a quorum confirmation; never in the correct protocol.
     pub(crate) fn rejects_unconfirmed(self) -> bool {
         self.has(ProtocolMutation::RejectsUnconfirmed)
     }
 
-    /// Never: whether a read is answered without a quorum confirmation.
+    /// Returns whether a read is answered without a quorum confirmation; never in the correct protocol.
     pub(crate) fn reads_unconfirmed(self) -> bool {
         self.has(ProtocolMutation::ReadsUnconfirmed)
     }
--- a/crates/router/control-plane/src/replication/non_voting_seed.rs
+++ b/crates/router/control-plane/src/replication/non_voting_seed.rs
@@ -1,9 +1,9 @@
-//! A seed that is no voter: during the bootstrap it announces that to the others, and where no seed is a voter, the
-//! first of them proposes the first record.
+//! A seed that is not a voter. During the bootstrap it announces this to the others; if no seed is a voter, the first
+//! seed in the list proposes the first record.
 //!
-//! Where some seed is a voter, the bootstrap is left to the voting seeds. Where none is, nothing on a disk can keep two
-//! sides of a partition from bootstrapping a cluster each; the backoff by seed rank and the discovery of voters make it
-//! unlikely. `docs/design/consistency.md` says so.
+//! If any seed is a voter, the bootstrap is left to the voting seeds. If none is, no durable state can keep two sides of
+//! a partition from bootstrapping a cluster each; the backoff by seed rank and the discovery of voters only make this
+//! unlikely. `docs/design/consistency.md` describes this limitation.
 
 use super::action::ReplicaAction;
 use super::context::Context;
@@ -18,22 +18,22 @@
 /// Interval of announcements to the other seeds, and of the proposal to its members.
 const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The decider of a non-voting seed.
+/// State machine of a non-voting seed during the bootstrap.
 #[derive(Debug)]
 pub struct NonVotingSeed {
     own: SocketAddrV4,
     seeds: Vec<SocketAddrV4>,
     tolerated_losses: usize,
-    /// Seeds that have announced that they are no voters, this one among them.
+    /// Addresses of the seeds known not to be voters, including this one.
     non_voting_seeds: BTreeSet<SocketAddrV4>,
     voter_discovery: VoterDiscovery,
-    /// The first record, once proposed. Invariant: never replaced, so that this seed doesn't propose two.
+    /// The first record, once proposed. Invariant: never replaced, so that this seed does not propose two.
     proposed: Option<EpochRecord>,
     next_announcement: Duration,
 }
 
 impl NonVotingSeed {
-    /// The decider, if the process at `own` is one of the seeds.
+    /// Creates the state machine for the process at `own`. Returns `None` if that is not one of the seeds.
     pub fn new(own: SocketAddrV4, seeds: &[SocketAddrV4], tolerated_losses: usize) -> Option<Self> {
         seeds.contains(&own).then(|| NonVotingSeed {
             own,
@@ -46,19 +46,19 @@
         })
     }
 
-    /// A voter announces itself; the reply is that this seed is none.
+    /// Records the announcement of a voter, and informs it that this seed is not a voter.
     pub fn handle_present(&mut self, now: Duration, member: Member, actions: &mut Vec<ReplicaAction>) {
         self.voter_discovery.handle_present(now, member);
         self.announce(&mut Context::new(now, actions), member.address);
     }
 
-    /// Another seed announces that it is no voter.
+    /// Records the announcement of another seed that it is not a voter.
     pub fn handle_non_voting_seed(&mut self, address: SocketAddrV4) {
         self.non_voting_seeds.insert(address);
     }
 
-    /// Advances timers to `now`: announces this seed to the others, and proposes the first record when that falls to
-    /// it. To be called until a record in force is known.
+    /// Advances the timers: announces this seed to the others, and proposes the first record once this seed may do so. To
+    /// be called until a record in force is known.
     pub fn tick(&mut self, now: Duration, actions: &mut Vec<ReplicaAction>) {
         if now < self.next_announcement {
             return;
@@ -81,7 +81,7 @@
         context.send(to, ReplicationMessage::NonVotingSeed { address: self.own });
     }
 
-    /// Whether no seed is a voter, and this one is the first in turn.
+    /// Returns whether no seed is a voter and the discovery of voters is complete for this seed's rank.
     fn may_propose(&self, now: Duration) -> bool {
         if !self.seeds.iter().all(|seed| self.non_voting_seeds.contains(seed)) {
             return false;
@@ -90,13 +90,13 @@
         rank.is_some_and(|rank| self.voter_discovery.is_complete(now, rank, self.tolerated_losses))
     }
 
-    /// Position in the list of seeds, from 0.
+    /// Returns the position of this seed in the list of seeds, from 0.
     fn seed_rank(&self) -> Option<usize> {
         self.seeds.iter().position(|seed| *seed == self.own)
     }
 
-    /// The first record: the discovered voters are members, and the one with the lowest address is primary. The term
-    /// differs between seeds.
+    /// Returns the first record: the discovered voters are its members, and the one with the lowest address is primary.
+    /// Its term differs between seeds. Returns `None` if no voter was discovered.
     fn first_record(&self, now: Duration) -> Option<EpochRecord> {
         let members = self.voter_discovery.members(now);
         Some(EpochRecord {
--- a/crates/router/control-plane/src/replication/replica.rs
+++ b/crates/router/control-plane/src/replication/replica.rs
@@ -1,6 +1,6 @@
 //! One member of the core: witness, backup and, when elected, primary.
 //!
-//! It decides and does no I/O: messages and writes come back as actions, and a reply that depends on a write is sent
+//! A state machine without I/O: it returns messages and writes as actions, and a reply that depends on a write is sent
 //! once the driver reports that write as durable.
 
 mod bootstrap;
@@ -32,38 +32,42 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Interval of ticks.
+/// Interval between ticks. Calls in between have no effect, unless a confirmation was requested.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// One member of the core.
 pub struct Replica {
     settings: ReplicaSettings,
     rng: ChaCha8Rng,
-    /// Promises and record in memory. They may be ahead of the disk: a reply that reveals them waits for their write.
+    /// Promises and record in memory. They may be ahead of the disk; a reply that reveals them waits for their write.
     witness: WitnessState,
-    /// The newest state in memory; may be ahead of the disk.
+    /// The newest state in memory. It may be ahead of the disk.
     state: Arc<ReplicatedState>,
-    /// What the disk holds as far as writes have been reported. Invariant: nothing else is acknowledged to others.
+    /// Promises and record on the disk, according to completed writes. Invariant: nothing else is acknowledged to other
+    /// members.
     durable_witness: WitnessState,
+    /// The state on the disk, according to completed writes. The same invariant holds.
     durable_state: Arc<ReplicatedState>,
     pending_writes: BTreeMap<WriteId, PendingWrite>,
-    /// Whether a write has failed since memory was last known to agree with the disk.
+    /// Whether a write has failed since memory was last known to match the disk.
     has_failed_write: bool,
     last_write_id: u64,
     role: Role,
-    /// Time of the last message of a primary of the promised term or a later one, if there was one since the start.
+    /// Time of the last message from a primary of the promised term or a later one; `None` if there was none since the
+    /// start.
     last_primary_contact: Option<Duration>,
+    /// Time at which the election timer expires.
     campaign_at: Duration,
-    /// The newest record in force, as far as gossip has spread it.
+    /// The newest record in force, as known through gossip.
     core_hint: Option<CoreHint>,
     next_tick: Duration,
     next_join_request: Duration,
-    /// On a member that takes part in the bootstrap of the cluster.
+    /// Present on a member that takes part in the bootstrap of the cluster.
     bootstrap_election: Option<BootstrapElection>,
 }
 
 impl Replica {
-    /// A member that starts with what its disk holds.
+    /// Creates a member that starts from the recovered contents of its disk.
     pub fn new(now: Duration, settings: ReplicaSettings, durable: DurableState) -> Self {
         let state = Arc::new(durable.state);
         let may_bootstrap =
@@ -90,12 +94,12 @@
         replica
     }
 
-    /// This member's identity and address.
+    /// Returns this member's identity and address.
     pub fn own(&self) -> Member {
         self.settings.own
     }
 
-    /// A one-line summary of this member, for logs and simulated histories.
+    /// Returns a one-line summary of this member, for logs and simulated histories.
     pub fn describe(&self) -> String {
         format!(
             "{} id={:016x} promised={} version={:?} record={:?} founding={}",
@@ -108,43 +112,44 @@
         )
     }
 
-    /// The rule that this member breaks on purpose, in the cluster simulation.
+    /// Returns the protocol mutation of this member; none outside the cluster simulation.
     pub(crate) fn mutation(&self) -> Mutations {
         self.settings.mutation
     }
 
-    /// Whether it is primary, its record is in force and its state is committed under its own term.
+    /// Returns whether this member is primary, its record is in force and a state is committed under its own term.
     pub fn is_established(&self) -> bool {
         self.leadership().is_some_and(Leadership::is_established)
     }
 
-    /// Whether it is primary, established or not yet.
+    /// Returns whether this member is primary, established or not.
     pub fn is_primary(&self) -> bool {
         self.leadership().is_some()
     }
 
-    /// The newest state, committed or not. Only on a primary is it the base of the next change.
+    /// Returns the newest state, committed or not. Only on a primary is it the base of the next change.
     pub fn state(&self) -> &Arc<ReplicatedState> {
         &self.state
     }
 
-    /// The newest committed state, on a primary.
+    /// Returns the newest committed state. Returns `None` unless this member is primary and has committed one.
     pub fn committed(&self) -> Option<&Arc<ReplicatedState>> {
         self.leadership().and_then(Leadership::committed)
     }
 
-    /// The last time at which a quorum had promised nothing above this primary's term. Everything acknowledged before
-    /// that, by any primary, is in [`Replica::committed`]. `None` unless established.
+    /// Returns the last time at which a quorum is known to have promised no term above this primary's. All changes
+    /// acknowledged before that time, by any primary, are in [`Replica::committed`]. Returns `None` unless established.
     pub fn confirmed_at(&self) -> Option<Duration> {
         self.leadership().filter(|leadership| leadership.is_established()).and_then(Leadership::confirmed_at)
     }
 
-    /// When this member became primary, if it is. From then on no earlier primary is confirmed.
-    pub fn leads_since(&self) -> Option<Duration> {
+    /// Returns when this member became primary, or `None` if it is not primary. No earlier primary is confirmed after
+    /// that time.
+    pub fn primary_since(&self) -> Option<Duration> {
         self.leadership().map(Leadership::started_at)
     }
 
-    /// The record in force, for gossip. `None` unless this is the primary that it names.
+    /// Returns the record in force, for gossip. Returns `None` unless this member is the primary that it names.
     pub fn core_hint(&self) -> Option<CoreHint> {
         let record = self.leadership()?.record_in_force()?;
         let primary = record.member(record.primary)?.address;
@@ -152,7 +157,7 @@
         Some(CoreHint { term: record.term, sequence: record.sequence, primary, members })
     }
 
-    /// Merges the record in force as gossip has spread it.
+    /// Takes over the record in force learned through gossip, if it is newer than the known one.
     pub fn observe_core(&mut self, hint: Option<&CoreHint>) {
         let Some(hint) = hint else { return };
         let is_newer = |known: &CoreHint| RecordPosition::from(hint) > RecordPosition::from(known);
@@ -161,7 +166,7 @@
         }
     }
 
-    /// Has the next tick start a heartbeat round, so that a quorum confirms this primary soon.
+    /// Makes the next tick start a heartbeat round, so that a quorum confirms this primary soon.
     pub fn request_confirmation(&mut self) {
         if let Role::Primary(leadership) = &mut self.role {
             leadership.request_heartbeat();
@@ -169,8 +174,8 @@
         }
     }
 
-    /// Replicates the document that a change produced. Returns the index at which it will be committed; `None` unless
-    /// this is an established primary.
+    /// Replicates the document produced by a change. Returns the index at which it will be committed, or `None` unless
+    /// this member is an established primary.
     pub fn propose(
         &mut self,
         now: Duration,
@@ -180,12 +185,12 @@
         actions: &mut Vec<ReplicaAction>,
     ) -> Option<u64> {
         let term = self.established_term()?;
-        let state = self.state.after(term, generation, document, change);
+        let state = self.state.with_change(term, generation, document, change);
         Some(self.replicate_next(now, state, actions))
     }
 
-    /// Replicates other versions in service. Returns the index at which they will be committed; `None` unless this is an
-    /// established primary.
+    /// Replicates other versions in service. Returns the index at which they will be committed, or `None` unless this
+    /// member is an established primary.
     pub fn propose_service_versions(
         &mut self,
         now: Duration,
@@ -197,8 +202,8 @@
         Some(self.replicate_next(now, state, actions))
     }
 
-    /// Replicates other roll-outs and the versions in service that they lead to. Returns the index at which they will be committed;
-    /// `None` unless this is an established primary.
+    /// Replicates other rollouts and the versions in service that result from them. Returns the index at which they will
+    /// be committed, or `None` unless this member is an established primary.
     pub fn propose_rollouts(
         &mut self,
         now: Duration,
@@ -211,17 +216,17 @@
         Some(self.replicate_next(now, state, actions))
     }
 
-    /// Whether the state of this index of the primary's own term, or a later one, is on the disks of a majority of the members.
-    /// Commitment asks for all of the in-sync set, which may be smaller.
-    pub fn is_on_majority(&self, index: u64) -> bool {
-        self.leadership().is_some_and(|leadership| leadership.is_on_majority(index))
+    /// Returns whether the state at `index` in the primary's own term, or a later one, is on the disks of a majority of
+    /// the members. Commitment requires the whole in-sync set instead, which may be smaller than a majority.
+    pub fn is_durable_on_majority(&self, index: u64) -> bool {
+        self.leadership().is_some_and(|leadership| leadership.is_durable_on_majority(index))
     }
 
     fn established_term(&self) -> Option<u64> {
         Some(self.leadership().filter(|leadership| leadership.is_established())?.term())
     }
 
-    /// Replicates the state that follows the newest one; returns its index.
+    /// Replicates the successor of the newest state, and returns its index.
     fn replicate_next(
         &mut self,
         now: Duration,
@@ -233,9 +238,9 @@
         index
     }
 
-    /// Advances timers to `now`, and returns when to call again. A primary sends heartbeats, resends what is
-    /// unacknowledged and proposes the next record; a candidate's election times out; a follower requests membership or
-    /// starts an election. Any of them steps down while its disk is stalled.
+    /// Advances the timers, and returns the time of the next call. A primary sends heartbeats, resends unacknowledged
+    /// records and states, and proposes the next record; a candidate checks its election timeout; a follower requests
+    /// membership or starts an election. A primary or candidate steps down while its disk is stalled.
     pub fn tick(&mut self, now: Duration, actions: &mut Vec<ReplicaAction>) -> Duration {
         if now < self.next_tick {
             return self.next_tick;
@@ -251,7 +256,7 @@
         self.next_tick
     }
 
-    /// Handles a message from the given incarnation of its sender.
+    /// Handles a message that was sent by the process `incarnation`.
     pub fn receive(
         &mut self,
         now: Duration,
--- a/crates/router/control-plane/src/replication/replica/durable_writes.rs
+++ b/crates/router/control-plane/src/replication/replica/durable_writes.rs
@@ -1,4 +1,4 @@
-//! Durable writes: replies that wait for them, and what follows when they end, fail or stall.
+//! Durable writes: the replies that depend on them, and the handling of completed, failed and stalled writes.
 
 use super::{Replica, Role};
 use crate::replication::action::ReplicaAction;
@@ -9,16 +9,17 @@
 use crate::replication::state::StateVersion;
 use std::time::Duration;
 
-/// A write in flight for longer than this means that the disk is stalled: its member neither leads nor stands.
+/// A write in flight for longer than this indicates a stalled disk. A member with a stalled disk neither leads nor
+/// campaigns.
 const DISK_STALL_TIMEOUT: Duration = Duration::from_millis(600);
-/// Pause after a failed write before the member stands for election.
+/// Delay after a failed write before the member campaigns.
 const DISK_FAULT_BACKOFF: Duration = Duration::from_secs(2);
 
 /// A write in flight.
 pub(super) struct PendingWrite {
-    began_at: Duration,
+    started_at: Duration,
     write: DurableWrite,
-    /// Sent once the write is durable.
+    /// Replies to be sent once the write is durable.
     replies: Vec<PendingReply>,
 }
 
@@ -29,8 +30,8 @@
 }
 
 impl Replica {
-    /// A write has ended. If it succeeded, replies that waited for it are sent, and a candidate or primary counts what
-    /// is now durable here; if not, the member steps down.
+    /// Handles the end of a write. If it succeeded, sends the replies that depend on it, and a candidate or primary counts
+    /// what is now durable here. If it failed, the member steps down.
     pub fn write_completed(
         &mut self,
         now: Duration,
@@ -59,21 +60,22 @@
         self.record_own_progress(context);
     }
 
+    /// Starts a write; `replies` are sent once it is durable.
     pub(super) fn write(&mut self, context: &mut Context, write: DurableWrite, replies: Vec<PendingReply>) {
         self.last_write_id += 1;
         let write_id = WriteId(self.last_write_id);
-        let pending = PendingWrite { began_at: context.now, write: write.clone(), replies };
+        let pending = PendingWrite { started_at: context.now, write: write.clone(), replies };
         self.pending_writes.insert(write_id, pending);
         context.actions.push(ReplicaAction::Write { write_id, write });
     }
 
-    /// Writes promises and record as they are in memory.
+    /// Writes the promises and the record as they are in memory; `replies` are sent once they are durable.
     pub(super) fn write_witness(&mut self, context: &mut Context, replies: Vec<PendingReply>) {
         let write = DurableWrite { witness: Some(self.witness.clone()), state: None };
         self.write(context, write, replies);
     }
 
-    /// Whether a state of at least this version is being written.
+    /// Returns whether a state of at least this version is being written.
     pub(super) fn is_state_write_pending(&self, version: StateVersion) -> bool {
         self.pending_writes
             .values()
@@ -81,7 +83,9 @@
     }
 
     pub(super) fn is_disk_stalled(&self, now: Duration) -> bool {
-        self.pending_writes.values().any(|pending| now.saturating_sub(pending.began_at) > DISK_STALL_TIMEOUT)
+        self.pending_writes
+            .values()
+            .any(|pending| now.saturating_sub(pending.started_at) > DISK_STALL_TIMEOUT)
     }
 
     pub(super) fn step_down_if_disk_stalled(&mut self, now: Duration) {
@@ -91,16 +95,17 @@
         }
     }
 
-    /// The member steps down. What the failed write should have stored is still in memory: see
-    /// [`Replica::roll_back_failed_writes`].
+    /// Steps down after a failed write. The contents of the write are still in memory until
+    /// [`Replica::roll_back_failed_writes`] takes effect.
     fn handle_write_failure(&mut self, now: Duration) {
         self.role = Role::Follower;
         self.campaign_at = now + DISK_FAULT_BACKOFF;
         self.has_failed_write = true;
     }
 
-    /// Nothing of a failed write was acknowledged, so memory goes back to what the disk holds; that is known once no other
-    /// write is in flight, however those end. The promise stays: to remember it is always safe, to forget it is not.
+    /// Resets record and state in memory to the contents of the disk after a failed write, since nothing of that write was
+    /// acknowledged. The contents of the disk are known only once no other write is in flight, whether it succeeds or
+    /// fails, so this has no effect before. The promise is kept: keeping a promise is always safe, forgetting it is not.
     fn roll_back_failed_writes(&mut self) {
         if !self.has_failed_write || !self.pending_writes.is_empty() {
             return;
--- a/crates/router/control-plane/src/replication/replica/election.rs
+++ b/crates/router/control-plane/src/replication/replica/election.rs
@@ -1,8 +1,8 @@
-//! Elections: pre-vote, promises and their count, and the start of a primary's term.
+//! Elections: pre-vote, collection of promises, and the start of a primary's term.
 //!
-//! A member whose election timer runs out first asks whether it would be elected (pre-vote), so that one that is only
-//! cut off doesn't raise the term and depose a working primary. Then it promises its own term, collects promises, and
-//! continues from the newest record among them. Before the first record the electorate are the seeds
+//! A member whose election timer expires first asks whether it would be elected (pre-vote), so that a partitioned member
+//! does not raise the term and depose a working primary. Then it promises its own term to itself, collects promises from
+//! the voters, and continues from the newest record among them. Before there is a record, the voters are the seeds
 //! ([`super::bootstrap`]).
 
 use super::durable_writes::PendingReply;
@@ -20,36 +20,36 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A candidate without a quorum of promises after this becomes a follower again.
+/// A candidate that has not collected a quorum of promises within this time becomes a follower again.
 const CANDIDACY_TIMEOUT: Duration = Duration::from_millis(400);
-/// A pre-candidate without a quorum of pre-votes after this becomes a follower again.
+/// A pre-candidate that has not collected a quorum of pre-votes within this time becomes a follower again.
 const PRE_VOTE_TIMEOUT: Duration = Duration::from_millis(150);
-/// A pre-vote is granted after this part of the election timeout without contact to a primary: less than the whole, since
-/// the voters' timers started a little later than the pre-candidate's.
-const PRE_VOTE_SILENCE: f64 = 0.8;
+/// A pre-vote is granted after this fraction of the election timeout without contact to a primary. It is below 1 since
+/// the voters' timers started slightly later than the pre-candidate's.
+const PRE_VOTE_SILENCE_FRACTION: f64 = 0.8;
 
 impl Replica {
-    /// The first campaign comes earlier than any later one: after a loss of power nobody leads, and a running primary
-    /// makes contact well before.
+    /// Sets the election timer for the first campaign, which comes earlier than later ones: after a power failure of all
+    /// machines there is no primary, and a running primary makes contact well before the timer expires.
     pub(super) fn schedule_first_campaign(&mut self, now: Duration) {
         let delay = self.settings.election_timeout.mul_f64(self.rng.random_range(0.4..0.8));
         self.campaign_at = now + delay;
     }
 
-    /// Starts the election timer anew. Its random part keeps members from standing at the same time.
+    /// Restarts the election timer. Its random part keeps members from campaigning at the same time.
     pub(super) fn reset_election_timer(&mut self, now: Duration) {
         let timeout = self.settings.election_timeout;
         self.campaign_at = now + timeout + timeout.mul_f64(self.rng.random_range(0.0..0.6));
     }
 
-    /// Becomes a follower that stands again after a short random backoff: after a pre-vote, which has promised nothing
-    /// that others would have to outbid, or where another member stood at the same time.
+    /// Becomes a follower that campaigns again after a short random backoff. Used after a failed pre-vote, which raised no
+    /// term that other candidates would have to exceed, and after a concurrent campaign of another member.
     pub(super) fn retry_campaign_after_backoff(&mut self, now: Duration) {
         self.role = Role::Follower;
         self.campaign_at = now + PRE_VOTE_TIMEOUT.mul_f64(self.rng.random_range(0.1..1.2));
     }
 
-    /// Ends a pre-vote round or candidacy that has timed out.
+    /// Ends a pre-vote round or a candidacy that has timed out.
     pub(super) fn tick_election(&mut self, now: Duration) {
         match &self.role {
             Role::PreCandidate(round) if now >= round.deadline => self.retry_campaign_after_backoff(now),
@@ -61,13 +61,13 @@
         }
     }
 
-    /// The record whose quorum decides an election in which this member stands: the newest one accepted here, or before
-    /// the first one the electorate of the bootstrap.
+    /// Returns the record whose quorum decides an election in which this member campaigns: the newest one accepted here,
+    /// or, before the first record, the electorate of the bootstrap.
     fn electorate(&self, now: Duration) -> Option<EpochRecord> {
         self.witness.record.clone().or_else(|| self.bootstrap_election.as_ref()?.electorate(now))
     }
 
-    /// Sends to every voter of a record but this member, in the order of their addresses.
+    /// Sends a message to every voter of a record except this member, in the order of their addresses.
     fn send_to_voters(&self, context: &mut Context, record: &EpochRecord, message: &ReplicationMessage) {
         let voters = record.members.iter().chain(&record.previous_members);
         let addresses: BTreeSet<SocketAddrV4> = voters.map(|member| member.address).collect();
@@ -78,6 +78,7 @@
         }
     }
 
+    /// Asks the voters whether they would vote for this member in the next term.
     pub(super) fn start_pre_vote(&mut self, context: &mut Context) {
         let Some(record) = self.electorate(context.now) else { return };
         let term = self.witness.promised.max(record.term) + 1;
@@ -90,13 +91,14 @@
         self.count_pre_votes(context);
     }
 
-    /// Grants a pre-vote for a term above the promised one, unless this member is primary or in contact with one.
+    /// Grants a pre-vote for a term above the promised one, unless this member is primary or has been in contact with one
+    /// recently.
     pub(super) fn handle_pre_vote(&mut self, context: &mut Context, from: Sender, term: u64) {
         if term <= self.witness.promised {
             self.reject(context, from);
             return;
         }
-        let min_silence = self.settings.election_timeout.mul_f64(PRE_VOTE_SILENCE);
+        let min_silence = self.settings.election_timeout.mul_f64(PRE_VOTE_SILENCE_FRACTION);
         let is_primary_silent =
             self.last_primary_contact.is_none_or(|at| context.now.saturating_sub(at) >= min_silence);
         if is_primary_silent && !self.is_primary() {
@@ -121,7 +123,7 @@
         }
     }
 
-    /// Promises its own term and asks the voters for their promises.
+    /// Promises `term` to this member itself and requests the promises of the voters.
     fn start_candidacy(&mut self, context: &mut Context, term: u64) {
         let Some(record) = self.electorate(context.now) else { return };
         self.witness.promised = term;
@@ -136,8 +138,8 @@
         self.send_to_voters(context, &record, &prepare);
     }
 
-    /// Promises a term to a candidate once the promise is durable. The same candidate may ask again, since the reply may
-    /// have been lost.
+    /// Promises a term to a candidate, and replies once the promise is durable. The same candidate may repeat its request,
+    /// since the reply may have been lost.
     pub(super) fn handle_prepare(
         &mut self,
         context: &mut Context,
@@ -172,13 +174,13 @@
         }
     }
 
-    /// Becomes primary once a quorum of the newest promised record has promised the term.
+    /// Becomes primary once a quorum of the newest record among the promises has promised the term.
     pub(super) fn count_promises(&mut self, context: &mut Context) {
         let Role::Candidate(candidacy) = &self.role else { return };
         let term = candidacy.term;
         let own = self.settings.own.id;
-        // The own promise counts once it is durable, and nothing starts before: a member that led with a promise that
-        // it then forgot could lead the same term twice.
+        // This member's own promise counts once it is durable, and it must not lead before: a member that led with a
+        // promise that it then lost could lead the same term twice.
         if !candidacy.promises.contains_key(&own) {
             return;
         }
@@ -188,34 +190,34 @@
         let own_record = self.durable_witness.record.as_ref();
         let newest = self.settings.mutation.record_to_campaign_with(newest, own_record);
         let Some(newest) = newest else {
-            self.lead_bootstrap(context, term, &voters);
+            self.become_bootstrap_primary(context, term, &voters);
             return;
         };
         if !newest.is_quorum(&voters) {
-            // The newest record may name voters that were not asked yet.
+            // The newest record may name voters that have not received a request yet.
             if self.witness.record.as_ref().is_none_or(|record| record.position() < newest.position()) {
                 let prepare = ReplicationMessage::Prepare { term, candidate: own };
                 self.send_to_voters(context, &newest, &prepare);
             }
             return;
         }
-        // Only a complete replica may lead; this one gives the complete ones time to stand.
+        // Only an in-sync member may lead. The longer delay gives the in-sync members time to campaign.
         if !newest.in_sync.contains(&own) || newest.member(own).is_none() {
             self.role = Role::Follower;
             self.campaign_at = context.now + self.settings.election_timeout * 2;
             return;
         }
-        self.lead(context, EpochRecord { term, sequence: 0, primary: own, ..newest });
+        self.become_primary(context, EpochRecord { term, sequence: 0, primary: own, ..newest });
     }
 
-    /// Becomes primary of the record's term. The record comes into force when a quorum has accepted it.
-    pub(super) fn lead(&mut self, context: &mut Context, record: EpochRecord) {
+    /// Becomes primary of the record's term. The record comes into force once a quorum has accepted it.
+    pub(super) fn become_primary(&mut self, context: &mut Context, record: EpochRecord) {
         let term = record.term;
         let leadership = Leadership::new(context.now, &self.settings, record);
         self.role = Role::Primary(Box::new(leadership));
         self.store_proposed_record(context);
-        // The state is replicated again under the own term, so that it supersedes the uncommitted changes of earlier
-        // primaries.
+        // The state is replicated again under this primary's own term, so that it supersedes the uncommitted changes of
+        // earlier primaries.
         let version = StateVersion { term, index: self.state.version.index };
         let state = ReplicatedState { version, ..(*self.state).clone() };
         let state = self.settings.mutation.state_at_failover(state);
--- a/crates/router/control-plane/src/replication/replica/follower.rs
+++ b/crates/router/control-plane/src/replication/replica/follower.rs
@@ -1,4 +1,5 @@
-//! A follower: accepts records, syncs states, answers pings, and rejects whatever has a lower term than it promised.
+//! The follower's part of a member: accepts records, syncs states, replies to pings, and rejects messages of a lower term
+//! than the promised one.
 
 use super::durable_writes::PendingReply;
 use super::{Replica, Role};
@@ -14,11 +15,11 @@
 use std::time::Duration;
 
 impl Replica {
-    /// Requests membership while this is no member, and starts an election when the election timer has run out.
+    /// Requests membership unless this is a member, and starts an election once the election timer has expired.
     pub(super) fn tick_follower(&mut self, context: &mut Context) {
         if !self.is_member() {
             self.tick_join_request(context);
-            if !self.may_stand_for_bootstrap(context.now) {
+            if !self.may_campaign_for_bootstrap(context.now) {
                 return;
             }
         }
@@ -27,7 +28,7 @@
         }
     }
 
-    /// Accepts a record of the promised term or a later one; the reply waits until it is durable.
+    /// Accepts a record of the promised term or a later one, and replies once the record is durable.
     pub(super) fn handle_accept(&mut self, context: &mut Context, from: Sender, record: EpochRecord) {
         if record.term < self.witness.promised {
             self.reject(context, from);
@@ -40,17 +41,17 @@
             context.reply(from, accepted);
             return;
         }
-        // Without a voting seed, a non-voting one proposes the first record and names its primary.
+        // If no seed is a voter, a non-voting seed proposes the first record and names this member as its primary.
         let is_bootstrap_leader = record.primary == self.settings.own.id && self.witness.record.is_none();
         if record.term > self.witness.promised {
             self.witness.promised = record.term;
             self.witness.promised_to = Some(record.primary);
         }
         if is_bootstrap_leader {
-            self.lead(context, record);
+            self.become_primary(context, record);
             return;
         }
-        self.follow(context.now);
+        self.become_follower(context.now);
         if self.witness.record.as_ref().is_none_or(|stored| stored.position() < position) {
             self.witness.record = Some(record);
         }
@@ -62,20 +63,20 @@
         self.write_witness(context, vec![PendingReply { to: from, message: accepted }]);
     }
 
-    /// Replies with what is durable here.
+    /// Replies to a heartbeat with the position of the record and the version of the state that are durable here.
     pub(super) fn handle_ping(&mut self, context: &mut Context, from: Sender, term: u64, round: u64) {
         if term < self.witness.promised {
             self.reject(context, from);
             return;
         }
-        self.follow(context.now);
+        self.become_follower(context.now);
         let position = self.durable_witness.record.as_ref().map(EpochRecord::position).unwrap_or_default();
         let synced = self.durable_state.version;
         let accepts_deltas = self.settings.accepts_deltas;
         context.reply(from, ReplicationMessage::Pong { term, round, position, synced, accepts_deltas });
     }
 
-    /// Syncs a state of the promised term or a later one; the reply waits until it is durable.
+    /// Stores a state of the promised term or a later one, and replies once it is durable.
     pub(super) fn handle_replicate(
         &mut self,
         context: &mut Context,
@@ -87,7 +88,7 @@
             self.reject(context, from);
             return;
         }
-        self.follow(context.now);
+        self.become_follower(context.now);
         let state = self.settings.mutation.state_to_store(state);
         let version = state.version;
         let synced = ReplicationMessage::Synced { term, version };
@@ -108,8 +109,8 @@
         self.write(context, write, vec![PendingReply { to: from, message: synced }]);
     }
 
-    /// Syncs a state that comes as the differences from the one held here. Where they can't be applied the sender has to
-    /// send the whole state.
+    /// Stores a state that is sent as deltas from the one held here. Replies with
+    /// [`ReplicationMessage::DeltasRejected`] if they cannot be applied, so that the sender sends the complete state.
     pub(super) fn handle_replicate_deltas(
         &mut self,
         context: &mut Context,
@@ -117,7 +118,7 @@
         term: u64,
         deltas: &[Arc<StateDelta>],
     ) {
-        // A build before differences does not understand the message.
+        // Simulates a build without deltas, which cannot decode this message.
         if !self.settings.accepts_deltas {
             return;
         }
@@ -127,7 +128,7 @@
             return;
         }
         if self.state.version >= newest {
-            // It came before, and is durable or being written.
+            // The state was received before, and is durable or being written.
             let state = self.state.clone();
             self.handle_replicate(context, from, term, state);
             return;
@@ -135,13 +136,13 @@
         match self.state_after(deltas) {
             Ok(state) => self.handle_replicate(context, from, term, Arc::new(state)),
             Err(_) => {
-                self.follow(context.now);
+                self.become_follower(context.now);
                 context.reply(from, ReplicationMessage::DeltasRejected { term });
             }
         }
     }
 
-    /// The state that results from the one held here by these differences. Those up to the state held here are passed over.
+    /// Returns the state that results from applying `deltas` to the one held here. Skips deltas up to the version held.
     fn state_after(&self, deltas: &[Arc<StateDelta>]) -> Result<ReplicatedState, DeltaError> {
         let held = self.state.version;
         let mut state = (*self.state).clone();
@@ -151,22 +152,22 @@
         Ok(state)
     }
 
-    /// Rejects a message of a lower term than promised.
+    /// Rejects a message of a lower term than the promised one.
     pub(super) fn reject(&self, context: &mut Context, from: Sender) {
         context.reply(from, ReplicationMessage::Rejected { promised: self.witness.promised });
     }
 
-    /// A primary of the promised term or a later one has made contact.
-    fn follow(&mut self, now: Duration) {
+    /// Becomes a follower after contact from a primary of the promised term or a later one.
+    fn become_follower(&mut self, now: Duration) {
         self.last_primary_contact = Some(now);
         self.role = Role::Follower;
         self.reset_election_timer(now);
     }
 
-    /// A member has promised a higher term than one of this member's messages had.
+    /// Handles the reply of a member that has promised a higher term than that of a message sent by this member.
     pub(super) fn handle_rejection(&mut self, now: Duration, promised: u64) {
         match &self.role {
-            // Another member stands at the same time. If it wins, it makes contact before this one stands again.
+            // Another member campaigns at the same time. If it wins, it makes contact before this one campaigns again.
             Role::PreCandidate(round) if promised >= round.term => self.retry_campaign_after_backoff(now),
             Role::Candidate(candidacy) if promised >= candidacy.term => {
                 self.retry_campaign_after_backoff(now);
@@ -177,7 +178,7 @@
             }
             _ => {}
         }
-        // Only remembered, not promised to anyone: the next candidacy has to stand for a higher term.
+        // Recorded in memory without a promise to any candidate: the next campaign of this member needs a higher term.
         if promised > self.witness.promised {
             self.witness.promised = promised;
             self.witness.promised_to = None;
--- a/crates/router/control-plane/src/replication/replica/join.rs
+++ b/crates/router/control-plane/src/replication/replica/join.rs
@@ -1,4 +1,4 @@
-//! Requests for membership by a voter that is no member.
+//! Membership requests of a voter that is not a member.
 
 use super::Replica;
 use crate::replication::context::Context;
@@ -8,11 +8,12 @@
 use passrelay_dissemination::CoreHint;
 use std::time::Duration;
 
-/// Interval of requests for membership.
+/// Interval between membership requests, and between announcements to the seeds during the bootstrap.
 const JOIN_REQUEST_INTERVAL: Duration = Duration::from_millis(300);
 
 impl Replica {
-    /// Whether this member is one, by the newest record that it knows.
+    /// Returns whether this voter is a member according to the newest record that it knows, its own or one spread by
+    /// gossip.
     pub(super) fn is_member(&self) -> bool {
         let Some(record) = &self.witness.record else { return false };
         if record.member(self.settings.own.id).is_none() {
@@ -25,8 +26,8 @@
         !self.core_hint.as_ref().is_some_and(is_replaced)
     }
 
-    /// Requests membership when a request is due: from the primary, if one is known, or else, during the bootstrap, by
-    /// announcing itself to the seeds.
+    /// Requests membership from the known primary, if a request is due. If no primary is known, announces this voter to
+    /// the seeds, provided that it takes part in the bootstrap.
     pub(super) fn tick_join_request(&mut self, context: &mut Context) {
         if context.now < self.next_join_request {
             return;
@@ -42,7 +43,7 @@
         if let Some(hint) = &self.core_hint {
             context.send(hint.primary, ReplicationMessage::Join { member, bootstrapping });
         } else if bootstrapping {
-            // Those of the first start elect; later ones may know a primary by now.
+            // The seeds of the first start elect the first record; seeds added later may already know a primary.
             let ReplicaSettings { seeds, bootstrap_seeds, .. } = &self.settings;
             let later_seeds = seeds.iter().filter(|seed| !bootstrap_seeds.contains(seed));
             for seed in bootstrap_seeds.iter().chain(later_seeds) {
--- a/crates/router/control-plane/src/replication/replica/primary.rs
+++ b/crates/router/control-plane/src/replication/replica/primary.rs
@@ -1,6 +1,6 @@
-//! The primary's part of a member: it connects [`Leadership`] with the messages and the disk of the member.
+//! The primary's part of a member, which connects [`Leadership`] to the messages and the disk of the member.
 //!
-//! Messages for a primary that arrive at a member in another role are ignored.
+//! A member in another role ignores messages that are addressed to a primary.
 
 use super::{Replica, Role};
 use crate::replication::context::Context;
@@ -32,7 +32,8 @@
         leadership.handle_join(now, member, bootstrapping);
     }
 
-    /// A member has accepted a record. If that came into force, the own disk counts under it at once.
+    /// Handles a member's acceptance of a record. If the record comes into force, what is durable here is counted under it
+    /// immediately.
     pub(super) fn handle_accepted(
         &mut self,
         context: &mut Context,
@@ -65,7 +66,7 @@
         leadership.handle_rejected_deltas(context, from, term);
     }
 
-    /// Stores the record that this primary proposes, once for each proposal.
+    /// Stores the record proposed by this primary, once per proposal.
     pub(super) fn store_proposed_record(&mut self, context: &mut Context) {
         let Role::Primary(leadership) = &self.role else { return };
         let Some(proposed) = leadership.proposed_record() else { return };
@@ -77,7 +78,7 @@
         self.write_witness(context, Vec::new());
     }
 
-    /// Makes a state the newest one: stores it here and sends it to the backups.
+    /// Makes `state` the newest one: stores it here and sends it to the backups.
     pub(super) fn replicate_state(&mut self, context: &mut Context, state: Arc<ReplicatedState>) {
         self.state = state.clone();
         let write = DurableWrite { witness: None, state: Some(state.clone()) };
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Counts what is durable here like what other members report.
+    /// Counts what is durable here in the same way as reports of other members.
     pub(super) fn record_own_progress(&mut self, context: &mut Context) {
         let own = self.settings.own.id;
         match &mut self.role {
--- a/crates/router/control-plane/src/replication/replica/role.rs
+++ b/crates/router/control-plane/src/replication/replica/role.rs
@@ -6,11 +6,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// The role of a member. A change of role drops whatever belonged to the one before.
+/// The role of a member. A change of role drops the state of the previous one.
 pub(super) enum Role {
-    /// Stores what a primary sends, and waits for it.
+    /// Stores records and states sent by a primary, and campaigns when the election timer expires.
     Follower,
-    /// Asks whether it would win an election, without any promise yet.
+    /// Asks whether it would win an election; has not requested promises yet.
     PreCandidate(PreVoteRound),
     /// Collects promises for its term.
     Candidate(Candidacy),
@@ -21,7 +21,7 @@
 /// A pre-vote round in progress.
 pub(super) struct PreVoteRound {
     pub(super) term: u64,
-    /// Voters that would vote for this member, itself among them.
+    /// Voters that would vote for this member, including itself.
     pub(super) granted_by: BTreeSet<MemberId>,
     pub(super) deadline: Duration,
 }
@@ -29,14 +29,14 @@
 /// An election in progress.
 pub(super) struct Candidacy {
     pub(super) term: u64,
-    /// Promises with the highest record that each voter has accepted. Invariant: the own one is added only when it is
-    /// durable.
+    /// The voters that have promised the term, with the highest record that each has accepted. Invariant: this member's
+    /// own promise is added only when it is durable.
     pub(super) promises: BTreeMap<MemberId, Option<EpochRecord>>,
     pub(super) deadline: Duration,
 }
 
 impl Role {
-    /// Its name, for logs.
+    /// Returns the name of the role, as used in logs and simulated histories.
     pub(super) fn name(&self) -> &'static str {
         match self {
             Role::Follower => "follower",
--- a/crates/router/control-plane/src/replication/state.rs
+++ b/crates/router/control-plane/src/replication/state.rs
@@ -1,7 +1,6 @@
 //! The replicated state: the configuration document, its version, and the changes applied last.
 //!
-//! The state is replicated as a whole, not as a log: it is small, and a backup that has fallen behind needs only the
-//! newest version.
+//! The state is replicated as a whole, not as a log: it is small, and a lagging backup needs only the newest version.
 
 use passrelay_configuration::{Rollouts, ServiceVersions};
 use serde::{Deserialize, Serialize};
@@ -9,10 +8,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Number of applied changes that are remembered, so that a retry of one of them is acknowledged again.
+/// Number of applied changes that are kept, so that a retry of one of them is acknowledged again.
 const MAX_APPLIED_CHANGES: usize = 512;
 
-/// Time allowed for the transfer of a state to one member over a slow link, in microseconds per KiB of the document.
+/// Time allowed for transferring a state to one member over a slow link, in microseconds per KiB of the document.
 const TRANSFER_MICROS_PER_KIB: u64 = 1_500;
 
 /// Version of a state. Ordered by the term of the primary that wrote it, then by the number of changes.
@@ -25,53 +24,56 @@
     pub index: u64,
 }
 
-/// A configuration change that was applied, as far as a retry of it has to be recognised.
+/// An entry of the history of applied configuration changes, by which a retry is recognised.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppliedChange {
-    /// The generation that it produced.
+    /// Generation that the change produced.
     pub generation: u64,
-    /// SHA-256 digest of its kind, base generation and body.
+    /// SHA-256 digest of the kind, base generation and body of the change.
     pub digest: [u8; 32],
 }
 
-/// The replicated state.
+/// The state that the members replicate. Stored on disk and sent between members.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicatedState {
-    /// Its version.
+    /// Position of this state among all states; assigned by the primary.
     pub version: StateVersion,
-    /// The operators' version number; 0 before the first configuration.
+    /// Version number that the operators assign to the configuration; 0 before the first configuration.
     pub generation: u64,
-    /// The document, as JSON; `None` before the first configuration.
+    /// The configuration document, as JSON; `None` before the first configuration.
     pub document: Option<Arc<str>>,
     /// The changes applied last, oldest first; at most 512. Invariant: replicated with the document, so that a new
     /// primary recognises a retry of a change that an earlier one acknowledged.
     #[serde(rename = "orders")]
     pub applied_changes: VecDeque<AppliedChange>,
-    /// The versions in service. Invariant: replicated with the document, so that whoever knows a configuration knows which
-    /// endpoints may serve it. Not written while empty, and dropped by members of earlier builds.
+    /// Version in service of each service. Invariant: replicated with the document, so that every process that knows a
+    /// configuration also knows which endpoints may serve it. Not written if empty, and dropped by members of earlier
+    /// builds.
     #[serde(default, skip_serializing_if = "ServiceVersions::is_empty")]
     pub service_versions: ServiceVersions,
-    /// The roll-outs. Invariant: replicated with the versions in service that they lead to. Not written while empty, and dropped by
-    /// members of earlier builds.
+    /// Waiting, running and recently ended rollouts. Invariant: replicated with the versions in service that result from
+    /// them. Not written if empty, and dropped by members of earlier builds.
     #[serde(default, skip_serializing_if = "Rollouts::is_empty")]
     pub rollouts: Rollouts,
 }
 
 impl ReplicatedState {
-    /// Time allowed for its transfer to one member over a slow link, on top of the usual timeouts.
+    /// Returns the time allowed for transferring this state to one member over a slow link, on top of the usual timeouts.
     pub fn transfer_time(&self) -> Duration {
         let bytes = self.document.as_ref().map_or(0, |document| document.len());
         Duration::from_micros(u64::try_from(bytes).unwrap_or(u64::MAX) * TRANSFER_MICROS_PER_KIB / 1_024)
     }
 
-    /// Whether a change on top of this generation may have been applied and dropped from the applied changes since.
+    /// Returns whether a change based on generation `base` may have been applied and since been dropped from the history
+    /// of applied changes.
     pub fn may_have_truncated(&self, base: u64) -> bool {
         let oldest = self.applied_changes.front().map_or(0, |change| change.generation);
         self.applied_changes.len() >= MAX_APPLIED_CHANGES && base < oldest
     }
 
-    /// The state after one more change, replicated by the primary of `term`.
-    pub fn after(&self, term: u64, generation: u64, document: Arc<str>, change: AppliedChange) -> Self {
+    /// Returns the state that results from one more change, with a version assigned by the primary of `term`. Drops the
+    /// oldest entry of a full history.
+    pub fn with_change(&self, term: u64, generation: u64, document: Arc<str>, change: AppliedChange) -> Self {
         let mut applied_changes = self.applied_changes.clone();
         applied_changes.push_back(change);
         while applied_changes.len() > MAX_APPLIED_CHANGES {
@@ -88,13 +90,15 @@
         }
     }
 
-    /// The state with other versions in service, replicated by the primary of `term`. No change of an operator.
+    /// Returns the state with other versions in service, with a version assigned by the primary of `term`. This is not a
+    /// change of an operator: generation, document and history stay the same.
     pub fn with_service_versions(&self, term: u64, service_versions: ServiceVersions) -> Self {
         let version = StateVersion { term, index: self.version.index + 1 };
         ReplicatedState { version, service_versions, ..self.clone() }
     }
 
-    /// The state with other roll-outs and the versions in service that they lead to, replicated by the primary of `term`.
+    /// Returns the state with other rollouts and the versions in service that result from them, with a version assigned
+    /// by the primary of `term`.
     pub fn with_rollouts(&self, term: u64, rollouts: Rollouts, service_versions: ServiceVersions) -> Self {
         ReplicatedState { rollouts, ..self.with_service_versions(term, service_versions) }
     }
--- a/crates/router/control-plane/src/replication/state_delta.rs
+++ b/crates/router/control-plane/src/replication/state_delta.rs
@@ -1,25 +1,26 @@
-//! The difference between two consecutive replicated states, so that a change costs its own size on the wire.
+//! Deltas between consecutive replicated states, so that the size of a message depends on the change and not on the
+//! document.
 //!
-//! A delta is only ever applied to the state of its base version. Two states of one version are equal, so the base needs no
-//! further check; the digest in the document's delta guards against damage. A member that holds another base says so and
-//! gets the whole state.
+//! A delta is only applied to the state of its base version. Two states of the same version are equal, so the base needs
+//! no further check; the digest in the document's delta guards against corruption. A member that holds another base
+//! rejects the delta and receives the complete state.
 
 use super::state::{AppliedChange, ReplicatedState, StateVersion};
 use passrelay_configuration::{Delta, DeltaError, DocumentDelta};
 use serde::{Deserialize, Serialize};
 
-/// The difference of a state from the one before it.
+/// The difference between a state and its predecessor.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StateDelta {
-    /// Version of the state that it applies to.
+    /// Version of the state that the delta applies to.
     pub base: StateVersion,
     /// Version of the resulting state.
     pub version: StateVersion,
     /// Generation of the resulting state.
     pub generation: u64,
-    /// The difference of the documents.
+    /// Difference between the two documents.
     pub document: DocumentDelta,
-    /// The change that was applied last.
+    /// The change that produced the resulting state; appended to the history of applied changes.
     #[serde(rename = "order")]
     pub applied_change: AppliedChange,
 }
@@ -33,8 +34,8 @@
 }
 
 impl ReplicatedState {
-    /// The difference from the state before this one. `None` where it is no single change of the document, or nearly as long as
-    /// the whole.
+    /// Returns the delta from `base`, the preceding state, to this one. Returns `None` if the two differ by more than one
+    /// change of the document, or if the delta would be nearly as long as the document itself.
     pub fn delta_from(&self, base: &ReplicatedState) -> Option<StateDelta> {
         let (base_document, document) = (base.document.as_ref()?, self.document.as_ref()?);
         let same_versions = self.service_versions == base.service_versions && self.rollouts == base.rollouts;
@@ -51,16 +52,16 @@
         })
     }
 
-    /// The state that a delta from this one results in.
+    /// Returns the state that results from applying a delta to this one.
     ///
     /// # Errors
     ///
-    /// Returns a [`DeltaError`] where the delta is none from this state.
+    /// Returns a [`DeltaError`] if this state is not the base of the delta, or if the document's delta does not apply.
     pub fn apply_delta(&self, delta: &StateDelta) -> Result<ReplicatedState, DeltaError> {
         let base = self.document.as_ref().filter(|_| self.version == delta.base);
         let document = delta.document.apply(base.ok_or(DeltaError::OtherBase)?)?;
         let change = delta.applied_change.clone();
-        let mut state = self.after(delta.version.term, delta.generation, document.into(), change);
+        let mut state = self.with_change(delta.version.term, delta.generation, document.into(), change);
         state.version = delta.version;
         Ok(state)
     }
--- a/crates/router/control-plane/src/replication/voter_discovery.rs
+++ b/crates/router/control-plane/src/replication/voter_discovery.rs
@@ -1,24 +1,25 @@
-//! Discovery of the voters that are available before the first record, and whether they are enough for a bootstrap.
+//! Discovery of the available voters before the first record, and the decision whether they suffice for a bootstrap.
 //!
-//! It only decides when to try; that there is one first record is the bootstrap election's concern.
+//! Discovery only decides when to try. The bootstrap election ensures that there is only one first record.
 
 use super::identity::{Member, MemberId};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Discovery takes at least this long, however many voters have announced themselves.
+/// Minimum duration of discovery, however many voters have announced themselves.
 const MIN_DISCOVERY_TIME: Duration = Duration::from_millis(900);
-/// Discovery goes on until no new voter has announced itself for this long.
+/// Discovery continues until no new voter has announced itself for this long.
 const DISCOVERY_QUIET_TIME: Duration = Duration::from_millis(400);
-/// After this, fewer voters than bear the tolerated losses are enough, as long as some would remain.
+/// After this time, discovery no longer waits for the `2 * tolerated_losses + 1` voters that survive the tolerated
+/// losses: any number suffices that would leave at least one voter after these losses.
 const FULL_SET_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Backoff of each seed after the one before it in the list of seeds, so that the first available one leads the
-/// bootstrap without a rival.
+/// Additional delay of each seed relative to its predecessor in the list of seeds, so that the first available one leads
+/// the bootstrap without competition.
 const SEED_RANK_BACKOFF: Duration = Duration::from_millis(1_500);
-/// A voter counts as available for this long after it announced itself; it does every 300 ms.
+/// A voter counts as available for this long after its last announcement. Voters announce themselves every 300 ms.
 const PRESENCE_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// A voter that has announced itself.
+/// A voter that has announced itself, and the time of its last announcement.
 #[derive(Debug)]
 struct DiscoveredVoter {
     member: Member,
@@ -30,16 +31,17 @@
 pub(super) struct VoterDiscovery {
     started_at: Duration,
     voters: BTreeMap<MemberId, DiscoveredVoter>,
+    /// Time at which a new voter was discovered last; before the first one, the start of discovery.
     last_discovery: Duration,
 }
 
 impl VoterDiscovery {
-    /// No voter is known yet.
+    /// Starts the discovery without any known voter.
     pub(super) fn new(now: Duration) -> Self {
         VoterDiscovery { started_at: now, voters: BTreeMap::new(), last_discovery: now }
     }
 
-    /// A voter announces itself, for the first time or again.
+    /// Records the announcement of a voter, whether it is new or known.
     pub(super) fn handle_present(&mut self, now: Duration, member: Member) {
         let known = self.voters.insert(member.id, DiscoveredVoter { member, last_seen: now });
         if known.is_none() {
@@ -47,7 +49,7 @@
         }
     }
 
-    /// The voters that are available now, by address.
+    /// Returns the voters that are available now, ordered by address.
     pub(super) fn members(&self, now: Duration) -> Vec<Member> {
         let is_available = |voter: &&DiscoveredVoter| now.saturating_sub(voter.last_seen) < PRESENCE_TIMEOUT;
         let mut members: Vec<Member> =
@@ -56,7 +58,8 @@
         members
     }
 
-    /// Whether the seed of this rank, from 0, is to bootstrap the cluster with the voters that are available now.
+    /// Returns whether the seed at position `seed_rank`, from 0, may bootstrap the cluster with the voters that are
+    /// available now.
     pub(super) fn is_complete(&self, now: Duration, seed_rank: usize, tolerated_losses: usize) -> bool {
         let start = self.started_at + SEED_RANK_BACKOFF * u32::try_from(seed_rank).unwrap_or(u32::MAX);
         let available = self.members(now).len();
--- a/crates/router/control-plane/src/rollout.rs
+++ b/crates/router/control-plane/src/rollout.rs
@@ -25,5 +25,5 @@
 pub use evidence::Evidence;
 pub use judge::{judge, Judgement};
 pub use messages::RolloutMessage;
-pub use order::{adjudicate, OrderRejection, OrderVerdict};
+pub use order::{evaluate_order, OrderRejection, OrderVerdict};
 pub use schedule::ExposureBound;
--- a/crates/router/control-plane/src/rollout/controller.rs
+++ b/crates/router/control-plane/src/rollout/controller.rs
@@ -7,8 +7,8 @@
 use super::evidence::{Comparisons, Evidence};
 use super::judge::{judge, Judgement};
 use super::schedule::{
-    canary_share, has_spread, is_load_test_granted, is_load_tested, load_test_requests, promotion_share,
-    ExposureBound, Schedule, Share, FIRST_REQUESTS,
+    canary_share, has_propagated, is_load_test_complete, is_load_test_starting, load_test_requests,
+    promotion_share, ExposureBound, Schedule, Share, MIN_REQUESTS_FOR_FULL_SHARE,
 };
 use crate::replication::ReplicatedState;
 use passrelay_configuration::{
@@ -30,14 +30,14 @@
 
 /// What the controller knows of one roll-out beside its record.
 #[derive(Debug)]
-struct Tracked {
+struct TrackedRollout {
     evidence: Evidence,
     /// The committed phase, and since when this controller knows of it.
     phase: RolloutPhase,
     phase_since: Duration,
     /// Requests that had ended at the new version when it was judged last.
     requests_at_target: u32,
-    /// The test under load, once it has begun.
+    /// The test under load, once it has started.
     load_test: Option<LoadTest>,
 }
 
@@ -54,12 +54,12 @@
 impl LoadTest {
     /// A test of so many requests, by as many routers.
     fn new(now: Duration, requests: f64, routers: &BTreeSet<SocketAddrV4>) -> Self {
-        let taken = (requests.round().max(1.0) as usize).min(routers.len().max(1));
-        let step = (routers.len() / taken).max(1);
+        let router_count = (requests.round().max(1.0) as usize).min(routers.len().max(1));
+        let step = (routers.len() / router_count).max(1);
         LoadTest {
             since: now,
-            routers: routers.iter().step_by(step).take(taken).copied().collect(),
-            requests_each: (requests / taken as f64).round().max(1.0) as u16,
+            routers: routers.iter().step_by(step).take(router_count).copied().collect(),
+            requests_each: (requests / router_count as f64).round().max(1.0) as u16,
         }
     }
 }
@@ -68,7 +68,7 @@
 #[derive(Debug, Default)]
 pub struct Controller {
     /// By the id of the roll-out, ended ones included.
-    tracked: BTreeMap<u64, Tracked>,
+    tracked: BTreeMap<u64, TrackedRollout>,
     /// Versions that the configuration sets, by service; `None` for services of which it sets none.
     configured: BTreeMap<String, Option<String>>,
     next_decision: Duration,
@@ -93,8 +93,8 @@
     /// Takes the committed records.
     pub fn observe_committed(&mut self, now: Duration, rollouts: &Rollouts) {
         self.tracked.retain(|id, _| rollouts.find(*id).is_some());
-        for rollout in rollouts.services().flat_map(|(_, of_service)| of_service.all()) {
-            let tracked = self.tracked.entry(rollout.id).or_insert_with(|| Tracked {
+        for rollout in rollouts.services().flat_map(|(_, service_rollouts)| service_rollouts.all()) {
+            let tracked = self.tracked.entry(rollout.id).or_insert_with(|| TrackedRollout {
                 evidence: Evidence::new(now, Duration::from_millis(rollout.age_ms)),
                 phase: rollout.phase,
                 phase_since: now,
@@ -136,7 +136,8 @@
         rollouts: &Rollouts,
         exposure: ExposureBound,
     ) -> Vec<ShareGrant> {
-        let current = rollouts.services().filter_map(|(_, of_service)| of_service.current.as_ref());
+        let current =
+            rollouts.services().filter_map(|(_, service_rollouts)| service_rollouts.current.as_ref());
         let grant = |rollout: &Rollout| {
             let tracked = self.tracked.get(&rollout.id)?;
             let share = match rollout.phase {
@@ -149,10 +150,10 @@
             let load_test = tracked.load_test.as_ref().filter(|test| {
                 rollout.phase == RolloutPhase::Canary
                     && test.routers.contains(&router)
-                    && is_load_test_granted(now.saturating_sub(test.since))
+                    && is_load_test_starting(now.saturating_sub(test.since))
             });
             let load_test = load_test.map(|test| test.requests_each);
-            Some(grant_of(rollout.id, share, load_test))
+            Some(share_grant(rollout.id, share, load_test))
         };
         current.filter_map(grant).collect()
     }
@@ -173,11 +174,11 @@
         for tracked in self.tracked.values_mut().filter(|tracked| !tracked.phase.is_final()) {
             tracked.requests_at_target = requests_at_target(&tracked.evidence.comparisons());
         }
-        self.begin_load_tests(now, &state.rollouts, registry, exposure);
+        self.start_load_tests(now, &state.rollouts, registry, exposure);
         let mut decision =
             Decision { rollouts: state.rollouts.clone(), service_versions: state.service_versions.clone() };
-        for (service, of_service) in state.rollouts.services() {
-            if let Some(next) = self.next_of_service(now, service, of_service, state, registry) {
+        for (service, service_rollouts) in state.rollouts.services() {
+            if let Some(next) = self.next_service_rollouts(now, service, service_rollouts, state, registry) {
                 if let Some(version) = version_in_service(&next) {
                     decision.service_versions.set(service, &version);
                 }
@@ -190,14 +191,15 @@
     }
 
     /// Begins the load test of each canary that is due and wasn't found bad.
-    fn begin_load_tests(
+    fn start_load_tests(
         &mut self,
         now: Duration,
         rollouts: &Rollouts,
         registry: &Registry,
         exposure: ExposureBound,
     ) {
-        let current = rollouts.services().filter_map(|(_, of_service)| of_service.current.as_ref());
+        let current =
+            rollouts.services().filter_map(|(_, service_rollouts)| service_rollouts.current.as_ref());
         for rollout in current.filter(|rollout| rollout.phase == RolloutPhase::Canary) {
             let Some(tracked) = self.tracked.get_mut(&rollout.id) else { continue };
             let is_due = tracked.evidence.age(now) >= Schedule::of(rollout).load_test_at;
@@ -206,49 +208,49 @@
             }
             let comparisons = tracked.evidence.comparisons();
             let is_bad = matches!(judge(&comparisons), Judgement::Bad(_));
-            if is_bad || requests_at_target(&comparisons) < FIRST_REQUESTS {
+            if is_bad || requests_at_target(&comparisons) < MIN_REQUESTS_FOR_FULL_SHARE {
                 continue;
             }
             let requests = load_test_requests(
                 exposure,
                 capacity_of_target(rollout, registry),
-                comparisons.values().map(|both| both.base.ended + both.target.ended).sum(),
+                comparisons.values().map(|comparison| comparison.base.ended + comparison.target.ended).sum(),
             );
             let routers = tracked.evidence.reporters(now.saturating_sub(REPORT_LIFETIME));
             tracked.load_test = Some(LoadTest::new(now, requests, &routers));
         }
     }
 
-    fn next_of_service(
+    fn next_service_rollouts(
         &self,
         now: Duration,
         service: &str,
-        of_service: &ServiceRollouts,
+        service_rollouts: &ServiceRollouts,
         state: &ReplicatedState,
         registry: &Registry,
     ) -> Option<ServiceRollouts> {
-        let mut next = of_service.clone();
+        let mut next = service_rollouts.clone();
         match next.current.as_mut().filter(|current| !current.phase.is_final()) {
             Some(current) => self.advance(now, current, registry)?,
-            None if next.waiting.is_empty() || !self.may_begin(now, of_service) => return None,
+            None if next.waiting.is_empty() || !self.may_start_next(now, service_rollouts) => return None,
             None => {
-                let mut begun = next.waiting.remove(0);
-                begun.age_ms = as_millis(self.age(now, begun.id));
-                begun.base_version = state.service_versions.of(service).map(str::to_owned);
-                begun.phase = RolloutPhase::Canary;
-                if begun.base_version.as_ref() == Some(&begun.order.target_version) {
-                    begun.phase = RolloutPhase::Completed;
-                    "it was in service already".clone_into(&mut begun.reason);
+                let mut started = next.waiting.remove(0);
+                started.age_ms = as_millis(self.age(now, started.id));
+                started.base_version = state.service_versions.of(service).map(str::to_owned);
+                started.phase = RolloutPhase::Canary;
+                if started.base_version.as_ref() == Some(&started.order.target_version) {
+                    started.phase = RolloutPhase::Completed;
+                    "it was in service already".clone_into(&mut started.reason);
                 }
-                next.current = Some(begun);
+                next.current = Some(started);
             }
         }
         Some(next)
     }
 
     /// Whether the next order may begin, as far as the one before it tells.
-    fn may_begin(&self, now: Duration, of_service: &ServiceRollouts) -> bool {
-        let ended = of_service.current.as_ref().and_then(|current| self.tracked.get(&current.id));
+    fn may_start_next(&self, now: Duration, service_rollouts: &ServiceRollouts) -> bool {
+        let ended = service_rollouts.current.as_ref().and_then(|current| self.tracked.get(&current.id));
         ended.is_none_or(|ended| now.saturating_sub(ended.phase_since) >= PAUSE_AFTER_END)
     }
 
@@ -266,7 +268,7 @@
         &self,
         now: Duration,
         rollout: &Rollout,
-        tracked: &Tracked,
+        tracked: &TrackedRollout,
         registry: &Registry,
     ) -> Option<(RolloutPhase, String)> {
         let age = tracked.evidence.age(now);
@@ -289,7 +291,8 @@
             }
             RolloutPhase::Canary => {
                 let load_test = tracked.load_test.as_ref();
-                let is_tested = load_test.is_some_and(|test| is_load_tested(now.saturating_sub(test.since)));
+                let is_tested =
+                    load_test.is_some_and(|test| is_load_test_complete(now.saturating_sub(test.since)));
                 let is_due = age >= schedule.promote_at && judgement == Judgement::Good && is_tested;
                 (is_due && has_endpoints(rollout, registry))
                     .then(|| (RolloutPhase::Promoting, format!("judged good by {requests} requests")))
@@ -297,8 +300,8 @@
             RolloutPhase::Promoting => (promotion_share(phase_for).is_none() || age >= schedule.end_by)
                 .then(|| (RolloutPhase::Switched, rollout.reason.clone())),
             RolloutPhase::Switched => {
-                let has_left = tracked.evidence.has_left_base(now.saturating_sub(REPORT_LIFETIME));
-                (has_spread(phase_for) && (has_left || age >= schedule.end_by))
+                let is_base_drained = tracked.evidence.is_base_drained(now.saturating_sub(REPORT_LIFETIME));
+                (has_propagated(phase_for) && (is_base_drained || age >= schedule.end_by))
                     .then(|| (RolloutPhase::Completed, rollout.reason.clone()))
             }
             RolloutPhase::Waiting | RolloutPhase::Completed | RolloutPhase::RolledBack => None,
@@ -307,8 +310,8 @@
 }
 
 /// The version that a service's current roll-out puts in service; `None` where it changes nothing.
-fn version_in_service(of_service: &ServiceRollouts) -> Option<String> {
-    let current = of_service.current.as_ref()?;
+fn version_in_service(service_rollouts: &ServiceRollouts) -> Option<String> {
+    let current = service_rollouts.current.as_ref()?;
     match current.phase {
         RolloutPhase::Switched | RolloutPhase::Completed => Some(current.order.target_version.clone()),
         RolloutPhase::RolledBack => current.base_version.clone(),
@@ -320,8 +323,8 @@
 fn has_endpoints(rollout: &Rollout, registry: &Registry) -> bool {
     let count = |version: &str| {
         let records = registry.records().filter(|record| record.state == EndpointState::Ready);
-        let of_service = records.filter(|record| record.service == rollout.order.service);
-        of_service.filter(|record| record.version == version).count()
+        let service_rollouts = records.filter(|record| record.service == rollout.order.service);
+        service_rollouts.filter(|record| record.version == version).count()
     };
     let base = rollout.base_version.as_deref().map_or(0, count);
     let target = count(&rollout.order.target_version);
@@ -331,8 +334,8 @@
 /// Requests that an endpoint of the new version processes concurrently; the least of all.
 fn capacity_of_target(rollout: &Rollout, registry: &Registry) -> u32 {
     let records = registry.records().filter(|record| record.state == EndpointState::Ready);
-    let of_service = records.filter(|record| record.service == rollout.order.service);
-    let target = of_service.filter(|record| record.version == rollout.order.target_version);
+    let service_rollouts = records.filter(|record| record.service == rollout.order.service);
+    let target = service_rollouts.filter(|record| record.version == rollout.order.target_version);
     target.map(|record| record.capacity).min().unwrap_or(0)
 }
 
@@ -341,7 +344,7 @@
     targets.map(|target: &Tally| target.ended).sum()
 }
 
-fn grant_of(id: u64, share: Share, load_test: Option<u16>) -> ShareGrant {
+fn share_grant(id: u64, share: Share, load_test: Option<u16>) -> ShareGrant {
     let per_mille = |share: f64| (share * 1_000.0) as u16;
     ShareGrant {
         id,
--- a/crates/router/control-plane/src/rollout/evidence.rs
+++ b/crates/router/control-plane/src/rollout/evidence.rs
@@ -22,7 +22,7 @@
 
 /// The last report of a sidecar.
 #[derive(Debug)]
-struct Received {
+struct ReceivedReport {
     at: Duration,
     request_id: u64,
     report: RolloutReport,
@@ -31,22 +31,22 @@
 /// Everything that is known of one roll-out beside its record.
 #[derive(Debug)]
 pub struct Evidence {
-    /// Age when `aged_at` was now; a lower bound.
+    /// Age when `age_observed_at` was now; a lower bound.
     age: Duration,
-    aged_at: Duration,
+    age_observed_at: Duration,
     /// By the process that reported: after a restart it counts from zero, and what it had counted before stays.
-    reports: BTreeMap<(SocketAddrV4, u64), Received>,
+    reports: BTreeMap<(SocketAddrV4, u64), ReceivedReport>,
 }
 
 impl Evidence {
     /// No report yet, of a roll-out of this age.
     pub fn new(now: Duration, age: Duration) -> Self {
-        Evidence { age, aged_at: now, reports: BTreeMap::new() }
+        Evidence { age, age_observed_at: now, reports: BTreeMap::new() }
     }
 
     /// How old the roll-out is at least.
     pub fn age(&self, now: Duration) -> Duration {
-        self.age + now.saturating_sub(self.aged_at)
+        self.age + now.saturating_sub(self.age_observed_at)
     }
 
     /// Takes a sidecar's report unless a later one has come already.
@@ -57,9 +57,9 @@
         }
         let known_for = Duration::from_millis(report.known_for_ms);
         if known_for > self.age(now) {
-            (self.age, self.aged_at) = (known_for, now);
+            (self.age, self.age_observed_at) = (known_for, now);
         }
-        self.reports.insert(key, Received { at: now, request_id, report });
+        self.reports.insert(key, ReceivedReport { at: now, request_id, report });
     }
 
     /// Outcomes of all sidecars, by class.
@@ -81,7 +81,7 @@
 
     /// Whether all sidecars with a report since `since` send to the new version alone and have nothing left at others. False
     /// without any report.
-    pub fn has_left_base(&self, since: Duration) -> bool {
+    pub fn is_base_drained(&self, since: Duration) -> bool {
         let mut recent = self.reports.values().filter(|received| received.at >= since).peekable();
         recent.peek().is_some()
             && recent.all(|received| received.report.switched && received.report.base_in_flight == 0)
--- a/crates/router/control-plane/src/rollout/judge.rs
+++ b/crates/router/control-plane/src/rollout/judge.rs
@@ -3,7 +3,7 @@
 //! Requests count as failed or not, and as slow or not: slow is whoever takes several times as long as the median of its class at
 //! the base version. Each rate at the new version is compared with that at the base by a mixture of sequential probability ratios:
 //! under a rate of at most `tolerated`, the ratio of the likelihood under a uniformly drawn rate to that under `tolerated` exceeds
-//! `1 / FALSE_ALARM` at any time with a probability below `FALSE_ALARM` (Ville's inequality). So it may be looked at after every report.
+//! `1 / FALSE_POSITIVE_PROBABILITY` at any time with a probability below `FALSE_POSITIVE_PROBABILITY` (Ville's inequality). So it may be looked at after every report.
 
 use super::evidence::{Comparison, Comparisons};
 use passrelay_dissemination::{Measure, RequestClass, Tally, LOAD_TEST_CLASS};
@@ -11,7 +11,7 @@
 use std::collections::BTreeSet;
 
 /// Probability of condemning a version whose rates are tolerated, for each rate that is looked at.
-const FALSE_ALARM: f64 = 1e-4;
+const FALSE_POSITIVE_PROBABILITY: f64 = 1e-4;
 /// A version is never condemned by fewer failures, or slow requests.
 const MIN_EVENTS: f64 = 4.0;
 /// Failures are tolerated up to this rate, or to the base's with a margin.
@@ -51,13 +51,13 @@
                 |class: &RequestClass| class.route == *route && is_of_load_test(class) == is_load_test;
             let alike = comparisons.iter().filter(|(class, _)| is_alike(class));
             let alike: Classes = alike.map(|(class, comparison)| (*class, comparison)).collect();
-            if let Some(reason) = worse(&alike) {
+            if let Some(reason) = regression(&alike) {
                 let load = if is_load_test { " under load" } else { "" };
                 return Judgement::Bad(format!("route {route}{load}: {reason}"));
             }
         }
     }
-    if is_compared_enough(&routes, comparisons) {
+    if has_enough_requests(&routes, comparisons) {
         Judgement::Good
     } else {
         Judgement::Unknown
@@ -69,41 +69,44 @@
 }
 
 /// Why the new version is worse on these requests; `None` where nothing says so.
-fn worse(classes: &Classes) -> Option<String> {
-    let slow_whole = || slow(classes, Measure::Complete).map(|reason| format!("{reason} (whole answers)"));
-    failing(classes).or_else(|| slow(classes, Measure::FirstByte)).or_else(slow_whole)
+fn regression(classes: &Classes) -> Option<String> {
+    let slow_whole =
+        || latency_regression(classes, Measure::Complete).map(|reason| format!("{reason} (whole answers)"));
+    failure_regression(classes)
+        .or_else(|| latency_regression(classes, Measure::FirstByte))
+        .or_else(slow_whole)
 }
 
 type Classes<'a> = Vec<(&'a RequestClass, &'a Comparison)>;
 
 /// Events among requests at the new version, and the rate that is tolerated.
-struct Rate {
+struct RateTest {
     events: f64,
     requests: f64,
     tolerated: f64,
 }
 
-impl Rate {
+impl RateTest {
     fn is_exceeded(&self) -> bool {
-        let Rate { events, requests, tolerated } = *self;
+        let RateTest { events, requests, tolerated } = *self;
         if events < MIN_EVENTS || events <= tolerated * requests {
             return false;
         }
         let others = requests - events;
         let under_any = ln_beta(events + 1.0, others + 1.0);
         let under_tolerated = events * tolerated.ln() + others * (1.0 - tolerated).ln();
-        under_any - under_tolerated > -FALSE_ALARM.ln()
+        under_any - under_tolerated > -FALSE_POSITIVE_PROBABILITY.ln()
     }
 }
 
-fn failing(classes: &Classes) -> Option<String> {
+fn failure_regression(classes: &Classes) -> Option<String> {
     let (mut base, mut target) = (Tally::default(), Tally::default());
     for (_, comparison) in classes {
         base.add(&comparison.base);
         target.add(&comparison.target);
     }
     let base_rate = f64::from(base.failed) / f64::from(base.ended.max(1));
-    let rate = Rate {
+    let rate = RateTest {
         events: f64::from(target.failed),
         requests: f64::from(target.ended),
         tolerated: (base_rate * RATE_MARGIN + TOLERATED_FAILURES / 2.0).clamp(TOLERATED_FAILURES, 0.9),
@@ -117,25 +120,25 @@
     })
 }
 
-fn slow(classes: &Classes, measure: Measure) -> Option<String> {
+fn latency_regression(classes: &Classes, measure: Measure) -> Option<String> {
     let (mut slow, mut requests, mut expected) = (0.0, 0.0, 0.0);
     for (_, comparison) in classes.iter().filter(|(class, _)| class.measure == measure) {
-        let Some(threshold) = slow_from(&comparison.base) else { continue };
-        let (base_slow, base_requests) = count_from(&comparison.base, threshold);
-        let (target_slow, target_requests) = count_from(&comparison.target, threshold);
+        let Some(threshold) = slow_threshold(&comparison.base) else { continue };
+        let (base_slow, base_requests) = count_from_bucket(&comparison.base, threshold);
+        let (target_slow, target_requests) = count_from_bucket(&comparison.target, threshold);
         let tolerated = base_slow / base_requests * RATE_MARGIN + TOLERATED_SLOW;
         slow += target_slow;
         requests += target_requests;
         expected += target_requests * tolerated;
     }
     let tolerated = (expected / requests.max(1.0)).clamp(TOLERATED_SLOW, 0.9);
-    let rate = Rate { events: slow, requests, tolerated };
+    let rate = RateTest { events: slow, requests, tolerated };
     rate.is_exceeded()
         .then(|| format!("{slow} of {requests} requests took several times as long as at the version before"))
 }
 
 /// The bucket from which on a request is slow; `None` where too few say what is usual.
-fn slow_from(base: &Tally) -> Option<usize> {
+fn slow_threshold(base: &Tally) -> Option<usize> {
     let requests: u32 = base.latencies.iter().sum();
     let mut remaining = requests / 2;
     let median = base.latencies.iter().position(|count| {
@@ -147,13 +150,13 @@
 }
 
 /// Requests from a bucket on, and all.
-fn count_from(tally: &Tally, bucket: usize) -> (f64, f64) {
+fn count_from_bucket(tally: &Tally, bucket: usize) -> (f64, f64) {
     let slow: u32 = tally.latencies.iter().skip(bucket).sum();
     let all: u32 = tally.latencies.iter().sum();
     (f64::from(slow), f64::from(all))
 }
 
-fn is_compared_enough(routes: &BTreeSet<&str>, comparisons: &Comparisons) -> bool {
+fn has_enough_requests(routes: &BTreeSet<&str>, comparisons: &Comparisons) -> bool {
     let count = |route: Option<&str>, of: fn(&Comparison) -> &Tally| -> u32 {
         let fitting = comparisons.iter().filter(|(class, _)| route.is_none_or(|route| class.route == route));
         fitting.map(|(_, comparison)| of(comparison).ended).sum()
--- a/crates/router/control-plane/src/rollout/order.rs
+++ b/crates/router/control-plane/src/rollout/order.rs
@@ -22,7 +22,7 @@
     VersionSetByConfiguration(String),
     /// The processes were started without roll-outs among their contracts.
     #[error("roll-outs are not among the contracts of this fleet")]
-    NotInContract,
+    RolloutsNotEnabled,
     /// Too many orders of the service wait.
     #[error("backend: too many roll-outs of service {0} are under way")]
     TooManyWaiting(String),
@@ -40,7 +40,7 @@
 }
 
 /// Adjudicates an order against a state. `age_of` tells how old a roll-out is at least, by its id.
-pub fn adjudicate(
+pub fn evaluate_order(
     order: &RolloutOrder,
     state: &ReplicatedState,
     age_of: impl Fn(u64) -> Duration,
--- a/crates/router/control-plane/src/rollout/schedule.rs
+++ b/crates/router/control-plane/src/rollout/schedule.rs
@@ -15,17 +15,17 @@
 /// The same, as a fraction of the deadline where that is short.
 const END_MARGIN_FRACTION: u32 = 8;
 /// Time for the move, from the judgement to the end.
-const MAX_MOVE_TIME: Duration = Duration::from_millis(5_000);
+const MAX_SWITCHOVER_TIME: Duration = Duration::from_millis(5_000);
 /// The same, as percent of the time from the order to the end where that is short.
-const MOVE_TIME_PERCENT: u32 = 45;
+const SWITCHOVER_TIME_PERCENT: u32 = 45;
 /// A version that isn't judged good by then is not promoted any more.
-const MIN_MOVE_TIME_PERCENT: u32 = 20;
+const MIN_SWITCHOVER_TIME_PERCENT: u32 = 20;
 /// Of the share that the bound allows, what a canary gets: sidecars count their own requests and round.
 const CANARY_SHARE_OF_BOUND: f64 = 0.55;
 /// Until so many requests have ended, a canary gets half of that, and isn't tested under load.
-pub(super) const FIRST_REQUESTS: u32 = 8;
+pub(super) const MIN_REQUESTS_FOR_FULL_SHARE: u32 = 8;
 /// Endpoints of a canary get somewhat more each than they would in service, so that a fault under load shows.
-const CANARY_SPREAD: f64 = 0.75;
+const CANARY_ENDPOINT_FRACTION: f64 = 0.75;
 /// A load test begins so long before the promotion at the earliest, and has to have begun so long before it.
 const LOAD_TEST_TIME: Duration = Duration::from_millis(1_900);
 /// Shares of a load test are granted for so long; each router serves it once.
@@ -60,11 +60,11 @@
         let deadline = Duration::from_millis(rollout.order.deadline_ms);
         let end_by = deadline - MAX_END_MARGIN.min(deadline / END_MARGIN_FRACTION);
         let percent = |percent: u32| end_by * percent / 100;
-        let move_time = MAX_MOVE_TIME.min(percent(MOVE_TIME_PERCENT));
-        let min_move_time = move_time.min(percent(MIN_MOVE_TIME_PERCENT));
-        let promote_at = end_by - move_time;
+        let switchover_time = MAX_SWITCHOVER_TIME.min(percent(SWITCHOVER_TIME_PERCENT));
+        let min_switchover_time = switchover_time.min(percent(MIN_SWITCHOVER_TIME_PERCENT));
+        let promote_at = end_by - switchover_time;
         let load_test_at = promote_at.saturating_sub(LOAD_TEST_TIME);
-        Schedule { load_test_at, promote_at, promote_by: end_by - min_move_time, end_by }
+        Schedule { load_test_at, promote_at, promote_by: end_by - min_switchover_time, end_by }
     }
 }
 
@@ -78,8 +78,8 @@
 /// The share of a canary, at most `bound` of all requests.
 pub(super) fn canary_share(bound: f64, requests_so_far: u32) -> Share {
     let full = bound * CANARY_SHARE_OF_BOUND;
-    let requests = if requests_so_far < FIRST_REQUESTS { full / 2.0 } else { full };
-    Share { requests, endpoints: requests * CANARY_SPREAD }
+    let requests = if requests_so_far < MIN_REQUESTS_FOR_FULL_SHARE { full / 2.0 } else { full };
+    Share { requests, endpoints: requests * CANARY_ENDPOINT_FRACTION }
 }
 
 /// How many requests a version that isn't judged may get, beside those of the canary.
@@ -99,13 +99,13 @@
 }
 
 /// Whether a load test that began some time ago still begins at routers.
-pub(super) fn is_load_test_granted(begun_for: Duration) -> bool {
-    begun_for < LOAD_TEST_GRANT_TIME
+pub(super) fn is_load_test_starting(elapsed: Duration) -> bool {
+    elapsed < LOAD_TEST_GRANT_TIME
 }
 
 /// Whether the outcomes of a load test that began some time ago are known.
-pub(super) fn is_load_tested(begun_for: Duration) -> bool {
-    begun_for >= LOAD_TEST_TIME
+pub(super) fn is_load_test_complete(elapsed: Duration) -> bool {
+    elapsed >= LOAD_TEST_TIME
 }
 
 /// The share of a version that has been promoted for some time; `None` once it is to be switched.
@@ -116,6 +116,6 @@
 }
 
 /// Whether a version that has been in service for some time may end now, as far as time tells.
-pub(super) fn has_spread(switched_for: Duration) -> bool {
+pub(super) fn has_propagated(switched_for: Duration) -> bool {
     switched_for >= MIN_SWITCH_TIME
 }
--- a/crates/router/control-plane/tests/configuration_change.rs
+++ b/crates/router/control-plane/tests/configuration_change.rs
@@ -16,9 +16,9 @@
 
 /// The state after a change that must apply.
 fn apply(state: &ReplicatedState, change: &ConfigurationChange) -> ReplicatedState {
-    match change.adjudicate(state) {
+    match change.evaluate(state) {
         Verdict::Apply { generation, document, applied_change } => {
-            state.after(TERM, generation, document, applied_change)
+            state.with_change(TERM, generation, document, applied_change)
         }
         other => panic!("{change:?} does not apply: {other:?}"),
     }
@@ -36,7 +36,7 @@
 #[case::the_last(replacement(299, 300, "s"))]
 fn a_retried_change_counts_as_applied_whatever_was_applied_since(#[case] retried: ConfigurationChange) {
     let state = state_after_changes(300);
-    assert_eq!(retried.adjudicate(&state), Verdict::AlreadyApplied);
+    assert_eq!(retried.evaluate(&state), Verdict::AlreadyApplied);
 }
 
 #[test]
@@ -44,7 +44,7 @@
     let state = state_after_changes(4);
     let concurrent = replacement(3, 4, "other");
     assert_eq!(
-        concurrent.adjudicate(&state),
+        concurrent.evaluate(&state),
         Verdict::Reject(Rejection::GenerationMismatch { current: 4, base: 3 })
     );
 }
@@ -62,7 +62,7 @@
     #[case] verdict: Verdict,
 ) {
     let state = state_after_changes(CHANGES_BEYOND_HISTORY);
-    assert_eq!(change.adjudicate(&state), verdict);
+    assert_eq!(change.evaluate(&state), verdict);
 }
 
 #[test]
@@ -70,5 +70,5 @@
     let state = state_after_changes(CHANGES_BEYOND_HISTORY);
     let truncated_body =
         ConfigurationChange { kind: ChangeKind::Replace, base: 3, body: "{\"generation\": 4".into() };
-    assert!(matches!(truncated_body.adjudicate(&state), Verdict::Reject(Rejection::Invalid(_))));
+    assert!(matches!(truncated_body.evaluate(&state), Verdict::Reject(Rejection::Invalid(_))));
 }
--- a/crates/router/control-plane/tests/load.rs
+++ b/crates/router/control-plane/tests/load.rs
@@ -26,7 +26,9 @@
     from: u8,
     loads: Vec<EndpointLoad>,
 ) -> Option<EndpointLoad> {
-    let LoadMessage::Totals { loads, .. } = totals.report(now, sidecar(from), 1, loads) else { return None };
+    let LoadMessage::Totals { loads, .. } = totals.handle_report(now, sidecar(from), 1, loads) else {
+        return None;
+    };
     loads.first().copied()
 }
 
--- a/crates/router/control-plane/tests/rollout.rs
+++ b/crates/router/control-plane/tests/rollout.rs
@@ -3,7 +3,7 @@
 use passrelay_configuration::{RolloutOrder, RolloutPhase};
 use passrelay_control_plane::replication::ReplicatedState;
 use passrelay_control_plane::rollout::{
-    adjudicate, judge, Evidence, Judgement, OrderRejection, OrderVerdict,
+    evaluate_order, judge, Evidence, Judgement, OrderRejection, OrderVerdict,
 };
 use passrelay_dissemination::{
     ClassOutcomes, Incarnation, Measure, Peer, RequestClass, RolloutReport, Tally,
@@ -132,14 +132,14 @@
 #[test]
 fn the_old_version_is_left_once_all_who_report_have_left_it() {
     let mut evidence = Evidence::new(ms(0), ms(0));
-    assert!(!evidence.has_left_base(ms(0)), "nobody has reported");
+    assert!(!evidence.is_base_drained(ms(0)), "nobody has reported");
     let left = RolloutReport { switched: true, ..report(7, 0, Vec::new()) };
     evidence.observe(ms(10), sidecar(1, 1), 1, left.clone());
     evidence.observe(ms(10), sidecar(2, 1), 1, RolloutReport { base_in_flight: 1, ..left.clone() });
-    assert!(!evidence.has_left_base(ms(0)));
-    assert!(!evidence.has_left_base(ms(20)), "no report since");
+    assert!(!evidence.is_base_drained(ms(0)));
+    assert!(!evidence.is_base_drained(ms(20)), "no report since");
     evidence.observe(ms(30), sidecar(2, 1), 2, left);
-    assert!(evidence.has_left_base(ms(0)));
+    assert!(evidence.is_base_drained(ms(0)));
 }
 
 // ---- Orders ----
@@ -154,20 +154,20 @@
 }
 
 fn accept(state: &ReplicatedState, order: &RolloutOrder) -> ReplicatedState {
-    let OrderVerdict::Accept(rollouts) = adjudicate(order, state, |_| ms(0)) else { panic!("accepted") };
+    let OrderVerdict::Accept(rollouts) = evaluate_order(order, state, |_| ms(0)) else { panic!("accepted") };
     state.with_rollouts(1, rollouts, state.service_versions.clone())
 }
 
 #[test]
 fn the_same_order_again_is_the_one_of_before_until_its_deadline_is_over() {
     let mut state = accept(&configured(&json!({ "name": "s" })), &order("v2"));
-    assert_eq!(adjudicate(&order("v2"), &state, |_| ms(9)), OrderVerdict::AlreadyAccepted);
+    assert_eq!(evaluate_order(&order("v2"), &state, |_| ms(9)), OrderVerdict::AlreadyAccepted);
     let of_service = state.rollouts.of_mut("s");
     let mut ended = of_service.waiting.remove(0);
     ended.phase = RolloutPhase::RolledBack;
     of_service.current = Some(ended);
-    assert_eq!(adjudicate(&order("v2"), &state, |_| ms(11_999)), OrderVerdict::AlreadyAccepted);
-    assert!(matches!(adjudicate(&order("v2"), &state, |_| ms(12_000)), OrderVerdict::Accept(_)));
+    assert_eq!(evaluate_order(&order("v2"), &state, |_| ms(11_999)), OrderVerdict::AlreadyAccepted);
+    assert!(matches!(evaluate_order(&order("v2"), &state, |_| ms(12_000)), OrderVerdict::Accept(_)));
 }
 
 #[test]
@@ -179,7 +179,7 @@
     let waiting = &state.rollouts.of("s").unwrap().waiting;
     assert_eq!(waiting.iter().map(|one| one.id).collect::<Vec<_>>(), [1, 2, 3, 4]);
     let rejection = OrderRejection::TooManyWaiting("s".to_owned());
-    assert_eq!(adjudicate(&order("v6"), &state, |_| ms(0)), OrderVerdict::Reject(rejection));
+    assert_eq!(evaluate_order(&order("v6"), &state, |_| ms(0)), OrderVerdict::Reject(rejection));
 }
 
 #[rstest]
@@ -189,7 +189,7 @@
     #[case] service: serde_json::Value,
     #[case] rejection: OrderRejection,
 ) {
-    let verdict = adjudicate(&order("v2"), &configured(&service), |_| ms(0));
+    let verdict = evaluate_order(&order("v2"), &configured(&service), |_| ms(0));
     assert_eq!(verdict, OrderVerdict::Reject(rejection));
 }
 
--- a/crates/router/control-plane/tests/state_delta.rs
+++ b/crates/router/control-plane/tests/state_delta.rs
@@ -30,13 +30,13 @@
 /// The state of term 1 after so many changes.
 fn state(changes: u64) -> ReplicatedState {
     (1..=changes).fold(ReplicatedState::default(), |state, generation| {
-        state.after(1, generation, document(generation), change(generation))
+        state.with_change(1, generation, document(generation), change(generation))
     })
 }
 
 fn next(state: &ReplicatedState) -> ReplicatedState {
     let generation = state.generation + 1;
-    state.after(1, generation, document(generation), change(generation))
+    state.with_change(1, generation, document(generation), change(generation))
 }
 
 fn delta(state: &ReplicatedState) -> Arc<StateDelta> {
@@ -66,7 +66,7 @@
     let first = state(1);
     assert_eq!(first.delta_from(&ReplicatedState::default()), None);
     assert_eq!(state(3).delta_from(&first), None);
-    let replaced = first.after(1, 2, "[]".into(), change(2));
+    let replaced = first.with_change(1, 2, "[]".into(), change(2));
     assert_eq!(replaced.delta_from(&first), None, "a delta of a short document is no shorter");
 }
 
