--- a/crates/router/control-plane/src/coordinator.rs
+++ b/crates/router/control-plane/src/coordinator.rs
@@ -1,10 +1,10 @@
-//! Composition of the control plane of one process, and the entry points that its driver calls.
+//! The coordinator: composes the control plane of one process and provides the entry points for its driver.
 //!
-//! A process takes part in dissemination always, in replication if it is a voter, and grants quota and adjudicates
-//! operator calls while its replica is the established primary. The coordinator owns these state machines, routes
-//! messages between them and hands committed state from replication to dissemination. It has no clock, sockets or
-//! disk: the driver (the router's node, or the cluster simulation) passes `now` and messages in and applies the
-//! returned [`Action`]s in their order. It makes no consensus decision of its own; those are in
+//! Every process takes part in dissemination; voters also take part in replication. The process whose replica is the
+//! established primary also grants quota, controls rollouts and evaluates operator calls. The coordinator owns these
+//! state machines, routes messages between them and hands committed state from replication to dissemination. It has no
+//! clock, sockets or disk: the driver (the router's node, or the cluster simulation) passes in `now` and messages, and
+//! executes the returned [`Action`]s in order. Consensus decisions are made only in
 //! [`replication`](crate::replication).
 
 mod bootstrap;
@@ -36,30 +36,31 @@
 use std::time::Duration;
 use version_recorder::VersionRecorder;
 
-/// The driver calls [`Coordinator::tick`] at least this often. Bounds the delay of timers that the coordinator itself
-/// owns: level reports and timeouts of operator calls.
+/// The driver calls [`Coordinator::tick`] at least this often. This bounds the delay of the coordinator's own timers:
+/// reports of bucket levels and timeouts of operator calls.
 const MAX_TICK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Configuration of a [`Coordinator`], fixed for the life of the process.
 #[derive(Clone, Debug)]
 pub struct CoordinatorSettings {
-    /// For dissemination.
+    /// Configuration of dissemination.
     pub gossip: GossipSettings,
-    /// For replication: settings and recovered durable state. `None` on non-voters, and on voters whose disk is not
-    /// open yet; see [`Coordinator::attach_replica`].
+    /// Configuration of replication and the recovered durable state. `None` on non-voters, and on voters whose disk is
+    /// not open yet; see [`Coordinator::attach_replica`].
     pub replica: Option<(ReplicaSettings, DurableState)>,
-    /// Incarnation of this process.
+    /// Identifies this process among all processes that have run at its address.
     pub incarnation: Incarnation,
     /// Whether this machine is a voter. Its replica may be attached later, once the disk is open.
     pub is_voter: bool,
-    /// Number of voters that may be lost at the same time.
+    /// Number of voters that may be lost at the same time without losing a committed state.
     pub tolerated_losses: usize,
     /// How far the fleet may exceed a tenant's quota.
     pub quota_bounds: QuotaBounds,
-    /// Whether a version of a service gets requests only once it was recorded or ordered. Otherwise endpoints of all versions
-    /// are alike, unless the configuration sets one.
+    /// Whether a version of a service receives requests only after it was recorded or ordered. Otherwise endpoints of all
+    /// versions are equivalent, unless the configuration sets a version. Operators can order rollouts only if this is
+    /// set.
     pub records_versions: bool,
-    /// What a version may get before it is judged. Operators order roll-outs where versions are recorded.
+    /// Requests that a new version may receive before it is judged, in rollouts.
     pub exposure_bound: ExposureBound,
 }
 
@@ -67,9 +68,9 @@
 pub struct Coordinator {
     own: Peer,
     gossip: Gossip,
-    /// On voters, once their disk is open.
+    /// Present on voters, once their disk is open.
     replica: Option<Replica>,
-    /// On a non-voting seed, until the core is known.
+    /// Present on a non-voting seed, until the core is known.
     non_voting_seed: Option<NonVotingSeed>,
     quota: GrantorLifecycle,
     /// Load reports of all sidecars; current only on the established primary.
@@ -82,7 +83,7 @@
 }
 
 impl Coordinator {
-    /// The control plane of a process that starts at `now`.
+    /// Creates the control plane of a process that starts at `now`.
     pub fn new(now: Duration, settings: CoordinatorSettings) -> Self {
         let own = Peer { address: settings.gossip.own, incarnation: settings.incarnation };
         let non_voting_seed =
@@ -101,17 +102,17 @@
         }
     }
 
-    /// The state of dissemination.
+    /// Returns the state of dissemination.
     pub fn gossip(&self) -> &Gossip {
         &self.gossip
     }
 
-    /// The replica, on voters whose disk is open.
+    /// Returns the replica of a voter whose disk is open; `None` on other processes.
     pub fn replica(&self) -> Option<&Replica> {
         self.replica.as_ref()
     }
 
-    /// Starts the replica of a voter, once its disk is open. Until then the process takes no part in replication.
+    /// Starts the replica of a voter once its disk is open. Before that, the process takes no part in replication.
     pub fn attach_replica(&mut self, now: Duration, settings: ReplicaSettings, durable: DurableState) {
         self.replica = Some(Replica::new(now, settings, durable));
     }
@@ -131,7 +132,7 @@
         self.gossip.set_seeds(seeds);
     }
 
-    /// Advances all timers to `now`. Returns the latest time of the next call.
+    /// Advances all timers to `now`. Returns the time by which it has to be called again.
     pub fn tick(&mut self, now: Duration, actions: &mut Vec<Action>) -> Duration {
         let mut context = Context::new(now, self.own, actions);
         let mut next_tick = now + MAX_TICK_INTERVAL;
@@ -148,7 +149,7 @@
         next_tick
     }
 
-    /// Handles a message from the process at `from`. A response to an earlier incarnation at this address is dropped.
+    /// Handles a message from the process at `from`. Drops responses to an earlier incarnation at this address.
     pub fn receive(
         &mut self,
         now: Duration,
@@ -166,7 +167,7 @@
         self.advance(&mut context);
     }
 
-    /// Completion of the write `write_id`: synced if `succeeded`, otherwise failed.
+    /// Handles the end of the write `write_id`: it is durable if `succeeded` is true, otherwise it failed.
     pub fn write_completed(
         &mut self,
         now: Duration,
@@ -183,7 +184,8 @@
         self.advance(&mut context);
     }
 
-    /// An operator call received by this process. Answered exactly once, by [`Action::Answer`], within a second.
+    /// Handles an operator call received by this process. It is answered exactly once, by [`Action::Answer`], within a
+    /// second.
     pub fn operator_call(
         &mut self,
         now: Duration,
@@ -196,20 +198,20 @@
         self.advance(&mut context);
     }
 
-    /// A heartbeat of an endpoint.
+    /// Handles a heartbeat of an endpoint.
     pub fn heartbeat(&mut self, now: Duration, heartbeat: &Heartbeat, actions: &mut Vec<Action>) {
         let mut context = Context::new(now, self.own, actions);
         context.step_gossip(&mut self.gossip, |gossip, actions| gossip.heartbeat(now, heartbeat, actions));
     }
 
-    /// The endpoint `id` has shut down gracefully.
+    /// Handles the graceful shutdown of the endpoint `id`.
     pub fn deregister(&mut self, now: Duration, id: &str, actions: &mut Vec<Action>) {
         let mut context = Context::new(now, self.own, actions);
         context.step_gossip(&mut self.gossip, |gossip, actions| gossip.deregister(now, id, actions));
     }
 
-    /// Requests the core's acknowledgement of the record of `endpoint` known here;
-    /// [`Action::AnnouncementConfirmed`] reports it.
+    /// Requests the core's acknowledgement of the record of `endpoint` known here. [`Action::AnnouncementConfirmed`]
+    /// reports the acknowledgement.
     pub fn announce(&mut self, now: Duration, endpoint: &str) -> Announcement {
         self.gossip.announce(now, endpoint)
     }
@@ -256,7 +258,8 @@
         }
     }
 
-    /// Sends a message to the primary; handles it here where this process is the primary.
+    /// Sends a message to the primary, or handles it here if this process is the primary. Drops it while no primary is
+    /// known.
     fn send_to_primary(&mut self, message: Message, context: &mut Context<'_>) {
         let Some(primary) = self.gossip.core().map(|core| core.primary) else { return };
         if primary == self.own.address {
@@ -271,8 +274,8 @@
         self.operator_calls.submit(core, caller, request, context);
     }
 
-    /// Runs after every event that may have moved the replica. Publication goes first, so that gossip and the grantor
-    /// are at the committed state before an operator receives its acknowledgement.
+    /// Advances everything that depends on the replica. Runs after every event that may have changed it. Publication goes
+    /// first, so that gossip and the grantor use the committed state before an operator receives its acknowledgement.
     fn advance(&mut self, context: &mut Context<'_>) {
         self.publish(context);
         self.record_versions(context);
--- a/crates/router/control-plane/src/coordinator/bootstrap.rs
+++ b/crates/router/control-plane/src/coordinator/bootstrap.rs
@@ -1,8 +1,8 @@
-//! Replication messages, and the bootstrap of a non-voting seed.
+//! Routing of replication messages, and the bootstrap of a non-voting seed.
 //!
-//! A voter's replica handles all replication messages itself, those of bootstrap included. A seed that is not a voter
-//! has no replica, but the others wait for it to state so, and where no seed is a voter the first of them proposes the
-//! first record; [`NonVotingSeed`](crate::replication::NonVotingSeed) does both until the core is known.
+//! A voter's replica handles all replication messages, including those of the bootstrap. A seed that is not a voter has
+//! no replica, but the other seeds wait until it announces this, and if no seed is a voter, the first of them proposes the
+//! first record. [`NonVotingSeed`](crate::replication::NonVotingSeed) does both until the core is known.
 
 use super::context::Context;
 use super::Coordinator;
@@ -34,7 +34,7 @@
         context.append_replica_actions(self.replication_sender(), replica_actions);
     }
 
-    /// Advances the bootstrap of a non-voting seed, and ends it once the core is known.
+    /// Advances the bootstrap of a non-voting seed. Ends it once the core is known.
     pub(super) fn tick_bootstrap(&mut self, context: &mut Context<'_>) {
         if self.gossip.core().is_some() {
             self.non_voting_seed = None;
@@ -45,9 +45,10 @@
         context.append_replica_actions(self.replication_sender(), replica_actions);
     }
 
-    /// The member that this process speaks for. Without a replica it is none, so nothing it sends counts as a vote.
+    /// Returns the member that this process sends replication messages for. Without a replica this is the placeholder for
+    /// an unknown member, so that no message of this process counts as a vote.
     fn replication_sender(&self) -> Member {
-        let nobody = Member { id: MemberId::UNKNOWN, address: self.own.address };
-        self.replica.as_ref().map_or(nobody, Replica::own)
+        let unknown_member = Member { id: MemberId::UNKNOWN, address: self.own.address };
+        self.replica.as_ref().map_or(unknown_member, Replica::own)
     }
 }
--- a/crates/router/control-plane/src/coordinator/context.rs
+++ b/crates/router/control-plane/src/coordinator/context.rs
@@ -1,6 +1,6 @@
-//! One step of the coordinator: the time of its event, and the actions that it emits.
+//! The context of one step of the coordinator: the time of the event, and the list of emitted actions.
 //!
-//! All outgoing messages are put into their envelopes here, so that sender and addressee are set in one place. The
+//! All outgoing messages are wrapped in their envelopes here, so that sender and addressee are set in one place. The
 //! order of actions is part of the contract with the driver; a context only appends.
 
 use crate::messages::{Action, Envelope, Message};
@@ -9,10 +9,10 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// The event being handled: when it happened, and where the resulting actions go.
+/// The event being handled: its time, and the list that receives the resulting actions.
 pub(super) struct Context<'a> {
     now: Duration,
-    /// This process, the sender of all envelopes.
+    /// Address and incarnation of this process, the sender of all envelopes.
     own: Peer,
     actions: &'a mut Vec<Action>,
 }
@@ -22,12 +22,12 @@
         Context { now, own, actions }
     }
 
-    /// Time of the event, since the process started.
+    /// Returns the time of the event, measured from the start of the process.
     pub(super) fn now(&self) -> Duration {
         self.now
     }
 
-    /// This process.
+    /// Returns the address and incarnation of this process.
     pub(super) fn own(&self) -> Peer {
         self.own
     }
@@ -36,7 +36,7 @@
         self.actions.push(action);
     }
 
-    /// Sends a request or notification, for whichever process listens at the address.
+    /// Sends a request or notification to whichever process listens at the address.
     pub(super) fn send(&mut self, to: SocketAddrV4, message: Message) {
         self.send_envelope(to, None, message);
     }
@@ -72,7 +72,7 @@
         result
     }
 
-    /// Appends actions of replication; `sender` is the member that they speak for.
+    /// Appends actions of replication. `sender` is the member that their messages are attributed to.
     pub(super) fn append_replica_actions(&mut self, sender: Member, replica_actions: Vec<ReplicaAction>) {
         for action in replica_actions {
             match action {
--- a/crates/router/control-plane/src/coordinator/load_reports.rs
+++ b/crates/router/control-plane/src/coordinator/load_reports.rs
@@ -1,7 +1,8 @@
 //! Load reports: sidecars report to the primary, which responds with the totals over the fleet.
 //!
 //! Totals are a hint for load balancing and need no confirmation by a quorum. A process that is not the established
-//! primary ignores reports: the totals of a deposed one would miss the sidecars that already report elsewhere.
+//! primary ignores reports: the totals of a deposed primary would lack the sidecars that already report to its
+//! successor.
 
 use super::context::Context;
 use super::Coordinator;
@@ -11,7 +12,7 @@
 use passrelay_dissemination::Peer;
 
 impl Coordinator {
-    /// Handles a load report, or the totals that respond to this process's own.
+    /// Handles a load report of a sidecar, or the totals sent in response to this process's own report.
     pub(super) fn receive_load(&mut self, from: Peer, message: LoadMessage, context: &mut Context<'_>) {
         let LoadMessage::Report { request_id, loads } = message else {
             context.push(Action::LoadTotals(message));
--- a/crates/router/control-plane/src/coordinator/operator_calls.rs
+++ b/crates/router/control-plane/src/coordinator/operator_calls.rs
@@ -1,23 +1,26 @@
-//! Operator calls: forwarded to the primary, adjudicated there, and answered once the answer is safe to give.
+//! Operator calls: they are forwarded to the primary, evaluated there, and answered once the answer is safe to give.
 //!
 //! A call is a state machine:
 //!
 //! ```text
-//! Open --adjudicated by the established primary--> AwaitCommit                  change applied, now or before
-//!  |                                               AwaitRejectionConfirmation  change does not apply
-//!  |                                               AwaitReadConfirmation       read
-//!  |                                               HistoryTruncated            undecidable: unavailable
+//! Open --evaluated by the established primary--> AwaitCommit                 change applied, now or before
+//!  |                                             AwaitRejectionConfirmation  change does not apply
+//!  |                                             AwaitReadConfirmation       read
+//!  |                                             AwaitMajority               rollout accepted, now or before
+//!  |                                             AwaitOrderRejection         rollout not accepted
+//!  |                                             AwaitRolloutRead            read of a rollout
+//!  |                                             HistoryTruncated            undecidable: unavailable
 //!  +--on any other process: forwarded to the primary, whose answer completes it
 //! ```
 //!
-//! Safety: a change is adjudicated against the primary's newest state, which may not be committed yet. An
-//! acknowledgement waits until that state is committed. A rejection waits for that too, and then until a quorum has
-//! confirmed, at or after the adjudication, that there is no later primary; a read waits for such a confirmation and
-//! serves the committed state. Without the confirmation a deposed primary could answer from an old state.
-//! If the term changes while a call waits, its adjudication is void and the operator has to retry.
+//! Safety: a change is evaluated against the primary's newest state, which may not be committed yet. An acknowledgement
+//! waits until that state is committed. A rejection waits for that too, and then until a quorum has confirmed, at or
+//! after the evaluation, that there is no later primary; a read waits for such a confirmation and serves the committed
+//! state. Without the confirmation, a deposed primary could answer from an old state. If the term changes while a call
+//! waits, its evaluation is void and the operator has to retry.
 //!
-//! Calls are retried at any step without harm: a change is recognised by its digest
-//! ([`ConfigurationChange::evaluate`]). Nothing here is durable.
+//! Retrying a call is safe at any step: a change is recognised by its digest ([`ConfigurationChange::evaluate`]). Nothing
+//! here is durable.
 
 #[cfg(test)]
 mod tests;
@@ -34,20 +37,20 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// Timeout of a call; then 503, and the operator retries elsewhere. Operators are promised an answer within a second,
-/// so this stays below it.
+/// Timeout of a call. The operator then receives status 503 and retries at another process. Operators are guaranteed an
+/// answer within one second, so the timeout is below that.
 const CALL_TIMEOUT: Duration = Duration::from_millis(850);
-/// Interval at which a call is forwarded again to the same primary: messages may be lost. Two retries fit into
+/// Interval at which a call is forwarded again to the same primary, since messages may be lost. Two retries fit into
 /// [`CALL_TIMEOUT`].
 const FORWARD_RETRY_INTERVAL: Duration = Duration::from_millis(300);
 
-/// What operator calls see of the core.
+/// The parts of the coordinator that operator calls depend on.
 pub(super) struct CoreView<'a> {
-    /// The replica of this process, on voters.
+    /// The replica of this process; `None` unless it is a voter whose disk is open.
     replica: Option<&'a mut Replica>,
-    /// Address of the primary, as far as gossip knows it.
+    /// Address of the primary, if known through gossip.
     primary: Option<SocketAddrV4>,
-    /// The controller of roll-outs.
+    /// The rollout controller of this process.
     rollouts: &'a ControllerLifecycle,
 }
 
@@ -65,16 +68,16 @@
     }
 }
 
-/// Where a call came from. Identifies the call: a forwarded one that arrives twice is one call.
+/// The origin of a call. It identifies the call, so that a forwarded call that arrives twice counts once.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Caller {
     /// An operator connected to this process.
     Local(CallId),
-    /// Another process, which has the operator's connection.
+    /// Another process, to which the operator is connected.
     Forwarded { origin: Peer, call: CallId },
 }
 
-/// The calls of this process that are not answered yet.
+/// The pending calls of this process.
 #[derive(Default)]
 pub(super) struct OperatorCalls {
     /// In order of arrival, one per caller.
@@ -82,7 +85,7 @@
 }
 
 impl OperatorCalls {
-    /// Adds a call and advances all calls. A duplicate of a pending call is ignored.
+    /// Adds a call and advances all calls. Ignores a duplicate of a pending call.
     pub(super) fn submit(
         &mut self,
         core: CoreView<'_>,
@@ -98,7 +101,7 @@
         self.advance(core, context);
     }
 
-    /// The primary has answered a forwarded call. Later answers to the same call are ignored.
+    /// Handles the primary's answer to a call forwarded by this process. Ignores later answers to the same call.
     pub(super) fn complete_forwarded(
         &mut self,
         call: CallId,
@@ -112,7 +115,7 @@
         }
     }
 
-    /// Advances every call as far as possible, and answers those that are complete or timed out.
+    /// Advances every call as far as possible, and answers those that are complete or have timed out.
     pub(super) fn advance(&mut self, mut core: CoreView<'_>, context: &mut Context<'_>) {
         for mut call in std::mem::take(&mut self.pending) {
             match call.advance(&mut core, context) {
@@ -124,7 +127,7 @@
     }
 }
 
-/// A call that is not answered yet.
+/// A call that has not been answered yet.
 struct Call {
     caller: Caller,
     request: OperatorRequest,
@@ -133,7 +136,7 @@
 }
 
 impl Call {
-    /// Takes the next transition, if it is possible now. Returns the outcome of a call that is complete.
+    /// Makes the next transition, if it is possible now. Returns the outcome if the call is complete.
     fn advance(&mut self, core: &mut CoreView<'_>, context: &mut Context<'_>) -> Option<OperatorOutcome> {
         if matches!(self.state, CallState::Open { .. }) {
             let rollouts = core.rollouts;
@@ -148,9 +151,9 @@
         self.state.outcome(core.replica.as_deref()?)
     }
 
-    /// Sends a local call to the primary, if another process is that: at once to a new primary, at intervals to the
-    /// same. Forwarded calls are not forwarded again: two processes that each regard the other as the primary
-    /// would loop.
+    /// Sends a local call to the primary, if that is another process: immediately to a new primary, at intervals to the
+    /// same one. Forwarded calls are not forwarded again, since two processes that each regard the other as the primary
+    /// would forward them in a loop.
     fn forward(&mut self, primary: Option<SocketAddrV4>, context: &mut Context<'_>) {
         let CallState::Open { forwarded } = &mut self.state else { return };
         let Caller::Local(call) = self.caller else { return };
@@ -180,44 +183,45 @@
     }
 }
 
-/// The last forwarding of a call.
+/// The most recent forwarding of a call.
 struct Forwarded {
     to: SocketAddrV4,
     sent_at: Duration,
 }
 
 impl Forwarded {
-    /// Whether an answer of this primary may still be on its way.
+    /// Returns whether an answer of `primary` may still be in transit.
     fn is_in_flight(&self, now: Duration, primary: SocketAddrV4) -> bool {
         self.to == primary && now.saturating_sub(self.sent_at) < FORWARD_RETRY_INTERVAL
     }
 }
 
-/// How far a call has got. All states but `Open` are reached only on the primary of the term that they name, and are
+/// The state of a call. All states except `Open` are reached only on the primary of the term that they contain, and are
 /// void in any other term.
 enum CallState {
-    /// Not adjudicated: this process is not the established primary, or not yet.
+    /// Not evaluated: this process is not the established primary, or not yet.
     Open { forwarded: Option<Forwarded> },
     /// A change that is acknowledged once the state at `position` is committed.
     AwaitCommit { position: StateVersion, generation: u64 },
-    /// An order of a roll-out, acknowledged once the state at `position` is committed and on a majority of disks.
+    /// A rollout order that is acknowledged once the state at `position` is committed and on a majority of disks.
     AwaitMajority { position: StateVersion },
-    /// An order that is rejected once a quorum has confirmed the primary at or after `evaluated_at`.
+    /// A rollout order that is rejected once the state at `position` is committed and a quorum has confirmed the primary
+    /// at or after `evaluated_at`.
     AwaitOrderRejection { position: StateVersion, evaluated_at: Duration, rejection: OrderRejection },
-    /// A read of a roll-out, served once a quorum has confirmed the primary at or after `requested_at` and the state is on a majority
-    /// of disks.
+    /// A read of a rollout that is served once a quorum has confirmed the primary at or after `requested_at` and the
+    /// committed state is on a majority of disks.
     AwaitRolloutRead { term: u64, requested_at: Duration, service: String },
-    /// A rejection, valid once the state at `position` is committed and a quorum has confirmed the primary at or after
-    /// `evaluated_at`.
+    /// A change that is rejected once the state at `position` is committed and a quorum has confirmed the primary at or
+    /// after `evaluated_at`.
     AwaitRejectionConfirmation { position: StateVersion, evaluated_at: Duration, rejection: Rejection },
-    /// A read, served once a quorum has confirmed the primary at or after `requested_at`.
+    /// A read that is served once a quorum has confirmed the primary at or after `requested_at`.
     AwaitReadConfirmation { term: u64, requested_at: Duration },
-    /// A change that may have been applied and dropped from the history since.
+    /// A change that may have been applied and since been dropped from the history.
     HistoryTruncated { term: u64 },
 }
 
 impl CallState {
-    /// The outcome, once it is safe to answer with.
+    /// Returns the outcome, once the call can safely be answered with it.
     fn outcome(&self, replica: &Replica) -> Option<OperatorOutcome> {
         let term = self.evaluated_term()?;
         let committed = replica.committed().filter(|_| replica.is_established());
@@ -258,7 +262,7 @@
         }
     }
 
-    /// The term of the primary that adjudicated the call.
+    /// Returns the term of the primary that evaluated the call; `None` for an open call.
     fn evaluated_term(&self) -> Option<u64> {
         match self {
             CallState::Open { .. } => None,
@@ -273,20 +277,21 @@
     }
 }
 
-/// A confirmed read of the committed state.
+/// Returns the outcome of a confirmed read of the configuration.
 fn read(committed: &ReplicatedState) -> OperatorOutcome {
     let document = committed.document.clone().ok_or(OperatorError::NotConfigured)?;
     Ok(OperatorReply::Document(document))
 }
 
-/// A confirmed read of a service's roll-out.
+/// Returns the outcome of a confirmed read of a service's rollout.
 fn read_rollout(committed: &ReplicatedState, service: &str) -> OperatorOutcome {
     let rollouts = committed.rollouts.of(service);
     let rollout = rollouts.and_then(|rollouts| rollouts.all().next()).ok_or(OperatorError::NoRollout)?;
     Ok(OperatorReply::Rollout(rollout.clone()))
 }
 
-/// Adjudicates a request on an established primary. `None` if a change cannot be proposed right now; the call stays open.
+/// Evaluates a request on an established primary. Returns `None` if a change cannot be proposed at the moment; the call
+/// then stays open.
 fn evaluate(
     request: &OperatorRequest,
     replica: &mut Replica,
@@ -310,7 +315,7 @@
     }
 }
 
-/// Adjudicates an order of a roll-out against the newest state, committed or not.
+/// Evaluates a rollout order against the newest state, committed or not.
 fn evaluate_order(
     order: &RolloutOrder,
     replica: &mut Replica,
@@ -340,8 +345,8 @@
     }
 }
 
-/// Adjudicates a change against the newest state, committed or not: changes are proposed one on the other without
-/// waiting for the commit of the one before.
+/// Evaluates a change against the newest state, committed or not: a change is proposed on top of its predecessor without
+/// waiting for that one to be committed.
 fn evaluate_change(
     change: &ConfigurationChange,
     replica: &mut Replica,
--- a/crates/router/control-plane/src/coordinator/operator_calls/tests.rs
+++ b/crates/router/control-plane/src/coordinator/operator_calls/tests.rs
@@ -10,8 +10,8 @@
 use std::time::Duration;
 
 const CALL: CallId = CallId(7);
-/// Port of the process under test; the others differ in the port only.
-const OWN: u16 = 1;
+/// Port of the process under test. The addresses of all processes differ only in the port.
+const OWN_PORT: u16 = 1;
 const PRIMARY: u16 = 2;
 const NEXT_PRIMARY: u16 = 3;
 const TIMEOUT_BODY: &str = r#"{"error":"no primary answered in time, ask again"}"#;
@@ -24,10 +24,10 @@
     Peer { address: address(port), incarnation: Incarnation(u64::from(port)) }
 }
 
-/// Runs a step at a time in ms, on a process without replica that knows this primary; the actions it emits.
+/// Runs a step at `at_ms` on a process without a replica that knows `primary`. Returns the emitted actions.
 fn step(at_ms: u64, primary: Option<u16>, step: impl FnOnce(CoreView<'_>, &mut Context<'_>)) -> Vec<Action> {
     let mut actions = Vec::new();
-    let mut context = Context::new(Duration::from_millis(at_ms), process(OWN), &mut actions);
+    let mut context = Context::new(Duration::from_millis(at_ms), process(OWN_PORT), &mut actions);
     let rollouts = ControllerLifecycle::new(None);
     step(CoreView { replica: None, primary: primary.map(address), rollouts: &rollouts }, &mut context);
     actions
@@ -45,10 +45,10 @@
     step(100, Some(PRIMARY), |_, context| calls.complete_forwarded(CALL, answer.clone(), context))
 }
 
-/// The call, forwarded to a process.
+/// Returns the action that forwards the call to the process at `port`.
 fn forwarded_to(port: u16) -> Vec<Action> {
     let message = Message::Operator(OperatorMessage::Call { call: CALL, request: OperatorRequest::Read });
-    let envelope = Envelope { sender: process(OWN).incarnation, addressee: None, message };
+    let envelope = Envelope { sender: process(OWN_PORT).incarnation, addressee: None, message };
     vec![Action::Send { to: address(port), envelope }]
 }
 
@@ -63,8 +63,8 @@
 
 #[rstest]
 #[case::no_primary_known(None, Caller::Local(CALL))]
-#[case::own_address_is_the_primary(Some(OWN), Caller::Local(CALL))]
-#[case::forwarded_before(Some(PRIMARY), Caller::Forwarded { origin: process(NEXT_PRIMARY), call: CALL })]
+#[case::own_address_is_the_primary(Some(OWN_PORT), Caller::Local(CALL))]
+#[case::already_forwarded(Some(PRIMARY), Caller::Forwarded { origin: process(NEXT_PRIMARY), call: CALL })]
 fn a_call_that_cannot_be_forwarded_stays_open(#[case] primary: Option<u16>, #[case] caller: Caller) {
     let mut calls = OperatorCalls::default();
     assert_eq!(submit(&mut calls, 0, primary, caller), []);
@@ -107,6 +107,6 @@
     let answer = OperatorAnswer { status: 503, body: TIMEOUT_BODY.into() };
     let message = Message::Operator(OperatorMessage::Answer { call: CALL, answer });
     let envelope =
-        Envelope { sender: process(OWN).incarnation, addressee: Some(origin.incarnation), message };
+        Envelope { sender: process(OWN_PORT).incarnation, addressee: Some(origin.incarnation), message };
     assert_eq!(advance(&mut calls, 850, None), [Action::Send { to: origin.address, envelope }]);
 }
--- a/crates/router/control-plane/src/coordinator/operator_outcome.rs
+++ b/crates/router/control-plane/src/coordinator/operator_outcome.rs
@@ -1,4 +1,4 @@
-//! Outcomes of operator calls, and the only place where they are mapped to status code and body.
+//! Outcomes of operator calls, and their mapping to HTTP status codes and bodies.
 
 #[cfg(test)]
 mod tests;
@@ -14,18 +14,18 @@
 const STATUS_OK: u16 = 200;
 /// The change would not result in a valid configuration.
 const STATUS_BAD_REQUEST: u16 = 400;
-/// There is nothing to read yet.
+/// There is nothing to read yet, or rollouts are not enabled.
 const STATUS_NOT_FOUND: u16 = 404;
-/// The change does not build on the current generation.
+/// The change is not based on the current generation.
 const STATUS_PRECONDITION_FAILED: u16 = 412;
-/// The order contradicts others that are under way.
+/// Too many rollout orders of the service are waiting.
 const STATUS_CONFLICT: u16 = 409;
-/// The order can be read, and doesn't fit the configuration.
+/// The rollout order is well-formed but does not fit the configuration.
 const STATUS_UNPROCESSABLE: u16 = 422;
-/// Neither served nor rejected: the operator has to retry or to read first.
+/// The call was neither served nor rejected: the operator has to retry, or to read first.
 const STATUS_SERVICE_UNAVAILABLE: u16 = 503;
 
-/// What a call ends with.
+/// Result of a completed call.
 pub(super) type OperatorOutcome = Result<OperatorReply, OperatorError>;
 
 /// A call that was served.
@@ -33,11 +33,11 @@
 pub(super) enum OperatorReply {
     /// A read: the newest committed configuration, JSON.
     Document(Arc<str>),
-    /// A change: committed, now or earlier. `generation` is the newest one that the acknowledging state contains.
+    /// A change: committed, by this call or an earlier one. `generation` is that of the acknowledging state.
     Acknowledged { generation: u64 },
-    /// An order of a roll-out, now or earlier, on a majority of disks.
+    /// A rollout order: accepted, by this call or an earlier one, and on a majority of disks.
     RolloutAccepted,
-    /// A read of a roll-out.
+    /// A read of a service's rollout.
     Rollout(Rollout),
 }
 
@@ -50,19 +50,19 @@
     /// A change that cannot be applied.
     #[error(transparent)]
     Rejected(#[from] Rejection),
-    /// A read of the roll-out of a service that had none.
+    /// A read of the rollout of a service without one.
     #[error("no roll-out of this service was ordered")]
     NoRollout,
-    /// An order that cannot be accepted.
+    /// A rollout order that cannot be accepted.
     #[error(transparent)]
     OrderRejected(#[from] OrderRejection),
-    /// No outcome became certain within the timeout of a call.
+    /// The call timed out before its outcome was certain.
     #[error("no primary answered in time, ask again")]
     Timeout,
-    /// This process lost its role as primary of the term in which it had adjudicated the call.
+    /// This process is no longer the primary of the term in which it evaluated the call.
     #[error("the primary changed, ask again")]
     PrimaryChanged,
-    /// The history of applied changes no longer reaches back to the change.
+    /// The history of applied changes no longer reaches back to the base of the change.
     #[error("the order is too old to tell whether it was taken, read first")]
     HistoryTruncated,
 }
--- a/crates/router/control-plane/src/coordinator/operator_outcome/tests.rs
+++ b/crates/router/control-plane/src/coordinator/operator_outcome/tests.rs
@@ -1,4 +1,4 @@
-//! Status codes and bodies of answers to operators, byte by byte: they are part of the operators' API.
+//! Exact status codes and bodies of answers to operators, which are part of the operators' API.
 
 use super::{OperatorError, OperatorOutcome, OperatorReply};
 use crate::configuration_change::Rejection;
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn an_invalid_change_is_a_bad_request_with_the_text_of_its_errors() {
+fn an_invalid_change_is_answered_as_a_bad_request_with_its_validation_errors() {
     let errors = parse_document(b"{\"generation\": 4").unwrap_err();
     let body = serde_json::json!({ "error": errors.to_string() }).to_string();
     let rejected = Err(OperatorError::Rejected(Rejection::Invalid(errors)));
--- a/crates/router/control-plane/src/coordinator/publication.rs
+++ b/crates/router/control-plane/src/coordinator/publication.rs
@@ -1,7 +1,8 @@
-//! Publication of committed state: from the established primary's replica to dissemination and to the grantor.
+//! Publication of committed state: from the established primary's replica to dissemination, the grantor, the version
+//! recorder and the rollout controller.
 //!
-//! Dissemination and grants must never run ahead of replication. Only a state committed under the primary's own term
-//! is published, with the time at which a quorum last confirmed the primary; sidecars measure the age of their
+//! Dissemination and grants must never run ahead of replication. Only a state committed under the primary's own term is
+//! published, together with the time at which a quorum last confirmed the primary; sidecars measure the age of their
 //! configuration from that time.
 
 use super::context::Context;
@@ -12,8 +13,9 @@
 use std::sync::Arc;
 
 impl Coordinator {
-    /// Publishes the core's location and the committed state, if this process is the primary, and starts, configures or
-    /// stops the grantor and the recorder of versions accordingly. Without a replica there is nothing to publish.
+    /// Publishes the location of the core and the committed state if this process is the primary, and starts, configures
+    /// or stops the grantor, the version recorder and the rollout controller accordingly. Without a replica, there is
+    /// nothing to publish.
     pub(super) fn publish(&mut self, context: &mut Context<'_>) {
         let Some(replica) = &self.replica else { return };
         let now = context.now();
@@ -39,18 +41,19 @@
     }
 }
 
-/// The configuration of a state; `None` before the first one, and for a document that this build can't read.
+/// Returns the configuration of a state, or `None` before the first one and for a document that this build cannot read.
 fn read_configuration(state: &ReplicatedState) -> Option<Configuration> {
     let document = parse_document(state.document.as_deref()?.as_bytes()).ok()?;
     Configuration::read(&document).ok()
 }
 
-/// The committed state of an established primary.
+/// Returns the committed state of an established primary; `None` on any other replica.
 fn publishable_state(replica: &Replica) -> Option<Arc<ReplicatedState>> {
     let committed = replica.committed().filter(|_| replica.is_established())?;
     Some(replica.mutation().state_to_publish(committed.clone(), replica.state()))
 }
 
+/// Hands the committed configuration, with the time of its confirmation, to dissemination.
 fn publish_configuration(
     gossip: &mut Gossip,
     replica: &Replica,
--- a/crates/router/control-plane/src/coordinator/rollouts.rs
+++ b/crates/router/control-plane/src/coordinator/rollouts.rs
@@ -1,7 +1,7 @@
-//! Life cycle of the controller of roll-outs: it exists while this process is the established primary of a term.
+//! Life cycle of the rollout controller, which exists while this process is the established primary of a term.
 //!
-//! What it decides is replicated like any change. It grants shares only while a quorum has confirmed the primary of late, so that one
-//! that is cut off or was deposed stops, and the leases that it granted end by themselves.
+//! Its decisions are replicated like any change. It grants shares only while a quorum has confirmed the primary recently,
+//! so that a partitioned or deposed primary stops granting and the leases that it has granted expire.
 
 use super::context::Context;
 use super::version_recorder::is_newest_state_committed;
@@ -12,14 +12,14 @@
 use passrelay_dissemination::{Peer, RolloutReport};
 use std::time::Duration;
 
-/// Shares are granted only by a controller that was confirmed within this time.
+/// Shares are granted only if a quorum has confirmed the primary within this time.
 const MAX_CONFIRMATION_AGE: Duration = Duration::from_millis(500);
 
-/// The controller of this process, while it is the established primary.
+/// The rollout controller of this process while it is the established primary.
 pub(super) struct ControllerLifecycle {
-    /// What a version may get before it is judged; `None` where roll-outs are no part of the contract with the operators.
+    /// Requests that a new version may receive before it is judged; `None` if rollouts are not enabled.
     exposure_bound: Option<ExposureBound>,
-    /// With the term that it belongs to.
+    /// The controller and its term; `None` unless this process is the established primary.
     controller: Option<(u64, Controller)>,
 }
 
@@ -28,38 +28,39 @@
         ControllerLifecycle { exposure_bound, controller: None }
     }
 
-    /// This process is not the established primary.
+    /// Stops the controller, because this process is not the established primary.
     pub(super) fn stop(&mut self) {
         self.controller = None;
     }
 
-    /// Starts a controller unless there is one of this term already.
+    /// Starts a controller unless there already is one of this term.
     pub(super) fn start_term(&mut self, term: u64) {
         if self.controller.as_ref().is_none_or(|(known, _)| *known != term) {
             self.controller = Some((term, Controller::default()));
         }
     }
 
-    /// Takes the committed configuration.
+    /// Applies the committed configuration.
     pub(super) fn configure(&mut self, configuration: &Configuration) {
         if let Some((_, controller)) = &mut self.controller {
             controller.configure(configuration);
         }
     }
 
-    /// Whether roll-outs are part of the contract.
+    /// Returns whether operators may order rollouts.
     pub(super) fn is_enabled(&self) -> bool {
         self.exposure_bound.is_some()
     }
 
-    /// How old a roll-out is at least.
+    /// Returns a lower bound of the age of a rollout; zero if it is not known.
     pub(super) fn age(&self, now: Duration, id: u64) -> Duration {
         self.controller.as_ref().map_or(Duration::ZERO, |(_, controller)| controller.age(now, id))
     }
 }
 
 impl Coordinator {
-    /// Proposes the next records, if this process is the primary and no change is in flight.
+    /// Proposes the controller's next decision, if this process is the established primary and its newest state is
+    /// committed.
     pub(super) fn advance_rollouts(&mut self, context: &mut Context<'_>) {
         let Some(replica) = &mut self.replica else { return };
         let Some((_, controller)) = &mut self.rollouts.controller else { return };
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Sends this sidecar's reports to the controller. Dropped while no primary is known.
+    /// Sends this sidecar's rollout reports to the primary. Dropped while no primary is known.
     pub fn report_rollouts(
         &mut self,
         now: Duration,
@@ -89,7 +90,7 @@
         self.send_to_primary(Message::Rollout(message), &mut context);
     }
 
-    /// Handles a sidecar's reports, or the shares that respond to this process's own.
+    /// Handles the rollout reports of a sidecar, or the shares granted in response to this process's own.
     pub(super) fn receive_rollout(&mut self, from: Peer, message: RolloutMessage, context: &mut Context<'_>) {
         let RolloutMessage::Report { request_id, reports } = message else {
             context.push(Action::RolloutShares(message));
--- a/crates/router/control-plane/src/coordinator/status.rs
+++ b/crates/router/control-plane/src/coordinator/status.rs
@@ -1,4 +1,4 @@
-//! Summary of one process's view of the fleet, for operators and logs.
+//! Summary of a process's view of the fleet, for operators and logs.
 
 use super::Coordinator;
 use crate::replication::Replica;
@@ -9,32 +9,33 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// What a process knows of the fleet. Serialised as the JSON of the status page; field names are part of that format.
+/// A process's view of the fleet. Serialised as the JSON body of the status page; field names are part of that format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Status {
-    /// Generation of the configuration in force here; 0 before the first.
+    /// Generation of the configuration applied by this process; 0 before the first one.
     pub generation: u64,
-    /// Index of that configuration among all committed changes.
+    /// Index of that configuration among all committed changes; 0 before the first one.
     pub index: u64,
-    /// Age of the last confirmation that this configuration is the newest, in ms; `None` if there was none.
+    /// Time since the last confirmation that this configuration is the newest, in ms; `None` if there was none.
     pub fresh_age_ms: Option<u64>,
-    /// Term of the newest epoch record known.
+    /// Term of the newest epoch record known; 0 if none is known.
     pub term: u64,
     /// Address of the primary, if known.
     pub primary: Option<SocketAddrV4>,
-    /// Addresses of the members of the core, if known.
+    /// Addresses of the members of the core; empty if they are not known.
     pub members: Vec<SocketAddrV4>,
     /// Whether this process is the established primary.
     pub leads: bool,
     /// Number of sidecars in the partial view.
     pub peers: usize,
-    /// Number of endpoints known here that are not removed.
+    /// Number of endpoints in the registry, except removed ones.
     pub endpoints: usize,
-    /// Of these, the number by service and version; a version that isn't known is empty.
+    /// Number of these endpoints by service, then by version. The key of an unknown version is the empty string.
     pub endpoints_by_version: BTreeMap<String, BTreeMap<String, usize>>,
-    /// The version of each service whose endpoints get requests, as recorded; without the services of which none is.
+    /// Recorded version of each service, whose endpoints receive requests. Services without a recorded version are
+    /// missing.
     pub service_versions: ServiceVersions,
-    /// The roll-outs; left out where there was none.
+    /// Waiting, running and recently ended rollouts; omitted if there are none.
     #[serde(skip_serializing_if = "Rollouts::is_empty")]
     pub rollouts: Rollouts,
     /// Number of responses dropped because an earlier incarnation at this address had sent the request.
@@ -42,7 +43,7 @@
 }
 
 impl Coordinator {
-    /// This process's view of the fleet at `now`.
+    /// Returns this process's view of the fleet at `now`.
     pub fn status(&self, now: Duration) -> Status {
         let configuration = self.gossip.configuration();
         let age = self.gossip.fresh_at().map(|fresh_at| now.saturating_sub(fresh_at));
@@ -69,8 +70,8 @@
         let mut counts: BTreeMap<String, BTreeMap<String, usize>> = BTreeMap::new();
         let records = self.gossip.registry().records();
         for record in records.filter(|record| record.state != EndpointState::Removed) {
-            let of_service = counts.entry(record.service.clone()).or_default();
-            *of_service.entry(record.version.clone()).or_default() += 1;
+            let service_counts = counts.entry(record.service.clone()).or_default();
+            *service_counts.entry(record.version.clone()).or_default() += 1;
         }
         counts
     }
--- a/crates/router/control-plane/src/coordinator/version_recorder.rs
+++ b/crates/router/control-plane/src/coordinator/version_recorder.rs
@@ -1,8 +1,10 @@
-//! Records which version of each service is in service, so that endpoints of another one get nothing until somebody orders it.
+//! Records which version of each service is in service, so that endpoints of other versions receive no requests until an
+//! operator orders such a version.
 //!
-//! The established primary records a version as soon as it knows an endpoint of the service: that of most ready endpoints. From
-//! then on only the operators move it, by `version` of the service in the configuration. What is recorded is replicated and committed
-//! like any change, so that neither a new primary nor a start of all machines decides anew by the endpoints of that moment.
+//! The established primary records a version as soon as it knows a ready endpoint of the service: the version of most
+//! ready endpoints. After that, only operators change it, by the service's `version` in the configuration or by a rollout.
+//! Recorded versions are replicated and committed like any change, so that neither a new primary nor a restart of all
+//! machines chooses a version again from the endpoints of that moment.
 
 use super::context::Context;
 use super::Coordinator;
@@ -11,13 +13,14 @@
 use passrelay_dissemination::{EndpointState, Registry};
 use std::collections::BTreeMap;
 
-/// What the recorder knows of the committed configuration; current only on the established primary.
+/// The services whose versions are recorded; current only on the established primary.
 pub(super) struct VersionRecorder {
-    /// Off where versions are no part of the contract with the operators: endpoints of all versions are alike there.
+    /// False if versions are not recorded: endpoints of all versions are then equivalent.
     enabled: bool,
-    /// The services of the configuration, with the version that it sets.
+    /// The services of the committed configuration, each with the version that the configuration sets, if any.
     services: BTreeMap<String, Option<String>>,
-    /// Registry revision and state that were last last_examined: the same ones give the same result.
+    /// Registry revision and state version of the last examination. It is not repeated for the same ones, since the result
+    /// would be the same.
     last_examined: Option<(u64, StateVersion)>,
 }
 
@@ -26,14 +29,15 @@
         VersionRecorder { enabled, services: BTreeMap::new(), last_examined: None }
     }
 
-    /// Takes the committed configuration.
+    /// Applies the committed configuration.
     pub(super) fn configure(&mut self, configuration: &Configuration) {
         let services = configuration.services.iter();
         self.services = services.map(|service| (service.name.clone(), service.version.clone())).collect();
         self.last_examined = None;
     }
 
-    /// The versions to be in service: as the configuration sets them, else as recorded, else as most endpoints have them.
+    /// Returns the version that should be in service for each service: the one set by the configuration, else the recorded
+    /// one, else that of most ready endpoints.
     fn desired_versions(&self, recorded: &ServiceVersions, registry: &Registry) -> ServiceVersions {
         let version = |(service, set): (&String, &Option<String>)| {
             let known = set.clone().or_else(|| recorded.of(service).map(str::to_owned));
@@ -44,7 +48,8 @@
     }
 }
 
-/// The version of most ready endpoints of a service; of equally many, the first in order. `None` where no endpoint reports one.
+/// Returns the most common version among the ready endpoints of a service; in case of a tie, the first in lexicographic
+/// order. Returns `None` if no ready endpoint reports a version.
 fn most_common_version(registry: &Registry, service: &str) -> Option<String> {
     let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
     let ready = registry.records().filter(|record| record.state == EndpointState::Ready);
@@ -56,8 +61,8 @@
 }
 
 impl Coordinator {
-    /// Proposes the versions in service where they differ from the recorded ones, if this process is the primary and no change is
-    /// in flight.
+    /// Proposes the versions that should be in service if they differ from the recorded ones, provided that this process
+    /// is the established primary and its newest state is committed.
     pub(super) fn record_versions(&mut self, context: &mut Context<'_>) {
         let Some(replica) = &mut self.replica else { return };
         if !self.versions.enabled || !is_newest_state_committed(replica) {
@@ -65,11 +70,11 @@
         }
         let state = replica.state().clone();
         let registry = self.gossip.registry();
-        let last_examined = Some((registry.revision(), state.version));
-        if self.versions.last_examined == last_examined {
+        let current = Some((registry.revision(), state.version));
+        if self.versions.last_examined == current {
             return;
         }
-        self.versions.last_examined = last_examined;
+        self.versions.last_examined = current;
         let versions = self.versions.desired_versions(&state.service_versions, registry);
         if versions != state.service_versions {
             let now = context.now();
@@ -80,7 +85,7 @@
     }
 }
 
-/// Whether a replica is the established primary and its newest state is committed.
+/// Returns whether a replica is the established primary and its newest state is committed.
 pub(super) fn is_newest_state_committed(replica: &Replica) -> bool {
     let committed = replica.committed().filter(|_| replica.is_established());
     committed.is_some_and(|committed| committed.version == replica.state().version)
