--- a/crates/router/control-plane/src/load/endpoint_outcomes.rs
+++ b/crates/router/control-plane/src/load/endpoint_outcomes.rs
@@ -1,4 +1,4 @@
-//! Outcomes of requests to one endpoint over all sidecars, and the quorum of sidecars that its failures need.
+//! Fleet-wide outcomes of requests to one endpoint, and the quorum of sidecars required for its failures to count.
 
 use passrelay_dissemination::{EndpointLoad, Outcomes};
 use std::collections::BTreeMap;
@@ -10,7 +10,7 @@
 /// Number of sidecars that must have reported failures of an endpoint before any of its failures count.
 const FAILURE_REPORTER_QUORUM: usize = 2;
 
-/// Outcomes at one endpoint that count now, rounded to whole requests.
+/// Outcomes at one endpoint that currently count, rounded to whole requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct RoundedOutcomes {
     pub(super) answered: u32,
@@ -23,11 +23,11 @@
     }
 }
 
-/// Outcomes that sidecars reported of one endpoint, decaying over time.
+/// Outcomes of one endpoint as reported by sidecars, decaying over time.
 #[derive(Debug, Default)]
 pub(super) struct EndpointOutcomes {
     outcomes: Outcomes,
-    /// Sidecars that reported failures, with the time of their last such report.
+    /// Sidecars that have reported failures, with the time of their last such report.
     failure_reporters: BTreeMap<SocketAddrV4, Duration>,
 }
 
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Outcomes that count now: failures only with a quorum of reporters.
+    /// Returns the outcomes that count at `now`; failures are included only with a quorum of reporters.
     pub(super) fn rounded_outcomes(&mut self, now: Duration) -> RoundedOutcomes {
         self.failure_reporters.retain(|_, at| now.saturating_sub(*at) < FAILURE_REPORTER_TIMEOUT);
         let decayed = self.outcomes.decayed(now);
@@ -48,7 +48,7 @@
         RoundedOutcomes { answered: decayed.answered.round() as u32, failed: failed.round() as u32 }
     }
 
-    /// Whether failures of a sidecar still wait for, or are part of, a quorum.
+    /// Returns whether any sidecar has reported failures recently. Such a report counts towards a quorum, reached or not.
     pub(super) fn has_failure_reporters(&self) -> bool {
         !self.failure_reporters.is_empty()
     }
--- a/crates/router/control-plane/src/load/messages.rs
+++ b/crates/router/control-plane/src/load/messages.rs
@@ -1,9 +1,9 @@
-//! Messages between sidecars and the primary.
+//! Messages of load reporting, between sidecars and the primary.
 
 use passrelay_dissemination::EndpointLoad;
 use serde::{Deserialize, Serialize};
 
-/// Messages of load reporting.
+/// A message of load reporting.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LoadMessage {
     /// A sidecar reports its own load.
@@ -12,18 +12,18 @@
         /// Identifies the report at the sidecar; the totals repeat it.
         #[serde(rename = "nonce")]
         request_id: u64,
-        /// Endpoints at which the sidecar has requests in flight, or outcomes since its last report.
+        /// Load of the endpoints at which the sidecar has requests in flight, or outcomes since its last report.
         loads: Vec<EndpointLoad>,
     },
     /// The primary responds with the totals over all sidecars.
     #[serde(rename = "Sums")]
     Totals {
-        /// The report that this responds to.
+        /// Id of the report that this responds to.
         #[serde(rename = "nonce")]
         request_id: u64,
         /// Number of sidecars with a recent report.
         sidecars: u32,
-        /// Endpoints with requests in flight or recent outcomes at any sidecar, ordered by endpoint.
+        /// Load of the endpoints with requests in flight or recent outcomes at any sidecar, ordered by endpoint.
         loads: Vec<EndpointLoad>,
     },
 }
--- a/crates/router/control-plane/src/load/totals.rs
+++ b/crates/router/control-plane/src/load/totals.rs
@@ -1,4 +1,4 @@
-//! Aggregation of the sidecars' load reports on the primary.
+//! Aggregation of load reports on the primary.
 
 use super::endpoint_outcomes::EndpointOutcomes;
 use super::messages::LoadMessage;
@@ -9,32 +9,32 @@
 
 /// A sidecar's load counts until it has sent no report for this long.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Interval at which totals are computed again; reports in between get the cached ones, so that the cost does not grow
-/// with the square of the number of sidecars.
+/// Minimum interval between computations of the totals. Reports in between receive the cached totals, so that the cost
+/// does not grow with the square of the number of sidecars.
 const TOTALS_REFRESH_INTERVAL: Duration = Duration::from_millis(15);
 
-/// Last report of a sidecar.
+/// The last report of a sidecar.
 #[derive(Debug)]
 struct Report {
     received_at: Duration,
     loads: Vec<EndpointLoad>,
 }
 
-/// Totals of load and outcomes over all sidecars.
+/// Totals of load and outcomes over all sidecars, with the reports from which they are computed.
 #[derive(Debug, Default)]
 pub struct LoadTotals {
     /// Last report of each sidecar; those that timed out are removed when totals are computed.
     reports: BTreeMap<SocketAddrV4, Report>,
-    /// Outcomes by endpoint, unlike reports accumulated.
+    /// Outcomes by endpoint, accumulated over all reports.
     outcomes: BTreeMap<u64, EndpointOutcomes>,
-    /// Totals computed last, ordered by endpoint.
+    /// Most recently computed totals, ordered by endpoint.
     totals: Vec<EndpointLoad>,
     totals_computed_at: Option<Duration>,
 }
 
 impl LoadTotals {
-    /// Replaces the load of the sidecar `from` by that of a new report, adds its outcomes, and responds with the totals,
-    /// which may be some milliseconds old.
+    /// Handles a load report: replaces the load of the sidecar `from`, accumulates the reported outcomes, and returns the
+    /// response with the totals, which may be some milliseconds old.
     pub fn handle_report(
         &mut self,
         now: Duration,
@@ -53,7 +53,8 @@
         LoadMessage::Totals { request_id, sidecars, loads: self.totals.clone() }
     }
 
-    /// Number of sidecars with a recent report.
+    /// Returns the number of sidecars with a recent report. Reports that have timed out are counted until the totals are
+    /// computed again.
     pub fn reporter_count(&self) -> usize {
         self.reports.len()
     }
@@ -66,7 +67,7 @@
         self.totals = totals.into_values().collect();
     }
 
-    /// Drops reports that timed out, and adds up the others.
+    /// Removes reports that have timed out, and adds the load of the others to `totals`.
     fn add_loads(&mut self, now: Duration, totals: &mut BTreeMap<u64, EndpointLoad>) {
         self.reports.retain(|_, report| now.saturating_sub(report.received_at) < REPORT_TIMEOUT);
         for load in self.reports.values().flat_map(|report| &report.loads) {
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Adds the outcomes that count now, and drops endpoints without any.
+    /// Adds the outcomes that count at `now` to `totals`, and removes endpoints without any.
     fn add_outcomes(&mut self, now: Duration, totals: &mut BTreeMap<u64, EndpointLoad>) {
         self.outcomes.retain(|endpoint, outcomes| {
             let rounded = outcomes.rounded_outcomes(now);
@@ -91,7 +92,7 @@
     }
 }
 
-/// The total of an endpoint, zero at first.
+/// Returns the entry of an endpoint in `totals`, inserting a zero total if there is none.
 fn total_entry(totals: &mut BTreeMap<u64, EndpointLoad>, endpoint: u64) -> &mut EndpointLoad {
     totals.entry(endpoint).or_insert(EndpointLoad { endpoint, ..EndpointLoad::default() })
 }
--- a/crates/router/control-plane/src/quota/grantor.rs
+++ b/crates/router/control-plane/src/quota/grantor.rs
@@ -7,28 +7,28 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// A grantor grants only if a quorum has confirmed it within this time. Its successor waits as long before its first
-/// grant, so that the two never grant at the same time.
+/// A grantor grants only if a quorum has confirmed it within this time. Its successor waits for the same time before its
+/// first grant, so that the two never grant at the same time.
 const MAX_CONFIRMATION_AGE: Duration = Duration::from_millis(400);
-/// How long a grant may be spent, from the time at which the sidecar requested it.
+/// Time for which a grant may be spent, measured from when the sidecar requested it.
 pub const GRANT_LIFETIME: Duration = Duration::from_millis(1_500);
-/// Initial fill of buckets whose levels at the predecessor are unknown, in seconds of their rate. Members receive levels
-/// often, so this happens only after a time without any grantor, when all processes were restarted.
+/// Initial level of buckets whose level at the predecessor is unknown, in seconds of their rate. Members receive levels
+/// frequently, so this happens only after a period without any grantor, when all processes were restarted.
 const INITIAL_FILL_S: f64 = 0.65;
-/// All reserves of a tenant together, in seconds of its rate.
+/// Sum of all sidecars' reserves for a tenant, in seconds of its rate.
 const RESERVE_S: f64 = 1.6;
-/// The same for one window after a change of grantor without known levels: reserves may have been spent already, and the
-/// debts are unknown.
+/// Value in place of [`RESERVE_S`] for one window after a change of grantor without known levels: reserves may already
+/// have been spent, and the debts are unknown.
 const RESERVE_AFTER_UNKNOWN_LEVELS_S: f64 = 0.5;
 /// Reported levels that are older than this when a new grantor starts are not used.
 const MAX_LEVELS_AGE: Duration = Duration::from_secs(3);
 /// Fraction of the permitted overshoot and slack that a bucket may accumulate beyond its burst; the rest covers reserves
 /// and changes of grantor.
 const ACCUMULATED_SLACK_FRACTION: f64 = 0.3;
-/// A sidecar shares the reserve until it has requested nothing for this long.
+/// A sidecar receives a share of the reserve until it has sent no request for this long.
 const REQUESTER_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// How far all sidecars together may exceed a tenant's quota.
+/// How far the fleet as a whole may exceed a tenant's quota.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaBounds {
     /// Length of the sliding window in which usage is measured, in seconds.
@@ -40,45 +40,45 @@
 }
 
 impl QuotaBounds {
-    /// Capacity, in tokens, of the bucket of a tenant under these bounds.
+    /// Returns the capacity, in tokens, of the bucket of a tenant under these bounds.
     fn bucket_capacity(&self, rate_per_s: f64, burst: f64) -> f64 {
         let permitted_excess = self.overshoot * (rate_per_s * self.window_s + burst) + self.slack;
         burst + ACCUMULATED_SLACK_FRACTION * permitted_excess
     }
 }
 
-/// The last report of a grantor's bucket levels.
+/// The last known bucket levels of a grantor.
 #[derive(Clone, Debug)]
 pub struct ReportedLevels {
-    /// The levels.
+    /// Levels as reported, with the term of the grantor.
     pub levels: BucketLevels,
-    /// When this process received them.
+    /// When this process received them, or took them from its own grantor.
     pub received_at: Duration,
 }
 
-/// Token buckets of all limited tenants, and the grants from them, for the primary of one term.
+/// The token buckets of all limited tenants, from which the primary of one term grants tokens.
 #[derive(Debug)]
 pub struct Grantor {
     /// Term of the primary that this grantor belongs to.
     term: u64,
     bounds: QuotaBounds,
-    /// No grants before this time: the predecessor may still be granting.
+    /// Time of the earliest grant. Before it, the predecessor may still be granting.
     grants_from: Duration,
     /// Generation of the configuration applied last; 0 before the first.
     generation: u64,
     buckets: BTreeMap<TenantKey, TokenBucket>,
-    /// Time of each sidecar's last request; none older than [`REQUESTER_TIMEOUT`] after a grant.
+    /// Time of each sidecar's last request. Each grant removes those older than [`REQUESTER_TIMEOUT`].
     last_requests: BTreeMap<SocketAddrV4, Duration>,
-    /// Lower bound of the number of sidecars.
+    /// Lower bound of the number of sidecars that share the reserve.
     min_sidecars: usize,
-    /// Levels of the predecessor's buckets that were not nearly full; `None` where its levels are unknown.
+    /// Levels of the predecessor's buckets that were not nearly full; `None` if its levels are unknown.
     inherited_levels: Option<BTreeMap<TenantKey, i64>>,
 }
 
 impl Grantor {
-    /// The grantor of a term that began at `started_at`, in the time of this process. It resumes from the levels that
-    /// an earlier grantor reported, if they are recent. The predecessor may still have granted for up to its maximum
-    /// confirmation age after `started_at`, so this one starts granting after that.
+    /// Creates the grantor of a term that started at `started_at`, in the time of this process. It resumes from the levels
+    /// in `reported`, if they are recent and from an earlier term. The predecessor may still grant for up to the maximum
+    /// confirmation age after `started_at`, so this grantor starts granting after that.
     pub fn new(
         started_at: Duration,
         term: u64,
@@ -102,19 +102,19 @@
         }
     }
 
-    /// The term of this grantor.
+    /// Returns the term of the primary that this grantor belongs to.
     pub fn term(&self) -> u64 {
         self.term
     }
 
-    /// Applies the quotas of a configuration; idempotent by generation. Tenants keep their level, capped by the new
-    /// capacity; buckets of tenants that are no longer limited are dropped.
+    /// Applies the quotas of a configuration. Has no effect for the generation applied last. Tenants keep their level,
+    /// capped by the new capacity; buckets of tenants that are no longer limited are dropped.
     pub fn configure(&mut self, now: Duration, configuration: &Configuration) {
         if self.generation == configuration.generation {
             return;
         }
         self.generation = configuration.generation;
-        // A bucket accumulates nothing while its grantor still waits for the predecessor to end.
+        // A bucket accumulates no tokens while its grantor waits for the predecessor to stop granting.
         let refill_from = now.max(self.grants_from);
         let mut previous = std::mem::take(&mut self.buckets);
         for tenant in configuration.tenants.iter().filter(|tenant| tenant.is_limited()) {
@@ -129,13 +129,13 @@
         }
     }
 
-    /// Initial level of a bucket: that at the predecessor, or a small one where it is unknown.
+    /// Returns the initial level of a bucket: the level at the predecessor, or a small one if that is unknown.
     fn initial_tokens(&self, tenant: TenantKey, rate_per_s: f64, capacity: f64) -> f64 {
         let Some(levels) = &self.inherited_levels else { return rate_per_s * INITIAL_FILL_S };
         levels.get(&tenant).map_or(NEARLY_FULL_FRACTION * capacity, |tokens| (*tokens as f64).min(capacity))
     }
 
-    /// Levels of all buckets that are not nearly full.
+    /// Returns the levels of all buckets that are not nearly full.
     pub fn levels(&mut self, now: Duration) -> BucketLevels {
         let mut tokens = Vec::new();
         for (tenant, bucket) in &mut self.buckets {
@@ -146,15 +146,16 @@
         BucketLevels { term: self.term, tokens }
     }
 
-    /// Sets a lower bound of the number of sidecars, besides those that have requested tokens. They share the reserve:
-    /// without the bound, the first to request after an idle time would get too much of it.
+    /// Sets a lower bound of the number of sidecars that share the reserve, in case that fewer have requested tokens.
+    /// Without the bound, the first sidecar to request tokens after an idle period would receive too large a share.
     pub fn set_sidecar_count(&mut self, sidecars: usize) {
         self.min_sidecars = sidecars;
     }
 
-    /// Charges `overdrawn` to the buckets, then grants of `wanted` what they contain. `confirmed_at` is the last time at
-    /// which a quorum confirmed this grantor; `None` if that is too long ago, or the predecessor may still grant. Then
-    /// nothing is charged either, and the sidecar reports the same tokens with its next request.
+    /// Charges `overdrawn` to the buckets, then grants up to `wanted` tokens as far as the buckets contain them.
+    /// `confirmed_at` is the last time at which a quorum confirmed this grantor. Returns `None` if that is too long ago or
+    /// the predecessor may still grant; then nothing is charged either, and the sidecar reports the same overdrawn tokens
+    /// with its next request.
     pub fn grant(
         &mut self,
         now: Duration,
@@ -182,7 +183,7 @@
         Some(granted)
     }
 
-    /// All reserves of a tenant together, in seconds of its rate.
+    /// Returns the sum of all sidecars' reserves for a tenant, in seconds of its rate.
     fn reserve_s(&self, now: Duration) -> f64 {
         let levels_unknown = self.term > 1 && self.inherited_levels.is_none();
         let first_window =
@@ -194,7 +195,7 @@
         }
     }
 
-    /// Charges what sidecars have spent from their reserves.
+    /// Charges tokens that sidecars have spent from their reserves.
     fn charge(&mut self, now: Duration, overdrawn: &[TenantTokens]) {
         for spent in overdrawn {
             if let Some(bucket) = self.buckets.get_mut(&spent.tenant) {
--- a/crates/router/control-plane/src/quota/messages.rs
+++ b/crates/router/control-plane/src/quota/messages.rs
@@ -7,14 +7,14 @@
 /// Hashed after a name; no byte of UTF-8 has this value.
 const NAME_TERMINATOR: u8 = 0xff;
 
-/// Identifies a tenant in messages: SipHash-1-3 of its name, with a zero key and a terminating byte. The algorithm is fixed
-/// here and not left to the standard library's default hasher, so that processes of all builds agree on it; the values are
-/// those that earlier builds sent.
+/// Identifies a tenant in messages: SipHash-1-3 of its name, with a zero key and a terminating byte. The algorithm is
+/// implemented explicitly instead of through the standard library's default hasher, so that processes of all builds agree
+/// on it. The values equal those sent by earlier builds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TenantKey(pub u64);
 
 impl TenantKey {
-    /// The key of the tenant of this name.
+    /// Returns the key of the tenant with this name.
     pub fn of(name: &str) -> Self {
         let mut hasher = SipHasher13::new();
         hasher.write(name.as_bytes());
@@ -23,13 +23,13 @@
     }
 }
 
-/// A number of tokens of one tenant. Serialised as an array of two: key, tokens.
+/// A number of tokens of one tenant. Serialised as a two-element array: key, tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(TenantKey, u64)", into = "(TenantKey, u64)")]
 pub struct TenantTokens {
-    /// The tenant.
+    /// Key of the tenant's name.
     pub tenant: TenantKey,
-    /// Tokens.
+    /// Number of tokens requested or spent, depending on the message field.
     pub tokens: u64,
 }
 
@@ -45,13 +45,13 @@
     }
 }
 
-/// Level of one tenant's bucket. Serialised as an array of two: key, tokens.
+/// Level of one tenant's bucket. Serialised as a two-element array: key, tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(TenantKey, i64)", into = "(TenantKey, i64)")]
 pub struct TenantLevel {
-    /// The tenant.
+    /// Key of the tenant's name.
     pub tenant: TenantKey,
-    /// Tokens in the bucket, rounded towards zero; negative where the tenant owes some.
+    /// Tokens in the bucket, rounded towards zero; negative if the bucket is in debt.
     pub tokens: i64,
 }
 
@@ -67,7 +67,7 @@
     }
 }
 
-/// Messages between sidecars and the grantor.
+/// A message of the quota protocol.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum QuotaMessage {
     /// A sidecar requests tokens.
@@ -78,20 +78,20 @@
         request_id: u64,
         /// Tokens requested, by tenant.
         wanted: Vec<TenantTokens>,
-        /// Tokens spent from the reserve that no grant has acknowledged yet, by tenant; charged to the buckets.
+        /// Tokens spent from the reserve, by tenant, and not yet acknowledged by a grant. They are charged to the buckets.
         overdrawn: Vec<TenantTokens>,
     },
-    /// The grantor responds, with fewer tokens than requested or none where the bucket is low.
+    /// The grantor responds to a request, with fewer tokens than requested, or none, if the bucket is low.
     Grant {
-        /// The request.
+        /// Id of the request.
         #[serde(rename = "nonce")]
         request_id: u64,
         /// Term of the grantor.
         term: u64,
-        /// Grants, in the order of the request; unknown and unlimited tenants are left out.
+        /// Grants in the order of the request; unknown and unlimited tenants are omitted.
         granted: Vec<TenantGrant>,
     },
-    /// The grantor reports its bucket levels to the members, its potential successors.
+    /// The grantor reports its bucket levels to the other members, which are its potential successors.
     Levels(BucketLevels),
 }
 
@@ -100,17 +100,17 @@
 pub struct BucketLevels {
     /// Term of the grantor.
     pub term: u64,
-    /// Buckets that are not nearly full; every bucket that is left out is.
+    /// Levels of the buckets that are not nearly full; omitted buckets are nearly full.
     pub tokens: Vec<TenantLevel>,
 }
 
 /// A sidecar's grant from one tenant's quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TenantGrant {
-    /// The tenant.
+    /// Key of the tenant's name.
     pub tenant: TenantKey,
-    /// Tokens granted.
+    /// Tokens granted; at most the number requested.
     pub tokens: u64,
-    /// Further tokens that may be spent while no grantor responds.
+    /// Additional tokens that may be spent while no grantor responds.
     pub reserve: u64,
 }
--- a/crates/router/control-plane/src/quota/token_bucket.rs
+++ b/crates/router/control-plane/src/quota/token_bucket.rs
@@ -1,9 +1,9 @@
-//! A token bucket that may go into debt.
+//! A token bucket whose level may become negative (debt).
 
 use std::time::Duration;
 
-/// Maximum debt, in seconds of the refill rate: after so much was spent from reserves, a tenant is granted nothing for
-/// this long, and not longer.
+/// Maximum debt, in seconds of the refill rate. This limits the time for which a tenant is granted nothing after spending
+/// from reserves.
 const MAX_DEBT_S: f64 = 3.0;
 /// A bucket at or above this fraction of its capacity is nearly full.
 pub(super) const NEARLY_FULL_FRACTION: f64 = 0.9;
@@ -15,23 +15,24 @@
     rate_per_s: f64,
     /// Upper limit of `tokens`.
     capacity: f64,
-    /// Tokens at `refilled_at`; negative where some are owed, but not below `MAX_DEBT_S` of the rate.
+    /// Level at `refilled_at`. Negative if the bucket is in debt, but not below `-MAX_DEBT_S` times the rate.
     tokens: f64,
     refilled_at: Duration,
 }
 
 impl TokenBucket {
-    /// A bucket without refill; [`TokenBucket::set_limit`] gives it a rate.
+    /// Creates a bucket without refill; [`TokenBucket::set_limit`] sets its rate.
     pub(super) fn new(at: Duration, tokens: f64, capacity: f64) -> Self {
         TokenBucket { rate_per_s: 0.0, capacity, tokens, refilled_at: at }
     }
 
-    /// Refill rate, tokens per second.
+    /// Returns the refill rate, in tokens per second.
     pub(super) fn rate_per_s(&self) -> f64 {
         self.rate_per_s
     }
 
-    /// Changes rate and capacity. Refills at the old rate up to now first; tokens beyond the new capacity are lost.
+    /// Changes rate and capacity. The bucket is first refilled at the old rate up to `now`; tokens beyond the new capacity
+    /// are discarded.
     pub(super) fn set_limit(&mut self, now: Duration, rate_per_s: f64, capacity: f64) {
         self.refill(now);
         self.rate_per_s = rate_per_s;
@@ -39,13 +40,13 @@
         self.tokens = self.tokens.min(capacity);
     }
 
-    /// The level now, or `None` if the bucket is nearly full.
+    /// Returns the level at `now`, or `None` if the bucket is nearly full.
     pub(super) fn level_unless_nearly_full(&mut self, now: Duration) -> Option<f64> {
         self.refill(now);
         (self.tokens < NEARLY_FULL_FRACTION * self.capacity).then_some(self.tokens)
     }
 
-    /// Consumes as many whole tokens as the bucket contains, at most `wanted`; returns their number.
+    /// Consumes as many whole tokens as the bucket contains, at most `wanted`, and returns their number.
     pub(super) fn consume_up_to(&mut self, now: Duration, wanted: u64) -> u64 {
         self.refill(now);
         let tokens = (wanted as f64).min(self.tokens).max(0.0).floor();
--- a/crates/router/control-plane/src/rollout.rs
+++ b/crates/router/control-plane/src/rollout.rs
@@ -1,17 +1,17 @@
-//! Roll-outs: moving a service's requests to another version, and back if that one is bad.
+//! Rollouts: shifting a service's requests to another version, and back if that version is bad.
 //!
-//! The established primary is the controller of every roll-out: a singleton role that is elected when vacant and fenced by the term.
-//! A record of each roll-out is replicated, and announced only once it is on a majority of the members' disks. Sidecars report the
-//! outcomes of their requests at both versions, and get a share of requests for the new one as a lease in return. A sidecar
-//! without a lease sends nothing there.
+//! The established primary is the controller of every rollout: a singleton role that is filled by election and fenced by
+//! the term. A record of each rollout is replicated, and acknowledged or shown to operators only once it is on a majority
+//! of the members' disks. Sidecars report the outcomes of their requests at both versions, and receive in response a lease
+//! on a share of requests for the new version. A sidecar without a lease sends no requests to it.
 //!
-//! | module | decision |
+//! | module | responsibility |
 //! | --- | --- |
-//! | `order` | whether an order is accepted, is one of before, or is rejected |
-//! | `evidence` | outcomes of all sidecars, and how old a roll-out is |
-//! | `judge` | whether the new version is bad, or known well enough |
-//! | `schedule` | which share it gets, and when it moves on |
-//! | `controller` | the next record of each roll-out |
+//! | `order` | whether an order is accepted, repeats an accepted one, or is rejected |
+//! | `evidence` | outcomes reported by all sidecars, and the age of a rollout |
+//! | `judge` | whether the new version is bad, or has served enough requests to be called good |
+//! | `schedule` | shares of the new version, and the times of phase changes |
+//! | `controller` | the next record of each rollout |
 //! | `messages` | reports and grants |
 
 mod controller;
--- a/crates/router/control-plane/src/rollout/controller.rs
+++ b/crates/router/control-plane/src/rollout/controller.rs
@@ -1,8 +1,8 @@
-//! The controller of all roll-outs, on the established primary of one term.
+//! The controller of all rollouts, on the established primary of one term.
 //!
-//! It decides and holds no state that a successor couldn't rebuild: records are replicated, and evidence and ages come with the
-//! sidecars' next reports. Each decision is a new record; it takes effect once that is committed, so that a controller that is
-//! lost in between leaves either the record before or the one after. Shares are granted by the committed record only.
+//! It holds no state that a successor could not rebuild: records are replicated, and evidence and ages arrive with the
+//! sidecars' next reports. Each decision is a new record that takes effect once it is committed, so that a controller that
+//! fails in between leaves either the old record or the new one. Shares are granted only according to committed records.
 
 use super::evidence::{Comparisons, Evidence};
 use super::judge::{judge, Judgement};
@@ -19,47 +19,51 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// The next order begins this long after the end of the one before, so that operators see how that ended.
+/// The next order of a service starts this long after the end of the preceding one, so that operators can read how that
+/// one ended.
 const PAUSE_AFTER_END: Duration = Duration::from_millis(1_500);
-/// Reports of this age still tell what a sidecar has in flight.
+/// Reports up to this age are used for which sidecars exist and what they have in flight.
 const REPORT_LIFETIME: Duration = Duration::from_millis(1_500);
-/// A version is put in service with so many endpoints, as a fraction of those of the version before.
+/// A version is load-tested and promoted only if its number of ready endpoints is at least this fraction of that of the
+/// version in service.
 const MIN_ENDPOINT_RATIO: f64 = 0.7;
-/// Interval of decisions.
+/// Minimum interval between decisions.
 const DECISION_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What the controller knows of one roll-out beside its record.
+/// The controller's knowledge of one rollout in addition to its record.
 #[derive(Debug)]
 struct TrackedRollout {
     evidence: Evidence,
-    /// The committed phase, and since when this controller knows of it.
+    /// The committed phase.
     phase: RolloutPhase,
+    /// Time since which this controller has known the phase.
     phase_since: Duration,
-    /// Requests that had ended at the new version when it was judged last.
+    /// Number of requests that had ended at the new version as of the last decision.
     requests_at_target: u32,
-    /// The test under load, once it has started.
+    /// The load test, once it has started.
     load_test: Option<LoadTest>,
 }
 
-/// A test of one endpoint under load.
+/// A load test of one endpoint of the new version.
 #[derive(Debug)]
 struct LoadTest {
-    since: Duration,
-    /// Routers that take part, and requests of each. All of them would be too many for a small endpoint, where both versions
-    /// would be slow.
+    started_at: Duration,
+    /// Routers that take part, at most as many as there are requests. Requests of all routers could be too many for a small
+    /// endpoint, at which both versions would be slow.
     routers: BTreeSet<SocketAddrV4>,
-    requests_each: u16,
+    /// Number of requests that each of these routers sends.
+    requests_per_router: u16,
 }
 
 impl LoadTest {
-    /// A test of so many requests, by as many routers.
+    /// Creates a test of about `requests` requests in total, by at most as many routers, evenly selected.
     fn new(now: Duration, requests: f64, routers: &BTreeSet<SocketAddrV4>) -> Self {
         let router_count = (requests.round().max(1.0) as usize).min(routers.len().max(1));
         let step = (routers.len() / router_count).max(1);
         LoadTest {
-            since: now,
+            started_at: now,
             routers: routers.iter().step_by(step).take(router_count).copied().collect(),
-            requests_each: (requests / router_count as f64).round().max(1.0) as u16,
+            requests_per_router: (requests / router_count as f64).round().max(1.0) as u16,
         }
     }
 }
@@ -67,30 +71,30 @@
 /// The controller of one term.
 #[derive(Debug, Default)]
 pub struct Controller {
-    /// By the id of the roll-out, ended ones included.
+    /// All rollouts of the committed state, including ended ones, by id.
     tracked: BTreeMap<u64, TrackedRollout>,
-    /// Versions that the configuration sets, by service; `None` for services of which it sets none.
+    /// The services of the configuration, each with the version that the configuration sets, if any.
     configured: BTreeMap<String, Option<String>>,
     next_decision: Duration,
 }
 
-/// Records that replace those of the state, and the versions in service that they lead to.
+/// Records that replace those of the state, and the resulting versions in service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Decision {
-    /// All roll-outs.
+    /// Records of all rollouts, including those that do not change.
     pub rollouts: Rollouts,
-    /// All versions in service.
+    /// Versions in service of all services, including those that do not change.
     pub service_versions: ServiceVersions,
 }
 
 impl Controller {
-    /// Takes the committed configuration.
+    /// Applies the committed configuration.
     pub fn configure(&mut self, configuration: &Configuration) {
         let services = configuration.services.iter();
         self.configured = services.map(|service| (service.name.clone(), service.version.clone())).collect();
     }
 
-    /// Takes the committed records.
+    /// Tracks the rollouts of the committed records, and forgets all others.
     pub fn observe_committed(&mut self, now: Duration, rollouts: &Rollouts) {
         self.tracked.retain(|id, _| rollouts.find(*id).is_some());
         for rollout in rollouts.services().flat_map(|(_, service_rollouts)| service_rollouts.all()) {
@@ -108,12 +112,12 @@
         }
     }
 
-    /// How old a roll-out is at least; no time for one that isn't known.
+    /// Returns a lower bound of the age of a rollout; zero for an unknown one.
     pub fn age(&self, now: Duration, id: u64) -> Duration {
         self.tracked.get(&id).map_or(Duration::ZERO, |tracked| tracked.evidence.age(now))
     }
 
-    /// Takes a sidecar's reports.
+    /// Records a sidecar's reports. Ignores reports of unknown rollouts.
     pub fn observe_reports(
         &mut self,
         now: Duration,
@@ -128,7 +132,8 @@
         }
     }
 
-    /// The shares of a router that committed records allow now; `exposure` bounds what a version gets that isn't judged.
+    /// Returns the shares that the committed records allow for a router at `now`. `exposure` bounds the requests that a
+    /// version receives before it is judged.
     pub fn shares(
         &self,
         now: Duration,
@@ -150,15 +155,15 @@
             let load_test = tracked.load_test.as_ref().filter(|test| {
                 rollout.phase == RolloutPhase::Canary
                     && test.routers.contains(&router)
-                    && is_load_test_starting(now.saturating_sub(test.since))
+                    && is_load_test_starting(now.saturating_sub(test.started_at))
             });
-            let load_test = load_test.map(|test| test.requests_each);
+            let load_test = load_test.map(|test| test.requests_per_router);
             Some(share_grant(rollout.id, share, load_test))
         };
         current.filter_map(grant).collect()
     }
 
-    /// The next records, where any roll-out moves on. `state` is committed.
+    /// Returns the next records if any rollout changes, at most one per call. `state` must be committed.
     pub fn decide(
         &mut self,
         now: Duration,
@@ -183,14 +188,14 @@
                     decision.service_versions.set(service, &version);
                 }
                 *decision.rollouts.of_mut(service) = next;
-                // One at a time: the others follow with the next decision.
+                // Other rollouts follow with the next decisions.
                 return Some(decision);
             }
         }
         None
     }
 
-    /// Begins the load test of each canary that is due and wasn't found bad.
+    /// Starts the load test of each canary that is due for it, has enough endpoints and requests, and was not judged bad.
     fn start_load_tests(
         &mut self,
         now: Duration,
@@ -221,6 +226,8 @@
         }
     }
 
+    /// Returns the next records of a service: its running rollout in the next phase, or the next waiting order started.
+    /// Returns `None` if nothing changes.
     fn next_service_rollouts(
         &self,
         now: Duration,
@@ -248,13 +255,13 @@
         Some(next)
     }
 
-    /// Whether the next order may begin, as far as the one before it tells.
+    /// Returns whether the next order of a service may start, [`PAUSE_AFTER_END`] after the end of the preceding one.
     fn may_start_next(&self, now: Duration, service_rollouts: &ServiceRollouts) -> bool {
         let ended = service_rollouts.current.as_ref().and_then(|current| self.tracked.get(&current.id));
         ended.is_none_or(|ended| now.saturating_sub(ended.phase_since) >= PAUSE_AFTER_END)
     }
 
-    /// Moves a roll-out that runs on; `None` where it stays as it is.
+    /// Updates the record of a running rollout to its next phase. Returns `None` if the phase stays the same.
     fn advance(&self, now: Duration, rollout: &mut Rollout, registry: &Registry) -> Option<()> {
         let tracked = self.tracked.get(&rollout.id)?;
         let (phase, reason) = self.next_phase(now, rollout, tracked, registry)?;
@@ -264,6 +271,7 @@
         Some(())
     }
 
+    /// Returns the next phase of a running rollout with the reason for operators, or `None` if the phase stays the same.
     fn next_phase(
         &self,
         now: Duration,
@@ -292,7 +300,7 @@
             RolloutPhase::Canary => {
                 let load_test = tracked.load_test.as_ref();
                 let is_tested =
-                    load_test.is_some_and(|test| is_load_test_complete(now.saturating_sub(test.since)));
+                    load_test.is_some_and(|test| is_load_test_complete(now.saturating_sub(test.started_at)));
                 let is_due = age >= schedule.promote_at && judgement == Judgement::Good && is_tested;
                 (is_due && has_endpoints(rollout, registry))
                     .then(|| (RolloutPhase::Promoting, format!("judged good by {requests} requests")))
@@ -309,7 +317,7 @@
     }
 }
 
-/// The version that a service's current roll-out puts in service; `None` where it changes nothing.
+/// Returns the version that a service's current rollout puts in service, or `None` if it does not determine one.
 fn version_in_service(service_rollouts: &ServiceRollouts) -> Option<String> {
     let current = service_rollouts.current.as_ref()?;
     match current.phase {
@@ -319,26 +327,27 @@
     }
 }
 
-/// Whether the new version has nearly as many ready endpoints as the one before.
+/// Returns whether the new version has enough ready endpoints compared to the version in service, but at least one.
 fn has_endpoints(rollout: &Rollout, registry: &Registry) -> bool {
     let count = |version: &str| {
         let records = registry.records().filter(|record| record.state == EndpointState::Ready);
-        let service_rollouts = records.filter(|record| record.service == rollout.order.service);
-        service_rollouts.filter(|record| record.version == version).count()
+        let of_service = records.filter(|record| record.service == rollout.order.service);
+        of_service.filter(|record| record.version == version).count()
     };
     let base = rollout.base_version.as_deref().map_or(0, count);
     let target = count(&rollout.order.target_version);
     target > 0 && target as f64 >= base as f64 * MIN_ENDPOINT_RATIO
 }
 
-/// Requests that an endpoint of the new version processes concurrently; the least of all.
+/// Returns the lowest capacity, in concurrent requests, of the ready endpoints of the new version; 0 if there is none.
 fn capacity_of_target(rollout: &Rollout, registry: &Registry) -> u32 {
     let records = registry.records().filter(|record| record.state == EndpointState::Ready);
-    let service_rollouts = records.filter(|record| record.service == rollout.order.service);
-    let target = service_rollouts.filter(|record| record.version == rollout.order.target_version);
+    let of_service = records.filter(|record| record.service == rollout.order.service);
+    let target = of_service.filter(|record| record.version == rollout.order.target_version);
     target.map(|record| record.capacity).min().unwrap_or(0)
 }
 
+/// Returns the number of requests that have ended at the new version, over all classes.
 fn requests_at_target(comparisons: &Comparisons) -> u32 {
     let targets = comparisons.values().map(|comparison| &comparison.target);
     targets.map(|target: &Tally| target.ended).sum()
--- a/crates/router/control-plane/src/rollout/evidence.rs
+++ b/crates/router/control-plane/src/rollout/evidence.rs
@@ -1,26 +1,26 @@
-//! Outcomes that sidecars have reported of one roll-out, and its age.
+//! Outcomes of one rollout as reported by sidecars, and the rollout's age.
 //!
-//! A report holds everything that its sender has counted, and replaces the one before it: a report that is lost, late or comes twice
-//! counts nothing twice. Nothing here is durable: a new controller has it again from the next reports.
+//! A report contains the cumulative counts of its sender and replaces the preceding one, so lost, late or duplicate
+//! reports do not distort the counts. Nothing here is durable: a new controller obtains it again from the next reports.
 
 use passrelay_dissemination::{Peer, RequestClass, RolloutReport, Tally};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// Requests of one class, at both versions.
+/// Outcomes of requests of one class, at both versions.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Comparison {
-    /// At the version in service before the roll-out.
+    /// Outcomes at the version in service before the rollout.
     pub base: Tally,
-    /// At the new version.
+    /// Outcomes at the new version.
     pub target: Tally,
 }
 
-/// Requests at both versions, by class.
+/// Outcomes at both versions, by request class.
 pub type Comparisons<'a> = BTreeMap<&'a RequestClass, Comparison>;
 
-/// The last report of a sidecar.
+/// The last report of a sidecar, and when it arrived.
 #[derive(Debug)]
 struct ReceivedReport {
     at: Duration,
@@ -28,28 +28,30 @@
     report: RolloutReport,
 }
 
-/// Everything that is known of one roll-out beside its record.
+/// What the sidecars have reported of one rollout.
 #[derive(Debug)]
 pub struct Evidence {
-    /// Age when `age_observed_at` was now; a lower bound.
+    /// Lower bound of the rollout's age at the time `age_observed_at`.
     age: Duration,
     age_observed_at: Duration,
-    /// By the process that reported: after a restart it counts from zero, and what it had counted before stays.
+    /// Last report of each process, by address and incarnation. A restarted process counts from zero, so the counts of
+    /// its predecessor are kept.
     reports: BTreeMap<(SocketAddrV4, u64), ReceivedReport>,
 }
 
 impl Evidence {
-    /// No report yet, of a roll-out of this age.
+    /// Creates the evidence of a rollout of the given age, without any report.
     pub fn new(now: Duration, age: Duration) -> Self {
         Evidence { age, age_observed_at: now, reports: BTreeMap::new() }
     }
 
-    /// How old the roll-out is at least.
+    /// Returns a lower bound of the rollout's age.
     pub fn age(&self, now: Duration) -> Duration {
         self.age + now.saturating_sub(self.age_observed_at)
     }
 
-    /// Takes a sidecar's report unless a later one has come already.
+    /// Records a sidecar's report, unless a later one has already arrived. Raises the age of the rollout if the sidecar has
+    /// known it for longer.
     pub fn observe(&mut self, now: Duration, from: Peer, request_id: u64, report: RolloutReport) {
         let key = (from.address, from.incarnation.0);
         if self.reports.get(&key).is_some_and(|known| known.request_id > request_id) {
@@ -62,7 +64,7 @@
         self.reports.insert(key, ReceivedReport { at: now, request_id, report });
     }
 
-    /// Outcomes of all sidecars, by class.
+    /// Returns the outcomes of all sidecars together, by request class.
     pub fn comparisons(&self) -> Comparisons<'_> {
         let mut comparisons = Comparisons::new();
         for outcomes in self.reports.values().flat_map(|received| &received.report.outcomes) {
@@ -73,14 +75,14 @@
         comparisons
     }
 
-    /// The sidecars with a report since `since`.
+    /// Returns the addresses of the sidecars that have reported at or after `since`.
     pub fn reporters(&self, since: Duration) -> BTreeSet<SocketAddrV4> {
         let recent = self.reports.iter().filter(|(_, received)| received.at >= since);
         recent.map(|((address, _), _)| *address).collect()
     }
 
-    /// Whether all sidecars with a report since `since` send to the new version alone and have nothing left at others. False
-    /// without any report.
+    /// Returns whether all sidecars that have reported at or after `since` send requests only to the new version and have
+    /// no requests in flight at others. Returns false if there is no such report.
     pub fn is_base_drained(&self, since: Duration) -> bool {
         let mut recent = self.reports.values().filter(|received| received.at >= since).peekable();
         recent.peek().is_some()
--- a/crates/router/control-plane/src/rollout/judge.rs
+++ b/crates/router/control-plane/src/rollout/judge.rs
@@ -1,57 +1,60 @@
-//! Whether a new version is worse than the one in service, on requests that are alike and at the same time.
+//! Canary judgement: whether a new version is worse than the one in service, measured on comparable requests in the same
+//! period.
 //!
-//! Requests count as failed or not, and as slow or not: slow is whoever takes several times as long as the median of its class at
-//! the base version. Each rate at the new version is compared with that at the base by a mixture of sequential probability ratios:
-//! under a rate of at most `tolerated`, the ratio of the likelihood under a uniformly drawn rate to that under `tolerated` exceeds
-//! `1 / FALSE_POSITIVE_PROBABILITY` at any time with a probability below `FALSE_POSITIVE_PROBABILITY` (Ville's inequality). So it may be looked at after every report.
+//! A request counts as failed or not, and as slow or not: it is slow if it takes several times as long as the median of its
+//! class at the base version. Each rate at the new version is compared with that at the base by a mixture sequential
+//! probability ratio test: if the true rate is at most `tolerated`, the ratio of the likelihood under a uniformly
+//! distributed rate to that under `tolerated` ever exceeds `1 / FALSE_POSITIVE_PROBABILITY` with a probability below
+//! `FALSE_POSITIVE_PROBABILITY` (Ville's inequality). So the test may be repeated after every report.
 
 use super::evidence::{Comparison, Comparisons};
 use passrelay_dissemination::{Measure, RequestClass, Tally, LOAD_TEST_CLASS};
 use statrs::function::beta::ln_beta;
 use std::collections::BTreeSet;
 
-/// Probability of condemning a version whose rates are tolerated, for each rate that is looked at.
+/// Upper bound of the probability that a version with tolerable rates is judged bad, per tested rate.
 const FALSE_POSITIVE_PROBABILITY: f64 = 1e-4;
-/// A version is never condemned by fewer failures, or slow requests.
+/// Minimum number of failures, or of slow requests, for a version to be judged bad.
 const MIN_EVENTS: f64 = 4.0;
-/// Failures are tolerated up to this rate, or to the base's with a margin.
+/// Failure rate that is always tolerated; a higher rate is tolerated if the base's rate, with a margin, is higher.
 const TOLERATED_FAILURES: f64 = 0.02;
-/// Slow requests are tolerated up to the base's rate, with a margin, and this.
+/// Rate of slow requests that is tolerated in addition to the base's rate with a margin.
 const TOLERATED_SLOW: f64 = 0.08;
-/// Margin on the base's rates: the new endpoints are others, in other places.
+/// Factor on the base's rates, since the new version runs on other endpoints in other locations.
 const RATE_MARGIN: f64 = 1.5;
-/// A request is slow from so many buckets above the median on: 3 to 4 times as long.
+/// A request is slow if its latency bucket is at least this many buckets above the median's: 3 to 4 times the latency.
 const SLOW_BUCKETS: usize = 4;
-/// The median of fewer requests says nothing.
+/// Minimum number of requests at the base version for a meaningful median.
 const MIN_BASE_REQUESTS: u32 = 10;
-/// Requests at the new version that a judgement in its favour needs, in all ...
+/// Minimum number of requests at the new version, over all routes, for judging it good.
 const MIN_TARGET_REQUESTS: u32 = 20;
-/// ... and on each route with more than this share of the base's requests ...
+/// Routes with less than this share of the base's requests are exempt from [`MIN_ROUTE_REQUESTS`].
 const MAIN_ROUTE_SHARE: f64 = 0.05;
-/// ... so many.
+/// Minimum number of requests at the new version on each main route, for judging it good.
 const MIN_ROUTE_REQUESTS: u32 = 4;
 
-/// What the outcomes so far say of the new version.
+/// Judgement of the new version by the outcomes so far.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Judgement {
-    /// It is worse; the reason, for operators.
+    /// The version is worse. Contains the reason, for operators.
     Bad(String),
-    /// Nothing speaks against it, and enough requests were compared.
+    /// There is no evidence against the version, and enough requests were compared.
     Good,
-    /// Nothing speaks against it so far.
+    /// There is no evidence against the version, but too few requests were compared.
     Unknown,
 }
 
-/// Judges by the outcomes of all sidecars.
+/// Judges the new version by the outcomes of all sidecars. Each route is tested separately, and on each route the requests
+/// of the load test separately from the others.
 pub fn judge(comparisons: &Comparisons) -> Judgement {
     let routes: BTreeSet<&str> = comparisons.keys().map(|class| class.route.as_str()).collect();
     for route in &routes {
         for is_load_test in [false, true] {
-            let is_alike =
+            let is_comparable =
                 |class: &RequestClass| class.route == *route && is_of_load_test(class) == is_load_test;
-            let alike = comparisons.iter().filter(|(class, _)| is_alike(class));
-            let alike: Classes = alike.map(|(class, comparison)| (*class, comparison)).collect();
-            if let Some(reason) = regression(&alike) {
+            let comparable = comparisons.iter().filter(|(class, _)| is_comparable(class));
+            let comparable: Classes = comparable.map(|(class, comparison)| (*class, comparison)).collect();
+            if let Some(reason) = regression(&comparable) {
                 let load = if is_load_test { " under load" } else { "" };
                 return Judgement::Bad(format!("route {route}{load}: {reason}"));
             }
@@ -68,7 +71,7 @@
     class.size == LOAD_TEST_CLASS
 }
 
-/// Why the new version is worse on these requests; `None` where nothing says so.
+/// Returns the reason why the new version is worse on these request classes, or `None` if there is no evidence for that.
 fn regression(classes: &Classes) -> Option<String> {
     let slow_whole =
         || latency_regression(classes, Measure::Complete).map(|reason| format!("{reason} (whole answers)"));
@@ -77,9 +80,10 @@
         .or_else(slow_whole)
 }
 
+/// Comparable request classes with their outcomes.
 type Classes<'a> = Vec<(&'a RequestClass, &'a Comparison)>;
 
-/// Events among requests at the new version, and the rate that is tolerated.
+/// Sequential test of a rate at the new version: `events` among `requests` against the `tolerated` rate.
 struct RateTest {
     events: f64,
     requests: f64,
@@ -87,18 +91,20 @@
 }
 
 impl RateTest {
+    /// Returns whether the rate exceeds the tolerated one, with the error bound given in the module documentation.
     fn is_exceeded(&self) -> bool {
         let RateTest { events, requests, tolerated } = *self;
         if events < MIN_EVENTS || events <= tolerated * requests {
             return false;
         }
         let others = requests - events;
-        let under_any = ln_beta(events + 1.0, others + 1.0);
-        let under_tolerated = events * tolerated.ln() + others * (1.0 - tolerated).ln();
-        under_any - under_tolerated > -FALSE_POSITIVE_PROBABILITY.ln()
+        let log_likelihood_uniform = ln_beta(events + 1.0, others + 1.0);
+        let log_likelihood_tolerated = events * tolerated.ln() + others * (1.0 - tolerated).ln();
+        log_likelihood_uniform - log_likelihood_tolerated > -FALSE_POSITIVE_PROBABILITY.ln()
     }
 }
 
+/// Returns the reason, if the failure rate at the new version exceeds the tolerated one.
 fn failure_regression(classes: &Classes) -> Option<String> {
     let (mut base, mut target) = (Tally::default(), Tally::default());
     for (_, comparison) in classes {
@@ -106,12 +112,12 @@
         target.add(&comparison.target);
     }
     let base_rate = f64::from(base.failed) / f64::from(base.ended.max(1));
-    let rate = RateTest {
+    let test = RateTest {
         events: f64::from(target.failed),
         requests: f64::from(target.ended),
         tolerated: (base_rate * RATE_MARGIN + TOLERATED_FAILURES / 2.0).clamp(TOLERATED_FAILURES, 0.9),
     };
-    rate.is_exceeded().then(|| {
+    test.is_exceeded().then(|| {
         let (failed, ended) = (target.failed, target.ended);
         format!(
             "{failed} of {ended} requests failed, {} of {} at the version before",
@@ -120,6 +126,7 @@
     })
 }
 
+/// Returns the reason, if the rate of slow requests at the new version exceeds the tolerated one.
 fn latency_regression(classes: &Classes, measure: Measure) -> Option<String> {
     let (mut slow, mut requests, mut expected) = (0.0, 0.0, 0.0);
     for (_, comparison) in classes.iter().filter(|(class, _)| class.measure == measure) {
@@ -132,12 +139,13 @@
         expected += target_requests * tolerated;
     }
     let tolerated = (expected / requests.max(1.0)).clamp(TOLERATED_SLOW, 0.9);
-    let rate = RateTest { events: slow, requests, tolerated };
-    rate.is_exceeded()
+    let test = RateTest { events: slow, requests, tolerated };
+    test.is_exceeded()
         .then(|| format!("{slow} of {requests} requests took several times as long as at the version before"))
 }
 
-/// The bucket from which on a request is slow; `None` where too few say what is usual.
+/// Returns the lowest latency bucket whose requests are slow, or `None` if the base version has served too few requests
+/// for a meaningful median.
 fn slow_threshold(base: &Tally) -> Option<usize> {
     let requests: u32 = base.latencies.iter().sum();
     let mut remaining = requests / 2;
@@ -149,23 +157,24 @@
     median.filter(|_| requests >= MIN_BASE_REQUESTS).map(|median| median + SLOW_BUCKETS)
 }
 
-/// Requests from a bucket on, and all.
+/// Returns the number of requests in `bucket` and the buckets above it, and the number of all requests.
 fn count_from_bucket(tally: &Tally, bucket: usize) -> (f64, f64) {
     let slow: u32 = tally.latencies.iter().skip(bucket).sum();
     let all: u32 = tally.latencies.iter().sum();
     (f64::from(slow), f64::from(all))
 }
 
+/// Returns whether the new version has served enough requests, in total and on each main route, to be judged good.
 fn has_enough_requests(routes: &BTreeSet<&str>, comparisons: &Comparisons) -> bool {
-    let count = |route: Option<&str>, of: fn(&Comparison) -> &Tally| -> u32 {
-        let fitting = comparisons.iter().filter(|(class, _)| route.is_none_or(|route| class.route == route));
-        fitting.map(|(_, comparison)| of(comparison).ended).sum()
+    let count = |route: Option<&str>, tally: fn(&Comparison) -> &Tally| -> u32 {
+        let on_route = comparisons.iter().filter(|(class, _)| route.is_none_or(|route| class.route == route));
+        on_route.map(|(_, comparison)| tally(comparison).ended).sum()
     };
-    let all_base = f64::from(count(None, |comparison| &comparison.base));
-    let is_known = |route: &&str| {
-        let of_base = f64::from(count(Some(route), |comparison| &comparison.base));
-        of_base < MAIN_ROUTE_SHARE * all_base
+    let base_requests = f64::from(count(None, |comparison| &comparison.base));
+    let is_sampled = |route: &&str| {
+        let base_requests_on_route = f64::from(count(Some(route), |comparison| &comparison.base));
+        base_requests_on_route < MAIN_ROUTE_SHARE * base_requests
             || count(Some(route), |comparison| &comparison.target) >= MIN_ROUTE_REQUESTS
     };
-    count(None, |comparison| &comparison.target) >= MIN_TARGET_REQUESTS && routes.iter().all(is_known)
+    count(None, |comparison| &comparison.target) >= MIN_TARGET_REQUESTS && routes.iter().all(is_sampled)
 }
--- a/crates/router/control-plane/src/rollout/order.rs
+++ b/crates/router/control-plane/src/rollout/order.rs
@@ -1,8 +1,9 @@
-//! Operators' orders: how a primary adjudicates one against its newest state.
+//! Rollout orders of operators: how a primary evaluates an order against its newest state.
 //!
-//! Operators send an order again where its answer was lost, for some seconds. So the very same order is acknowledged again while
-//! its roll-out waits or runs, and after its end until its deadline is over. Another order of the same service waits for the one that
-//! runs: that one is judged first, since an operator may not have seen its end.
+//! Operators resend an order for some seconds if its answer was lost. So an identical order is acknowledged again while its
+//! rollout waits or runs, and after the end of the rollout until its deadline has passed. A different order for the same
+//! service waits for the running rollout: that version is judged first, since an operator may not have seen the end of the
+//! rollout.
 
 use crate::replication::ReplicatedState;
 use passrelay_configuration::{
@@ -20,10 +21,10 @@
     /// The configuration sets the version of the service itself.
     #[error("backend: the configuration sets the version of service {0}, change it there")]
     VersionSetByConfiguration(String),
-    /// The processes were started without roll-outs among their contracts.
+    /// The processes were started without rollouts among their contracts.
     #[error("roll-outs are not among the contracts of this fleet")]
     RolloutsNotEnabled,
-    /// Too many orders of the service wait.
+    /// Too many orders of the service are waiting.
     #[error("backend: too many roll-outs of service {0} are under way")]
     TooManyWaiting(String),
 }
@@ -31,29 +32,33 @@
 /// Verdict of a primary on an order, given its newest state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderVerdict {
-    /// The state contains it: to be acknowledged once that is on a majority of disks.
+    /// The state contains the order. It is to be acknowledged once the state is on a majority of disks.
     AlreadyAccepted,
-    /// To be replicated, and acknowledged once that is on a majority of disks.
+    /// The order is acceptable. The contained rollouts are to be replicated, and the order is to be acknowledged once they
+    /// are on a majority of disks.
     Accept(Rollouts),
-    /// To be rejected once the primary is confirmed.
+    /// The order is not acceptable. It is to be rejected once the state is committed and a quorum has confirmed the
+    /// primary.
     Reject(OrderRejection),
 }
 
-/// Adjudicates an order against a state. `age_of` tells how old a roll-out is at least, by its id.
+/// Evaluates an order against a state. `age_of` returns a lower bound of the age of the rollout with the given id.
+///
+/// Accepting an order also removes the inactive rollouts of services that the configuration no longer contains.
 pub fn evaluate_order(
     order: &RolloutOrder,
     state: &ReplicatedState,
     age_of: impl Fn(u64) -> Duration,
 ) -> OrderVerdict {
-    let of_service = state.rollouts.of(&order.service);
+    let service_rollouts = state.rollouts.of(&order.service);
     let is_same = |rollout: &&Rollout| {
         rollout.order == *order
             && (!rollout.phase.is_final() || age_of(rollout.id) < Duration::from_millis(order.deadline_ms))
     };
-    if of_service.is_some_and(|rollouts| rollouts.all().any(|rollout| is_same(&rollout))) {
+    if service_rollouts.is_some_and(|rollouts| rollouts.all().any(|rollout| is_same(&rollout))) {
         return OrderVerdict::AlreadyAccepted;
     }
-    if let Err(rejection) = validate(order, state, of_service) {
+    if let Err(rejection) = validate(order, state, service_rollouts) {
         return OrderVerdict::Reject(rejection);
     }
     let mut rollouts = state.rollouts.clone();
@@ -70,10 +75,11 @@
     OrderVerdict::Accept(rollouts)
 }
 
+/// Checks an order against the configuration and the number of waiting orders.
 fn validate(
     order: &RolloutOrder,
     state: &ReplicatedState,
-    of_service: Option<&ServiceRollouts>,
+    service_rollouts: Option<&ServiceRollouts>,
 ) -> Result<(), OrderRejection> {
     let name = || order.service.clone();
     let configured = configured_services(state);
@@ -81,14 +87,14 @@
     match service {
         None => Err(OrderRejection::UnknownService(name())),
         Some((_, Some(_))) => Err(OrderRejection::VersionSetByConfiguration(name())),
-        Some(_) if of_service.is_some_and(|rollouts| !rollouts.has_room()) => {
+        Some(_) if service_rollouts.is_some_and(|rollouts| !rollouts.has_room()) => {
             Err(OrderRejection::TooManyWaiting(name()))
         }
         Some(_) => Ok(()),
     }
 }
 
-/// The services of a state's configuration, with the version that it sets.
+/// Returns the services of a state's configuration, each with the version that the configuration sets, if any.
 fn configured_services(state: &ReplicatedState) -> Vec<(String, Option<String>)> {
     let document = state.document.as_deref().and_then(|document| parse_document(document.as_bytes()).ok());
     let configuration = document.and_then(|document| Configuration::read(&document).ok());
