--- a/crates/router/control-plane/src/lib.rs
+++ b/crates/router/control-plane/src/lib.rs
@@ -1,25 +1,25 @@
 //! The control plane of the router fleet: replicates the operators' configuration, elects the primary that changes it,
-//! and grants the tenants' quotas.
+//! grants the tenants' quotas and controls rollouts of service versions.
 //!
-//! No I/O and no clock. The driver (the router's node, or the cluster simulation) calls the [`Coordinator`] with the
-//! time since the process started and with what has arrived; the coordinator returns [`Action`]s: messages to send,
-//! records to write, answers to give. The same calls give the same actions. Sockets, disks and timers are the
-//! driver's; requests of clients are the data plane's.
+//! The crate does no I/O and reads no clock. The driver (the router's node, or the cluster simulation) calls the
+//! [`Coordinator`] with the time since the process started and with each event; the coordinator returns [`Action`]s:
+//! messages to send, records to write, answers to operators. It is deterministic: the same calls result in the same
+//! actions. The driver owns sockets, disks and timers; the data plane handles client requests.
 //!
 //! | module | state that it owns |
 //! | --- | --- |
-//! | [`replication`] | epoch record, promised term and replicated state of a voter: elections, commit, membership |
-//! | [`configuration_change`] | none: verdict on a change, given a replicated state |
+//! | [`replication`] | epoch record, promised term and replicated state of a voter: elections, commitment, membership |
+//! | [`configuration_change`] | none: evaluates a change against a replicated state |
 //! | [`quota`] | token buckets of the current grantor |
-//! | [`rollout`] | outcomes by version, phases of roll-outs; current on the primary only |
-//! | [`load`] | last load report of each sidecar, totals over all |
-//! | `coordinator` | composition of these with dissemination; pending operator calls, life cycle of the grantor |
+//! | [`rollout`] | outcomes by version and phases of rollouts; current on the primary only |
+//! | [`load`] | last load report of each sidecar, and totals over all sidecars |
+//! | `coordinator` | the state machines above and dissemination; pending operator calls, life cycle of the grantor |
 //! | `messages` | none: messages between processes, actions |
 //!
-//! How messages flow, through [`Coordinator::receive`] and its siblings:
+//! Message flow through [`Coordinator::receive`] and the other entry points:
 //!
 //! ```text
-//!  operator call ----> operator_calls --evaluate--> configuration_change
+//!  operator call ----> operator_calls --evaluate----> configuration_change
 //!        (forwarded        |    ^                          |
 //!        to the primary)   |    | committed, confirmed     | propose
 //!                          v    |                          v
@@ -31,7 +31,10 @@
 //!                               |
 //!                               | address of the primary
 //!                               v
-//!  token requests, load reports: sent to the primary --> grantor, load totals --> grants and totals back
+//!  token requests, load and rollout reports: sent to the primary --> grantor, load totals, rollout controller
+//!                               |
+//!                               v
+//!  grants of tokens and shares, totals: returned to the sidecar
 //! ```
 
 pub mod configuration_change;
--- a/crates/router/control-plane/src/messages.rs
+++ b/crates/router/control-plane/src/messages.rs
@@ -1,9 +1,9 @@
-//! Types at the border of the control plane: messages between processes, requests of operators, and actions for the
+//! Types at the interface of the control plane: messages between processes, requests of operators, and actions for the
 //! driver.
 //!
-//! Messages are serialised (CBOR) and exchanged between processes of different versions: names, order and shape of
-//! fields and variants are fixed. Framing, connections and retransmission are the driver's; any message may be lost,
-//! duplicated or reordered.
+//! Messages are serialised as CBOR and exchanged between processes of different versions, so the names, order and types
+//! of their fields and variants are fixed. The driver is responsible for framing, connections and retransmission; any
+//! message may be lost, duplicated or reordered.
 
 use crate::configuration_change::ConfigurationChange;
 use crate::load::LoadMessage;
@@ -16,7 +16,7 @@
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
-/// Identifies an operator call at the process that received it from the operator.
+/// Identifies an operator call. Unique within the process that received the call from the operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CallId(pub u64);
 
@@ -27,39 +27,39 @@
     Read,
     /// Change the configuration.
     Change(ConfigurationChange),
-    /// Move a service to another version.
+    /// Roll out another version of a service.
     OrderRollout(RolloutOrder),
-    /// Read the roll-out of a service.
+    /// Read the current or waiting rollout of a service.
     ReadRollout {
-        /// The service.
+        /// Name of the service in the configuration.
         service: String,
     },
 }
 
-/// The answer to an operator call: an HTTP status and a JSON body, passed to the operator as they are.
+/// The answer to an operator call: an HTTP status and a JSON body, passed to the operator unchanged.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OperatorAnswer {
     /// HTTP status code.
     pub status: u16,
-    /// JSON body.
+    /// HTTP body, as JSON.
     pub body: Arc<str>,
 }
 
-/// Messages that forward operator calls to the primary, and its answers back.
+/// Messages that forward operator calls to the primary and return its answers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OperatorMessage {
-    /// A forwarded call.
+    /// A call forwarded to the primary.
     Call {
         /// Identifies the call at the sender.
         call: CallId,
-        /// The request.
+        /// The request as received from the operator.
         request: OperatorRequest,
     },
-    /// The primary's answer.
+    /// The primary's answer to a forwarded call.
     Answer {
-        /// The call, as identified by the process that forwarded it.
+        /// Id of the call at the process that forwarded it.
         call: CallId,
-        /// The answer.
+        /// Status and body for the operator.
         answer: OperatorAnswer,
     },
 }
@@ -67,22 +67,23 @@
 /// All messages between processes, one variant per subsystem.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Replication.
+    /// Elections, bootstrap, heartbeats and state transfer among voters and seeds.
     Replication(ReplicationEnvelope),
-    /// Dissemination.
+    /// Dissemination of configurations, endpoints and peers.
     Gossip(GossipMessage),
     /// Token requests, grants and bucket levels.
     Quota(QuotaMessage),
     /// Load reports and totals.
     Load(LoadMessage),
-    /// Forwarded operator calls.
+    /// Forwarded operator calls and their answers.
     Operator(OperatorMessage),
-    /// Reports of roll-outs, and shares. Unknown to earlier builds, which drop it: they take no part in roll-outs.
+    /// Reports of rollouts, and granted shares. Earlier builds do not know this variant and drop the message, so they do
+    /// not take part in rollouts.
     Rollout(RolloutMessage),
 }
 
 impl Message {
-    /// Whether this responds to a request, and so is valid only for the incarnation that sent the request.
+    /// Returns whether this message responds to a request, and so is valid only for the incarnation that sent the request.
     pub fn is_response(&self) -> bool {
         match self {
             Message::Replication(envelope) => envelope.message.is_response(),
@@ -95,23 +96,24 @@
     }
 }
 
-/// A message with its sender, and for a response the incarnation that it is addressed to.
+/// A message with its sender and, for a response, the incarnation that it is addressed to.
 ///
-/// Several processes may listen at an address one after the other, so a message in flight to one may reach its
-/// successor. Request ids start again with each process; a response is therefore accepted only by the incarnation that
-/// sent the request, or it could be matched to a request that it does not answer.
+/// Several processes may listen at an address in succession, so a message in transit to one may reach its successor.
+/// Request ids restart with each process, so a successor could match the response to a request of its own. A response is
+/// therefore accepted only by the incarnation that sent the request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
-    /// Incarnation of the sender.
+    /// Incarnation of the sending process.
     pub sender: Incarnation,
-    /// For a response: the incarnation that sent the request. `None` otherwise.
+    /// The incarnation that sent the request, if this is a response. `None` otherwise.
     pub addressee: Option<Incarnation>,
-    /// The message.
+    /// Payload.
     pub message: Message,
 }
 
 impl Envelope {
-    /// Whether the process of this incarnation may handle the message. A response without addressee is for nobody.
+    /// Returns whether the process with this incarnation may handle the message. No process may handle a response without
+    /// an addressee.
     pub fn is_addressed_to(&self, incarnation: Incarnation) -> bool {
         match self.addressee {
             Some(addressee) => addressee == incarnation,
@@ -120,38 +122,38 @@
     }
 }
 
-/// An action for the driver. Actions of one step are applied in their order.
+/// A side effect for the driver. The driver executes the actions of one step in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Send a message; it may be lost.
     Send {
-        /// Address of the receiver.
+        /// Address of the receiving process.
         to: SocketAddrV4,
-        /// The message in its envelope.
+        /// The message with its sender and addressee.
         envelope: Envelope,
     },
     /// Write atomically and sync, then call [`Coordinator::write_completed`](crate::Coordinator::write_completed).
     Write {
-        /// Identifies the write in that call.
+        /// To be passed to `write_completed`.
         write_id: WriteId,
-        /// The records to write.
+        /// Records to be written atomically.
         write: DurableWrite,
     },
-    /// A newer configuration is in force here.
+    /// Apply a newer committed configuration in this process.
     Configured(CommittedConfiguration),
-    /// The core has acknowledged an announcement about an endpoint.
+    /// Note that the core has acknowledged an announcement about an endpoint.
     AnnouncementConfirmed(Announcement),
-    /// The answer to a call that an operator made to this process.
+    /// Answer a call that an operator made to this process.
     Answer {
-        /// The call.
+        /// Id that the driver gave the call.
         call: CallId,
-        /// The answer.
+        /// Status and body for the operator.
         answer: OperatorAnswer,
     },
-    /// Tokens were granted to this sidecar.
+    /// Use the tokens granted to this sidecar. Always a [`QuotaMessage::Grant`].
     QuotaGranted(QuotaMessage),
-    /// Totals of the endpoints' load over all sidecars.
+    /// Use the totals of the endpoints' load over all sidecars. Always a [`LoadMessage::Totals`].
     LoadTotals(LoadMessage),
-    /// Shares of roll-outs were granted to this sidecar.
+    /// Use the rollout shares granted to this sidecar. Always a [`RolloutMessage::Grant`].
     RolloutShares(RolloutMessage),
 }
--- a/crates/router/control-plane/src/rollout/judge.rs
+++ b/crates/router/control-plane/src/rollout/judge.rs
@@ -73,11 +73,11 @@
 
 /// Returns the reason why the new version is worse on these request classes, or `None` if there is no evidence for that.
 fn regression(classes: &Classes) -> Option<String> {
-    let slow_whole =
+    let complete_latency_regression =
         || latency_regression(classes, Measure::Complete).map(|reason| format!("{reason} (whole answers)"));
     failure_regression(classes)
         .or_else(|| latency_regression(classes, Measure::FirstByte))
-        .or_else(slow_whole)
+        .or_else(complete_latency_regression)
 }
 
 /// Comparable request classes with their outcomes.
