--- a/crates/router/control-plane/src/coordinator/operator_calls.rs
+++ b/crates/router/control-plane/src/coordinator/operator_calls.rs
@@ -285,7 +285,7 @@
 
 /// Returns the outcome of a confirmed read of a service's rollout.
 fn read_rollout(committed: &ReplicatedState, service: &str) -> OperatorOutcome {
-    let rollouts = committed.rollouts.of(service);
+    let rollouts = committed.rollouts.get(service);
     let rollout = rollouts.and_then(|rollouts| rollouts.all().next()).ok_or(OperatorError::NoRollout)?;
     Ok(OperatorReply::Rollout(rollout.clone()))
 }
--- a/crates/router/control-plane/src/coordinator/version_recorder.rs
+++ b/crates/router/control-plane/src/coordinator/version_recorder.rs
@@ -40,7 +40,7 @@
     /// one, else that of most ready endpoints.
     fn desired_versions(&self, recorded: &ServiceVersions, registry: &Registry) -> ServiceVersions {
         let version = |(service, set): (&String, &Option<String>)| {
-            let known = set.clone().or_else(|| recorded.of(service).map(str::to_owned));
+            let known = set.clone().or_else(|| recorded.get(service).map(str::to_owned));
             let version = known.or_else(|| most_common_version(registry, service))?;
             Some((service.clone(), version))
         };
--- a/crates/router/control-plane/src/rollout/controller.rs
+++ b/crates/router/control-plane/src/rollout/controller.rs
@@ -7,7 +7,7 @@
 use super::evidence::{Comparisons, Evidence};
 use super::judge::{judge, Judgement};
 use super::schedule::{
-    canary_share, has_propagated, is_load_test_complete, is_load_test_starting, load_test_requests,
+    canary_share, has_propagated, is_load_test_complete, load_test_requests, may_routers_start_load_test,
     promotion_share, ExposureBound, Schedule, Share, MIN_REQUESTS_FOR_FULL_SHARE,
 };
 use crate::replication::ReplicatedState;
@@ -97,7 +97,7 @@
     /// Tracks the rollouts of the committed records, and forgets all others.
     pub fn observe_committed(&mut self, now: Duration, rollouts: &Rollouts) {
         self.tracked.retain(|id, _| rollouts.find(*id).is_some());
-        for rollout in rollouts.services().flat_map(|(_, service_rollouts)| service_rollouts.all()) {
+        for rollout in rollouts.iter().flat_map(|(_, service_rollouts)| service_rollouts.all()) {
             let tracked = self.tracked.entry(rollout.id).or_insert_with(|| TrackedRollout {
                 evidence: Evidence::new(now, Duration::from_millis(rollout.age_ms)),
                 phase: rollout.phase,
@@ -141,8 +141,7 @@
         rollouts: &Rollouts,
         exposure: ExposureBound,
     ) -> Vec<ShareGrant> {
-        let current =
-            rollouts.services().filter_map(|(_, service_rollouts)| service_rollouts.current.as_ref());
+        let current = rollouts.iter().filter_map(|(_, service_rollouts)| service_rollouts.current.as_ref());
         let grant = |rollout: &Rollout| {
             let tracked = self.tracked.get(&rollout.id)?;
             let share = match rollout.phase {
@@ -155,7 +154,7 @@
             let load_test = tracked.load_test.as_ref().filter(|test| {
                 rollout.phase == RolloutPhase::Canary
                     && test.routers.contains(&router)
-                    && is_load_test_starting(now.saturating_sub(test.started_at))
+                    && may_routers_start_load_test(now.saturating_sub(test.started_at))
             });
             let load_test = load_test.map(|test| test.requests_per_router);
             Some(share_grant(rollout.id, share, load_test))
@@ -182,12 +181,12 @@
         self.start_load_tests(now, &state.rollouts, registry, exposure);
         let mut decision =
             Decision { rollouts: state.rollouts.clone(), service_versions: state.service_versions.clone() };
-        for (service, service_rollouts) in state.rollouts.services() {
+        for (service, service_rollouts) in state.rollouts.iter() {
             if let Some(next) = self.next_service_rollouts(now, service, service_rollouts, state, registry) {
                 if let Some(version) = version_in_service(&next) {
                     decision.service_versions.set(service, &version);
                 }
-                *decision.rollouts.of_mut(service) = next;
+                *decision.rollouts.get_or_insert_default(service) = next;
                 // Other rollouts follow with the next decisions.
                 return Some(decision);
             }
@@ -203,8 +202,7 @@
         registry: &Registry,
         exposure: ExposureBound,
     ) {
-        let current =
-            rollouts.services().filter_map(|(_, service_rollouts)| service_rollouts.current.as_ref());
+        let current = rollouts.iter().filter_map(|(_, service_rollouts)| service_rollouts.current.as_ref());
         for rollout in current.filter(|rollout| rollout.phase == RolloutPhase::Canary) {
             let Some(tracked) = self.tracked.get_mut(&rollout.id) else { continue };
             let is_due = tracked.evidence.age(now) >= Schedule::of(rollout).load_test_at;
@@ -243,7 +241,7 @@
             None => {
                 let mut started = next.waiting.remove(0);
                 started.age_ms = as_millis(self.age(now, started.id));
-                started.base_version = state.service_versions.of(service).map(str::to_owned);
+                started.base_version = state.service_versions.get(service).map(str::to_owned);
                 started.phase = RolloutPhase::Canary;
                 if started.base_version.as_ref() == Some(&started.order.target_version) {
                     started.phase = RolloutPhase::Completed;
--- a/crates/router/control-plane/src/rollout/schedule.rs
+++ b/crates/router/control-plane/src/rollout/schedule.rs
@@ -112,7 +112,7 @@
 }
 
 /// Returns whether routers may still start a load test that the controller started `elapsed` ago.
-pub(super) fn is_load_test_starting(elapsed: Duration) -> bool {
+pub(super) fn may_routers_start_load_test(elapsed: Duration) -> bool {
     elapsed < LOAD_TEST_GRANT_TIME
 }
 
