--- a/crates/sidecar/load-balancing/src/api.rs
+++ b/crates/sidecar/load-balancing/src/api.rs
@@ -1,7 +1,7 @@
-//! The interface of the decision module: settings, events, actions and the ids they use.
+//! The interface of the balancer: settings, events, actions and the ids they use.
 //!
-//! Times are seconds on the caller's own clock, which only moves forward; spans are seconds too. What the values mean
-//! on a wire is up to the caller.
+//! Times are seconds on the caller's clock, which only moves forward; durations are seconds too. How values are
+//! represented on a wire is up to the caller.
 
 mod events;
 mod ids;
--- a/crates/sidecar/load-balancing/src/api/events.rs
+++ b/crates/sidecar/load-balancing/src/api/events.rs
@@ -1,183 +1,183 @@
-//! What the caller reports to a balancer and what a balancer asks of it.
+//! Events that the caller passes to a balancer, and actions that the balancer returns.
 
 use super::{ClassId, RequestId, TenantId, UpstreamId, ZoneId};
 
-/// A load report; a field that was not reported is `None`.
+/// A load report of an upstream. A field is `None` if it was not reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests at the upstream, in work and queued.
+    /// Requests at the upstream, both running and queued.
     pub in_flight: Option<f64>,
-    /// Requests in its queue.
+    /// Requests queued at the upstream.
     pub queued: Option<f64>,
-    /// Part of the CPU in use, 0 to 1.
+    /// Fraction of the CPU in use, 0 to 1.
     pub cpu: Option<f64>,
     /// Recent service time in milliseconds.
     pub service_time_ms: Option<f64>,
-    /// Requests served a second.
+    /// Requests served per second.
     pub rps: Option<f64>,
-    /// Errors a second.
+    /// Errors per second.
     pub err_rps: Option<f64>,
 }
 
 /// State of an upstream in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// Running.
+    /// Accepts requests.
     Running,
-    /// Completes its requests; no new ones may be sent.
+    /// Completes the requests it has; no new ones may be sent to it.
     Draining,
-    /// Removed from the list.
+    /// Is no longer in the endpoint list.
     Removed,
 }
 
 /// One entry of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointEntry {
-    /// The upstream.
+    /// The upstream that the entry describes.
     pub upstream: UpstreamId,
-    /// Its zone.
+    /// Zone in which it runs.
     pub zone: ZoneId,
-    /// Its cell; upstreams of a cell share their deduplication keys.
+    /// Cell in which it runs; the upstreams of a cell share their deduplication keys.
     pub cell: u64,
-    /// Its state.
+    /// Whether it may be sent requests.
     pub state: EndpointState,
-    /// When it last started, if that was not long ago.
+    /// When it last started, in seconds on the caller's clock; `None` if that was long ago.
     pub started: Option<f64>,
 }
 
 /// How an attempt or a health check ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// Served.
+    /// The upstream served the request.
     Served,
-    /// An error from the upstream; it may have run.
+    /// The upstream answered with an error; the request may have run.
     UpstreamError,
-    /// Rejected by the upstream before it ran.
+    /// The upstream rejected the request before it ran.
     Shed,
-    /// No answer in time; it may have run.
+    /// No answer arrived in time; the request may have run.
     TimedOut,
-    /// No connection; it never ran.
+    /// No connection could be established; the request did not run.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection was lost before the answer; the request may have run.
     ConnectionLost,
-    /// Cancelled; it may have run.
+    /// The attempt was cancelled; the request may have run.
     Cancelled,
-    /// Never sent; it never ran.
+    /// The attempt was never sent; the request did not run.
     NotSent,
 }
 
 impl Ending {
-    /// True when the attempt is known not to have run.
+    /// Returns whether the request is known not to have run.
     pub fn never_ran(self) -> bool {
         matches!(self, Ending::Shed | Ending::ConnectFailed | Ending::NotSent)
     }
 }
 
-/// Outcome of one attempt.
+/// The outcome of one attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Outcome {
-    /// The request.
+    /// Request of the attempt.
     pub id: RequestId,
-    /// Number of the attempt, from 0.
+    /// Number of the attempt within its request, from 0.
     pub attempt: u32,
-    /// The upstream it was sent to.
+    /// Upstream to which the attempt was sent.
     pub upstream: UpstreamId,
-    /// How it ended.
+    /// How the attempt ended.
     pub ending: Ending,
-    /// Seconds since it was sent.
+    /// Seconds from the send to the end of the attempt.
     pub elapsed: f64,
-    /// The request has its final answer and nothing more is owed.
+    /// Whether the client needs no further answer, so that the request must not be retried.
     pub last: bool,
-    /// The load report of the answer.
+    /// Load report that came with the answer, if any.
     pub report: Option<LoadReport>,
 }
 
-/// An event that the caller reports.
+/// An event that the caller passes to [`Balancer::handle`](crate::Balancer::handle).
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The full endpoint list; an absent upstream has been removed.
+    /// The full endpoint list; upstreams that it does not contain have been removed.
     EndpointList(Vec<EndpointEntry>),
-    /// Changed entries of the endpoint list.
+    /// The entries of the endpoint list that have changed.
     EndpointChanges(Vec<EndpointEntry>),
-    /// A call for the endpoint list failed or the subscription broke.
+    /// A call for the endpoint list failed, or the subscription was lost.
     EndpointListFailed,
-    /// A request arrived and is owed one final answer.
+    /// A request arrived, which must get exactly one final answer.
     Request {
-        /// Its id.
+        /// Id of the request, never used before.
         id: RequestId,
-        /// Its class.
+        /// Class of the request.
         class: ClassId,
-        /// Its tenant, if any.
+        /// Tenant whose quota the request uses; `None` without one.
         tenant: Option<TenantId>,
         /// Seconds until the client gives up.
         client_timeout: f64,
-        /// Its expected work in seconds, if known.
+        /// Expected work in seconds, if the caller has a hint.
         work_hint: Option<f64>,
-        /// The client marked it as a repeat.
+        /// Whether the client marked the request as a repeat of an earlier one.
         repeat: bool,
     },
-    /// The response stream to the client has begun: the request can't be retried any more.
+    /// The response to the client has started, so the request can't be retried any more.
     ResponseStarted {
-        /// The request.
+        /// Request whose response has started.
         id: RequestId,
-        /// Number of the attempt.
+        /// Number of the attempt that supplies the response.
         attempt: u32,
     },
-    /// An attempt ended; one for each [`Action::Send`].
+    /// An attempt ended. One such event follows each [`Action::Send`].
     Outcome(Outcome),
-    /// The client disconnected; nothing more is owed.
+    /// The client disconnected and needs no answer any more.
     ClientDisconnected(RequestId),
-    /// A wake-up asked for with [`Action::Wake`].
+    /// A wake-up requested with [`Action::Wake`], with its token.
     Wake(u64),
-    /// The result of [`Action::HealthCheck`].
+    /// A health check sent by [`Action::HealthCheck`] ended.
     HealthCheckEnded {
-        /// The upstream.
+        /// Upstream that was checked.
         upstream: UpstreamId,
         /// How the health check ended.
         ending: Ending,
-        /// Seconds since it was sent.
+        /// Seconds from the send to the end of the health check.
         elapsed: f64,
-        /// The load report of its answer.
+        /// Load report that came with the answer, if any.
         report: Option<LoadReport>,
     },
 }
 
-/// What the caller must do, in this order.
+/// An action that the caller must carry out. Actions must be carried out in the order in which they are returned.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Action {
-    /// Send an attempt; attempts of a request are numbered from 0.
+    /// Send an attempt. The attempts of a request are numbered from 0.
     Send {
-        /// The request.
+        /// Request to send.
         id: RequestId,
-        /// The upstream to send to.
+        /// Upstream to which it is sent.
         upstream: UpstreamId,
-        /// Time-out in seconds; `None` until the client gives up.
+        /// Time-out of the attempt in seconds; with `None` it lasts until the client gives up.
         timeout: Option<f64>,
     },
-    /// Cancel an attempt.
+    /// Cancel an attempt in flight.
     Cancel {
-        /// The request.
+        /// Request of the attempt.
         id: RequestId,
-        /// Number of the attempt.
+        /// Number of the attempt within its request.
         attempt: u32,
     },
-    /// Final answer: rejected; a retry by the client is harmless.
+    /// Give the final answer that the request was rejected; a retry by the client is harmless.
     Reject {
-        /// The request.
+        /// Request to answer.
         id: RequestId,
-        /// Seconds after which the client may retry, if that is to be sent.
+        /// Seconds after which the client may retry; `None` if the answer carries no such time.
         retry_after: Option<f64>,
     },
-    /// Final answer: failed; a retry by the client may run the request again.
+    /// Give the final answer that the request failed; a retry by the client may run it a second time.
     Fail {
-        /// The request.
+        /// Request to answer.
         id: RequestId,
     },
     /// Deliver [`Event::Wake`] with this token.
     Wake {
         /// Seconds from now.
         after: f64,
-        /// Handed back unchanged.
+        /// Token to pass back unchanged.
         token: u64,
     },
     /// Send a health check to an upstream.
--- a/crates/sidecar/load-balancing/src/api/ids.rs
+++ b/crates/sidecar/load-balancing/src/api/ids.rs
@@ -1,10 +1,10 @@
-//! Identifiers that the caller assigns.
+//! Ids that the caller assigns.
 
-/// A request; an id is never used twice.
+/// Id of a request; never used twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// An upstream: one server process slot. A restart keeps the id, a replacement has a new one.
+/// Id of an upstream: one slot for a server process. A restarted process keeps the id; a replacement gets a new one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct UpstreamId(pub u64);
 
@@ -16,6 +16,6 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TenantId(pub usize);
 
-/// A zone; equal numbers are the same zone.
+/// Number of a zone; equal numbers mean the same zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ZoneId(pub usize);
--- a/crates/sidecar/load-balancing/src/api/settings.rs
+++ b/crates/sidecar/load-balancing/src/api/settings.rs
@@ -1,37 +1,37 @@
-//! Settings of one balancer instance and their validation.
+//! Settings of one balancer instance, and their validation.
 
 use super::{ClassId, ZoneId};
 use std::fmt;
 
-/// Which upstreams drop a repeated keyed request.
+/// The upstreams that drop a repeat of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
     /// Every upstream.
     All,
     /// Upstreams in the zone of the first attempt that may have run.
     Zone,
-    /// Upstreams in the cell of that attempt.
+    /// Upstreams in the cell of the first attempt that may have run.
     Cell,
 }
 
-/// What may follow an attempt that may have run.
+/// Whether a request may be sent again after an attempt that may have run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Idempotency {
-    /// Idempotent: running twice is harmless.
+    /// Running the request twice is harmless.
     Idempotent,
-    /// Repeats are dropped within a scope for a time.
+    /// The request carries a key by which upstreams drop repeats, within a scope and for a time.
     Keyed {
         /// Which upstreams drop repeats.
         scope: DedupScope,
-        /// For how long after the first attempt that may have run, in seconds.
+        /// How long they drop repeats after the first attempt that may have run, in seconds.
         window: f64,
     },
-    /// Must never run twice.
+    /// The request must never run twice.
     NonIdempotent,
 }
 
 impl Idempotency {
-    /// Whether another attempt may start this many seconds after the first one that may have run.
+    /// Returns whether another attempt may be sent `after` seconds after the first one that may have run.
     pub fn allows_repeat(self, after: f64) -> bool {
         match self {
             Idempotency::Idempotent => true,
@@ -41,18 +41,18 @@
     }
 }
 
-/// A class of requests.
+/// A class of requests, with what its answers are worth and how it may be retried.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Latency target in seconds: answers within it earn the full value.
+    /// Latency target in seconds; answers within it earn the full value.
     pub latency_target: f64,
-    /// The latency target grows by this multiple of the request's own work.
+    /// Added to the latency target for each second of the request's expected work, in seconds.
     pub latency_target_per_work: f64,
-    /// Value of one request; requests of a higher value are dispatched first.
+    /// Value of one answer; requests with a higher value are dispatched first.
     pub value: f64,
-    /// Part of the value that an answer after the latency target still earns.
+    /// Fraction of the value that an answer after the latency target still earns; 0 if it is worthless.
     pub late_value: f64,
-    /// Whether a request may run again.
+    /// Whether a request may be sent again after an attempt that may have run.
     pub idempotency: Idempotency,
 }
 
@@ -68,69 +68,73 @@
     }
 }
 
-/// A tenant with its quota over all balancer instances together.
+/// A tenant, with its quota over all balancer instances together.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Quota in requests a second; infinite when there is none.
+    /// Quota in requests per second; infinite without a limit.
     pub quota_per_s: f64,
 }
 
-/// Settings of one instance. [`Settings::default`] describes a single instance with one safe class.
+/// Settings of one balancer instance. [`Settings::default`] describes a single instance with one idempotent class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Balancer instances in this tier; 1 by default.
     pub instances: usize,
-    /// The number of this instance among them, from 0; 0 by default.
+    /// Number of this instance among them, from 0; 0 by default.
     pub rank: usize,
-    /// The classes; one safe class by default.
+    /// The request classes; one idempotent class by default.
     pub classes: Vec<Class>,
-    /// The tenants; none by default.
+    /// The tenants with a quota; none by default.
     pub tenants: Vec<Tenant>,
-    /// Value multiplier of a request that exceeds its tenant's quota, 0 to 1; 1 by default.
+    /// Multiplier of the value of a request that exceeds its tenant's quota, 0 to 1; 1 by default.
     pub over_quota_value: f64,
-    /// Values count for each unit of work in place of each request; false by default.
+    /// Whether values count per unit of work instead of per request; false by default.
     pub value_by_work: bool,
-    /// The zone of this instance; zone 0 by default.
+    /// Zone in which this instance runs; zone 0 by default.
     pub zone: ZoneId,
-    /// Price of one attempt in another zone, as a part of a request's value; 0 by default.
+    /// Price of one attempt in another zone, as a fraction of a request's value; 0 by default.
     pub price_cross_zone: f64,
-    /// Price of one health check, as a part of a request's value; 0 by default.
+    /// Price of one health check, as a fraction of a request's value; 0 by default.
     pub price_health_check: f64,
-    /// Updates of the endpoint list need a subscription ([`Action::Subscribe`](crate::Action::Subscribe)); false by default.
+    /// Whether updates of the endpoint list need a subscription, see [`Action::Subscribe`](crate::Action::Subscribe);
+    /// false by default.
     pub list_by_subscription: bool,
-    /// Without updates for this long an instance that subscribes counts as informed, in seconds; 10 by default.
+    /// Time in seconds for which the endpoint list of an instance with a subscription counts as current without
+    /// updates; 10 by default.
     pub list_validity: f64,
-    /// Reports come in answers (false: only in health check results); true by default.
+    /// Whether load reports come with answers; if not, only with health check results. True by default.
     pub reports_in_answers: bool,
-    /// Reports carry the number of requests at an upstream; false by default.
+    /// Whether load reports contain the number of requests at the upstream; false by default.
     pub reports_concurrency: bool,
-    /// ... and how many of these are queued, so that a spare worker shows; false by default.
+    /// Whether load reports also contain how many of these are queued, so that they show spare workers; false by
+    /// default.
     pub reports_queue: bool,
-    /// Health checks are allowed; false by default.
+    /// Whether health checks may be sent; false by default.
     pub allow_health_checks: bool,
-    /// Cancelling an attempt is allowed; false by default.
+    /// Whether attempts may be cancelled, which hedging needs; false by default.
     pub allow_cancel: bool,
-    /// Two attempts of one request may be in flight together; false by default.
+    /// Whether two attempts of one request may be in flight at the same time; false by default.
     pub allow_concurrent_attempts: bool,
-    /// Maximum number of attempts of one request; 3 by default.
+    /// Maximum number of attempts of one request, the first included; 3 by default.
     pub max_attempts: u32,
-    /// Rejections carry a time to retry after; false by default.
+    /// Whether rejections carry the time after which the client may retry; false by default.
     pub send_retry_after: bool,
-    /// The longest such time that clients honour, in seconds; 0 by default.
+    /// The time in seconds that rejections carry if [`Settings::send_retry_after`] is set: the longest that clients
+    /// honour; 0 by default.
     pub max_retry_after: f64,
-    /// Time-out for a connection, in seconds; 0.25 by default.
+    /// Time-out for establishing a connection, in seconds; 0.25 by default.
     pub connect_timeout: f64,
-    /// Sends to a draining upstream must have stopped after this, in seconds; 1 by default.
+    /// Time in seconds after which nothing may be sent any more to an upstream that has begun to drain; 1 by default.
     pub drain_grace: f64,
-    /// Part of its capacity that an upstream has at the start of its slow start, 0 to 1; 0.2 by default.
+    /// Fraction of its capacity that an upstream has at the beginning of its slow start, 0 to 1; 0.2 by default.
     pub slow_start_capacity: f64,
     /// Duration of the slow start in seconds; 20 by default.
     pub slow_start_duration: f64,
-    /// An upstream in slow start that is sent more than this multiple of its capacity fails; 2 by default.
+    /// Multiple of its capacity above which an upstream in slow start fails; 2 by default.
     pub overload_factor: f64,
-    /// The window over which that is counted, in seconds; 2 by default.
+    /// Window in seconds over which the requests sent to an upstream in slow start are counted; 2 by default.
     pub overload_window: f64,
-    /// The shortest time between two batches of events, in seconds; 0.001 by default.
+    /// Shortest time between two batches of events, in seconds; 0.001 by default.
     pub tick: f64,
 }
 
@@ -169,21 +173,21 @@
 }
 
 impl Settings {
-    /// The value of the most valuable class; never 0.
+    /// Returns the highest value of any class; never 0.
     pub(crate) fn max_value(&self) -> f64 {
         self.classes.iter().map(|class| class.value).fold(f64::MIN_POSITIVE, f64::max)
     }
 
-    /// The value of a class relative to the most valuable one's, 0 to 1; 1 for an unknown class.
+    /// Returns the value of a class relative to the highest value of any class, 0 to 1; 1 for an unknown class.
     pub fn relative_value(&self, class: ClassId) -> f64 {
         self.classes.get(class.0).map_or(1.0, |class| class.value / self.max_value())
     }
 
-    /// Checks that the settings are valid.
+    /// Checks the settings.
     ///
     /// # Errors
     ///
-    /// Returns [`SettingsError`] naming the first setting that is not.
+    /// Returns [`SettingsError`] for the first invalid setting.
     pub fn validate(&self) -> Result<(), SettingsError> {
         if self.instances == 0 {
             return invalid("balancers", "must be at least 1");
@@ -198,12 +202,13 @@
         self.validate_fractions()?;
         self.classes.iter().try_for_each(Class::validate)?;
         if self.tenants.iter().any(|tenant| tenant.quota_per_s.is_nan() || tenant.quota_per_s < 0.0) {
-            return invalid("tenants", "an allowance must not be negative");
+            return invalid("tenants", "must have allowances that are not negative");
         }
         Ok(())
     }
 
-    /// Names in errors are those of the settings' keys, which differ from the fields' names.
+    /// Checks the durations and factors. Errors name the keys of the settings, some of which differ from the names of
+    /// the fields.
     fn validate_spans(&self) -> Result<(), SettingsError> {
         let spans = [
             ("ask_every", self.list_validity),
@@ -237,11 +242,14 @@
     fn validate(&self) -> Result<(), SettingsError> {
         let numbers = [self.latency_target, self.latency_target_per_work, self.value, self.late_value];
         if numbers.iter().any(|value| !value.is_finite() || *value < 0.0) {
-            return invalid("classes", "aims, gains and late values must be finite and not negative");
+            return invalid(
+                "classes",
+                "must have finite, non-negative aims, aim stretches, gains and late values",
+            );
         }
         if matches!(self.idempotency, Idempotency::Keyed { window, .. } if !window.is_finite() || window < 0.0)
         {
-            return invalid("classes", "a repeat window must be finite and not negative");
+            return invalid("classes", "must have finite, non-negative repeat windows");
         }
         Ok(())
     }
@@ -251,12 +259,12 @@
     Err(SettingsError { name, problem })
 }
 
-/// An invalid setting.
+/// The error for an invalid setting.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError {
-    /// The setting.
+    /// Key of the setting.
     pub name: &'static str,
-    /// What is wrong with it.
+    /// The rule that its value violates, as the rest of a sentence that starts with the key.
     pub problem: &'static str,
 }
 
--- a/crates/sidecar/load-balancing/src/dispatcher/attempts.rs
+++ b/crates/sidecar/load-balancing/src/dispatcher/attempts.rs
@@ -1,10 +1,10 @@
-//! The life of an attempt: send, time-out, cancellation, outcome.
+//! Attempts of the dispatcher: send, time-out, cancellation and outcome.
 
 use super::request::Attempt;
 use super::{Answer, Context, Decider, Dispatcher, Timer};
 use crate::api::{Ending, Event, LoadReport, Outcome, RequestId, UpstreamId};
 
-/// End of an attempt, as the transport or a timer reports it.
+/// The end of an attempt, reported by the transport, by a timer, or by the dispatcher itself.
 pub(super) struct AttemptEnd {
     pub id: RequestId,
     pub attempt: u32,
@@ -13,31 +13,32 @@
 }
 
 impl<D: Decider> Dispatcher<D> {
-    /// Time left in seconds for an attempt whose connection is established, or `None` if it must not be sent any
-    /// more: its client has disconnected or its time is over, the node drains by now, or an earlier attempt may have
-    /// run and the time for repeats is over.
+    /// Returns the time left in seconds for an attempt whose connection has been established, or `None` if the attempt
+    /// must not be sent any more: because its request has been answered, its client has disconnected or its time is
+    /// over, because the upstream is no longer running, or because an earlier attempt may have run and the time for
+    /// repeats is over.
     pub fn may_send(&self, now: f64, id: RequestId, attempt: u32) -> Option<f64> {
         let request = self.requests.get(&id)?;
         if request.answered || now + self.tick >= request.deadline {
             return None;
         }
         let sent = request.attempts.get(attempt as usize)?;
-        // Checked again here, since establishing the connection takes time after the decision: no repeat after its
-        // window ...
+        // Checked again here, since establishing the connection takes time after the decision: a repeat must not be
+        // sent after its window.
         let earlier = &request.attempts[..attempt as usize];
-        let first_run = earlier.iter().find(|earlier| earlier.may_have_run);
+        let first_run = earlier.iter().find(|attempt| attempt.may_have_run);
         if first_run.is_some_and(|run| !request.idempotency.allows_repeat(now + self.tick - run.sent_at)) {
             return None;
         }
-        // ... and no send after the drain limit, which counts from the first byte.
-        (sent.in_flight && self.open.contains(&sent.to)).then_some(request.deadline - now)
+        // Nor may an attempt be sent after the drain limit, which applies to the first byte of the request.
+        (sent.in_flight && self.running.contains(&sent.upstream)).then_some(request.deadline - now)
     }
 
-    /// Sends an attempt as the decider asks; one that may not be sent ends at once, without a send.
-    pub(super) fn send(
+    /// Sends an attempt that the decider requested. If it may not be sent, it ends at once as [`Ending::NotSent`].
+    pub(super) fn send_attempt(
         &mut self,
         id: RequestId,
-        to: UpstreamId,
+        upstream: UpstreamId,
         timeout: Option<f64>,
         context: &mut Context<'_>,
     ) {
@@ -48,37 +49,37 @@
         let in_time = now + self.tick < deadline;
         let allowed = !request.answered && request.attempts.len() < request.max_attempts && in_time;
         request.attempts.push(Attempt {
-            to,
+            upstream,
             sent_at: now,
             in_flight: true,
             may_have_run: true,
             ending: None,
         });
-        if !allowed || !self.open.contains(&to) {
+        if !allowed || !self.running.contains(&upstream) {
             let end = AttemptEnd { id, attempt, ending: Ending::NotSent, report: None };
             let event = self.end_attempt(&end, context);
-            self.backlog.extend(event);
+            self.event_queue.extend(event);
             return;
         }
         self.counts.attempts += 1;
         if let Some(timeout) = timeout.filter(|timeout| *timeout > 0.0 && now + *timeout < deadline) {
             context.transport.set_timer(now + timeout, Timer::AttemptTimeout(id, attempt));
         }
-        context.transport.send(id, attempt, to);
+        context.transport.send(id, attempt, upstream);
     }
 
-    /// Cancels an attempt in flight as the decider asks.
-    pub(super) fn cancel(&mut self, id: RequestId, attempt: u32, context: &mut Context<'_>) {
+    /// Cancels an attempt in flight that the decider no longer wants.
+    pub(super) fn cancel_attempt(&mut self, id: RequestId, attempt: u32, context: &mut Context<'_>) {
         if self.is_in_flight(id, attempt) {
             context.transport.cancel(id, attempt);
             let end = AttemptEnd { id, attempt, ending: Ending::Cancelled, report: None };
             let event = self.end_attempt(&end, context);
-            self.backlog.extend(event);
+            self.event_queue.extend(event);
         }
     }
 
-    /// Ends an attempt in flight by a time-out.
-    pub(super) fn expire(&mut self, id: RequestId, attempt: u32, context: &mut Context<'_>) {
+    /// Ends an attempt in flight by a time-out. An attempt that has ended already is ignored.
+    pub(super) fn time_out_attempt(&mut self, id: RequestId, attempt: u32, context: &mut Context<'_>) {
         if self.is_in_flight(id, attempt) {
             context.transport.cancel(id, attempt);
             let end = AttemptEnd { id, attempt, ending: Ending::TimedOut, report: None };
@@ -89,12 +90,13 @@
     /// Ends an attempt and reports its outcome to the decider. An attempt that has ended already is ignored.
     pub(super) fn finish_attempt(&mut self, end: &AttemptEnd, context: &mut Context<'_>) {
         if let Some(event) = self.end_attempt(end, context) {
-            self.feed(event, context);
+            self.process_event(event, context);
         }
-        self.forget(end.id);
+        self.remove_if_finished(end.id);
     }
 
-    /// Ends an attempt and returns its event; the first that is delivered is the request's answer.
+    /// Ends an attempt and returns the resulting event. The first attempt of a request that is served is its final
+    /// answer. Returns `None` if the attempt has ended already.
     fn end_attempt(&mut self, end: &AttemptEnd, context: &mut Context<'_>) -> Option<Event> {
         let AttemptEnd { id, attempt, ending, report } = *end;
         let request = self.requests.get_mut(&id)?;
@@ -102,7 +104,7 @@
         sent.in_flight = false;
         sent.may_have_run = !ending.never_ran();
         sent.ending = Some(ending);
-        let upstream = sent.to;
+        let upstream = sent.upstream;
         let elapsed = (context.now - sent.sent_at).max(0.0);
         if ending != Ending::Served {
             self.counts.unserved_attempts += 1;
--- a/crates/sidecar/load-balancing/src/dispatcher/decider.rs
+++ b/crates/sidecar/load-balancing/src/dispatcher/decider.rs
@@ -1,19 +1,20 @@
-//! The seam between the dispatcher and what decides.
+//! The interface between the dispatcher and the policy behind it.
 
 use crate::api::{Action, Event, Settings, SettingsError};
 use crate::state::Balancer;
 
-/// Decides behind the dispatcher: takes events and returns actions. The sidecar's decider is [`Balancer`]; others may
-/// take its place, for comparison, and get the same guarantees of one final answer.
+/// A policy behind the dispatcher: takes events and returns actions. The sidecar uses [`Balancer`]. Other
+/// implementations can replace it, for comparison; the dispatcher ensures one final answer per request for them too.
 pub trait Decider {
     /// Handles one event at time `now` and appends the resulting actions.
     fn handle(&mut self, now: f64, event: Event, actions: &mut Vec<Action>);
 
-    /// Replaces the settings by those of a later generation; see [`Balancer::update_settings`]. By default they are ignored.
+    /// Replaces the settings by those of a later generation; see [`Balancer::update_settings`]. The default
+    /// implementation ignores them.
     ///
     /// # Errors
     ///
-    /// Returns [`SettingsError`] when the settings can't be applied; nothing is changed then.
+    /// Returns [`SettingsError`] if the settings can't be applied. Nothing is changed in that case.
     fn update_settings(&mut self, _settings: &Settings) -> Result<(), SettingsError> {
         Ok(())
     }
--- a/crates/sidecar/load-balancing/src/dispatcher/request.rs
+++ b/crates/sidecar/load-balancing/src/dispatcher/request.rs
@@ -1,54 +1,55 @@
-//! State of a request between its arrival and the outcome of its last attempt.
+//! The dispatcher's state of a request, from its arrival to the outcome of its last attempt.
 
 use crate::api::{Ending, Idempotency, UpstreamId};
 
-/// A request that is owed one final answer, or has an attempt in flight.
+/// A request that has no final answer yet or has an attempt in flight.
 pub(super) struct Request {
-    /// When the client gives up.
+    /// When the client gives up, in seconds on the caller's clock.
     pub deadline: f64,
-    /// It has had its final answer, or its client has disconnected.
+    /// Whether the request has got its final answer or its client has disconnected.
     pub answered: bool,
-    /// Maximum number of attempts by the settings of its arrival: a later generation does not change it.
+    /// Maximum number of attempts, by the settings at the time of arrival; later settings do not change it.
     pub max_attempts: usize,
-    /// What its class allowed at its arrival after an attempt that may have run.
+    /// Idempotency of the class, by the settings at the time of arrival; later settings do not change it.
     pub idempotency: Idempotency,
-    /// By number of the attempt.
+    /// Attempts in the order of their numbers.
     pub attempts: Vec<Attempt>,
 }
 
 /// One attempt of a request.
 pub(super) struct Attempt {
-    pub to: UpstreamId,
+    pub upstream: UpstreamId,
     pub sent_at: f64,
-    /// Without an outcome so far. At most one outcome is reported to the decider.
+    /// Whether the attempt has no outcome yet. At most one outcome is reported to the decider.
     pub in_flight: bool,
-    /// Unless the outcome proved otherwise.
+    /// Whether the upstream may have run the request; `false` only if the outcome proves that it has not.
     pub may_have_run: bool,
+    /// How the attempt ended; `None` while it is in flight.
     pub ending: Option<Ending>,
 }
 
 impl Request {
-    /// Whether this attempt has no outcome so far.
+    /// Returns whether this attempt exists and has no outcome yet.
     pub fn is_in_flight(&self, attempt: u32) -> bool {
         self.attempts.get(attempt as usize).is_some_and(|attempt| attempt.in_flight)
     }
 
-    /// Whether nothing is owed and no outcome is due.
+    /// Returns whether the request needs no answer and has no attempt in flight.
     pub fn is_finished(&self) -> bool {
         self.answered && self.attempts.iter().all(|attempt| !attempt.in_flight)
     }
 
-    /// Whether an attempt may have run.
+    /// Returns whether any attempt may have run.
     pub fn may_have_run(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.may_have_run)
     }
 
-    /// Whether an attempt timed out.
-    pub fn has_expired(&self) -> bool {
+    /// Returns whether any attempt has timed out.
+    pub fn has_timed_out(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.ending == Some(Ending::TimedOut))
     }
 
-    /// Numbers of the attempts in flight.
+    /// Returns the numbers of the attempts in flight.
     pub fn attempts_in_flight(&self) -> Vec<u32> {
         (0..self.attempts.len() as u32).filter(|attempt| self.is_in_flight(*attempt)).collect()
     }
--- a/crates/sidecar/load-balancing/src/estimate.rs
+++ b/crates/sidecar/load-balancing/src/estimate.rs
@@ -1,34 +1,34 @@
-//! Estimators with bounded state: decayed outcome counts and a regression of service time by cost. Plain arithmetic
-//! on observations, no decisions.
+//! Estimators with bounded state: decayed outcome counts, and a regression of service time by cost. They only compute
+//! estimates from observations and make no decisions.
 
-/// Time constant in seconds by which outcomes decay: faults pass.
+/// Time constant in seconds with which outcomes decay, since faults are temporary.
 const OUTCOME_DECAY_S: f64 = 10.0;
-/// Part of the earlier outcomes that each new one replaces.
+/// Fraction of the earlier outcomes that each new outcome replaces.
 const OUTCOME_REPLACEMENT: f64 = 0.1;
 
-/// Decayed numbers of attempts; fractional.
+/// Decayed numbers of attempts, which are fractional.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct OutcomeCounts {
-    /// Served.
+    /// Attempts that were served.
     pub served: f64,
-    /// Completed, served or not; at least `served`.
+    /// Attempts that completed, served or not; at least `served`.
     pub completed: f64,
 }
 
 impl OutcomeCounts {
-    /// Adds the counts of another source.
+    /// Returns the sum of these counts and others.
     #[must_use]
     pub fn plus(self, other: OutcomeCounts) -> Self {
         OutcomeCounts { served: self.served + other.served, completed: self.completed + other.completed }
     }
 
-    /// Part that was served, 0 to 1.
+    /// Returns the fraction of completed attempts that were served, 0 to 1; not a number without attempts.
     pub fn success_rate(self) -> f64 {
         self.served / self.completed
     }
 }
 
-/// Outcomes that decay with time and with each further outcome.
+/// Counts of outcomes that decay with time and with each further outcome.
 #[derive(Clone, Copy, Debug)]
 pub struct OutcomeHistory {
     counts: OutcomeCounts,
@@ -36,12 +36,12 @@
 }
 
 impl OutcomeHistory {
-    /// Nothing observed by `now`.
+    /// Creates a history without outcomes, as of `now`.
     pub fn new(now: f64) -> Self {
         OutcomeHistory { counts: OutcomeCounts::default(), updated_at: now }
     }
 
-    /// Records a completed attempt.
+    /// Records a completed attempt and whether it was served.
     pub fn record(&mut self, now: f64, served: bool) {
         let earlier = self.counts(now);
         self.counts.served = earlier.served * (1.0 - OUTCOME_REPLACEMENT) + f64::from(u8::from(served));
@@ -49,21 +49,21 @@
         self.updated_at = now;
     }
 
-    /// The counts, decayed to `now`.
+    /// Returns the counts, decayed to `now`.
     pub fn counts(&self, now: f64) -> OutcomeCounts {
         let decay = (-(now - self.updated_at) / OUTCOME_DECAY_S).exp();
         OutcomeCounts { served: self.counts.served * decay, completed: self.counts.completed * decay }
     }
 }
 
-/// Number of observations over which the regression decays.
+/// Time constant of the regression, in observations.
 const REGRESSION_WINDOW: f64 = 300.0;
-/// Observations, decayed, below which the regression gives no estimate.
+/// Decayed number of observations below which the regression gives no estimate.
 const MIN_OBSERVATIONS: f64 = 12.0;
-/// Relative variance of the costs below which no slope can be estimated.
+/// Variance of the costs, relative to their squared mean, below which no slope can be estimated.
 const MIN_RELATIVE_VARIANCE: f64 = 1e-9;
 
-/// Decayed linear regression of service time by cost, both in seconds.
+/// A decayed linear regression of service time by cost, both in seconds. Its fields are decayed sums.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServiceTimeRegression {
     observations: f64,
@@ -74,7 +74,7 @@
 }
 
 impl ServiceTimeRegression {
-    /// Adds one observation.
+    /// Adds the observation of a request with this cost and service time.
     pub fn observe(&mut self, cost: f64, time: f64) {
         let sample = [1.0, cost, time, cost * cost, cost * time];
         let sums = [
@@ -89,20 +89,21 @@
         }
     }
 
-    /// Mean cost; `None` before there are enough observations.
+    /// Returns the mean cost, or `None` before there are enough observations.
     pub fn mean_cost(&self) -> Option<f64> {
         (self.observations >= MIN_OBSERVATIONS).then(|| self.cost / self.observations)
     }
 
-    /// Expected time for this cost; `None` before there are enough observations.
+    /// Returns the expected service time for this cost, or `None` before there are enough observations.
     pub fn predict(&self, cost: f64) -> Option<f64> {
         let mean_cost = self.mean_cost()?;
         let mean_time = self.time / self.observations;
         let variance = self.cost_squared / self.observations - mean_cost * mean_cost;
-        // A higher cost takes no less time, and a request without cost does not take a negative time.
+        // The slope is not negative: a higher cost does not take less time. Its upper bound ensures that a request
+        // without cost does not take a negative time.
         let max_slope = mean_time / mean_cost;
         let slope = (self.cost_time / self.observations - mean_cost * mean_time) / variance;
-        // Observations of one and the same cost leave no slope to estimate.
+        // If all costs are equal, no slope can be estimated.
         let slope = if variance > MIN_RELATIVE_VARIANCE * mean_cost * mean_cost {
             slope.clamp(0.0, max_slope)
         } else {
--- a/crates/sidecar/load-balancing/src/lib.rs
+++ b/crates/sidecar/load-balancing/src/lib.rs
@@ -1,10 +1,10 @@
-//! The load balancing decisions of a sidecar, and the dispatcher between them and a protocol: no sockets, no files, no
-//! clock.
+//! The load balancing policy of a sidecar, and the dispatcher between the policy and a protocol implementation. This
+//! crate uses no sockets, no files and no clock.
 //!
-//! Each balancer instance turns the load reports of its upstreams into load factors and distributes
-//! requests by smooth weighted round robin. [`Balancer`] is a state machine without I/O:
-//! the caller passes it events with its own clock and applies the actions that it returns. Parsing, settings files and
-//! timers are up to the caller.
+//! Each balancer instance converts the load reports of its upstreams into load factors and distributes requests by
+//! smooth weighted round robin. [`Balancer`] is a state machine without I/O: the caller passes it events together with
+//! the time of its own clock, and carries out the actions that it returns. Parsing, settings files and timers are up to
+//! the caller.
 //!
 //! ```
 //! use passrelay_load_balancing::{Action, Balancer, ClassId, EndpointEntry, EndpointState, Event};
--- a/crates/sidecar/load-balancing/src/lifecycle.rs
+++ b/crates/sidecar/load-balancing/src/lifecycle.rs
@@ -1,42 +1,42 @@
-//! Whether a sidecar accepts clients: the operators' standby and graceful shutdown, without I/O or clock.
+//! Lifecycle of a sidecar: standby, which operators enter and leave, and graceful shutdown. No I/O and no clock.
 //!
-//! The load balancer in front polls `/ready` ten times a second and stops opening connections soon after a negative
-//! answer; open connections stay in use. So a sidecar in standby is not ready, answers what still arrives with
-//! `Connection: close`, and closes each client connection as soon as it is idle. `active` reverts all of it at once,
-//! without a restart. Closing the sockets is up to the caller.
+//! The load balancer in front of the sidecars polls `/ready` ten times per second and stops opening connections soon
+//! after a negative answer, but goes on using the open ones. So a sidecar in standby is not ready, answers the requests
+//! that still arrive with `Connection: close`, and closes each client connection as soon as it is idle. The operators'
+//! command `active` reverts all of this at once, without a restart. Closing the sockets is up to the caller.
 
-/// Earliest SIGKILL after SIGTERM, in seconds, beyond the longest deadline ...
+/// The earliest SIGKILL follows SIGTERM after the longest deadline and this delay, in seconds.
 const KILL_DELAY_S: f64 = 0.7;
-/// ... of which no more than this counts, in seconds.
+/// The part of the longest deadline that counts for the earliest SIGKILL is at most this, in seconds.
 const MAX_DEADLINE_S: f64 = 3.0;
-/// Answers are sent this long before the earliest SIGKILL, in seconds.
+/// All answers are sent at least this long before the earliest SIGKILL, in seconds.
 const ANSWER_MARGIN_S: f64 = 0.35;
-/// Part of the time up to the earliest SIGKILL for which idle clients may stay connected: other sidecars may be
-/// shutting down as well, and requests that arrive last on these connections need the rest.
+/// Fraction of the time up to the earliest SIGKILL for which idle clients may stay connected, since other sidecars may
+/// be shutting down as well. The requests that arrive last on these connections need the remaining time.
 const IDLE_FRACTION: f64 = 0.6;
-/// After SIGTERM new connections go on arriving for 0.4 s; the listener stays open for longer than that.
+/// Time in seconds for which the listener stays open after SIGTERM: new connections go on arriving for 0.4 s.
 const ARRIVALS_END_S: f64 = 0.45;
-/// Time for clients to read the last answers, in seconds.
+/// Time for which clients may read the last answers, in seconds.
 const FINAL_READ_TIMEOUT_S: f64 = 0.2;
 
-/// Schedule of a graceful shutdown, in seconds after its request. It follows from the longest deadline, as SIGKILL
-/// does: where all deadlines are short, SIGKILL comes soon.
+/// The schedule of a graceful shutdown, in seconds after its request. It depends on the longest deadline, as the time
+/// of the earliest SIGKILL does: if all deadlines are short, SIGKILL follows soon.
 ///
-/// In this order: `listener_closes`, `idle_closes`, `answers_by`, `exits_by`, all before the earliest SIGKILL.
+/// The order is `listener_closes`, `idle_closes`, `answers_by`, `exits_by`, all before the earliest SIGKILL.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ShutdownSchedule {
-    /// No more connections arrive: the listener closes.
+    /// The listener closes, since no more connections arrive.
     pub listener_closes: f64,
-    /// Idle client connections close, and every answer from now on closes its connection.
+    /// Idle client connections are closed, and from then on every answer closes its connection.
     pub idle_closes: f64,
-    /// Open requests are answered at once.
+    /// All open requests are answered at once.
     pub answers_by: f64,
-    /// The process exits, even if clients have not read their last answer.
+    /// The process exits, even if clients have not yet read their last answers.
     pub exits_by: f64,
 }
 
 impl ShutdownSchedule {
-    /// The schedule for classes with these deadlines, in seconds.
+    /// Returns the schedule for classes with these deadlines, in seconds.
     pub fn for_deadlines(deadlines: impl Iterator<Item = f64>) -> Self {
         let longest = deadlines.fold(0.0, f64::max).min(MAX_DEADLINE_S);
         let kill = longest + KILL_DELAY_S;
@@ -48,61 +48,62 @@
     }
 }
 
-/// The state that operators set: active or in standby.
+/// The state that operators control: active or in standby.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Lifecycle {
-    /// Since when it is in standby, in seconds on the caller's clock.
-    standby: Option<f64>,
-    /// Number of changes to standby.
+    /// When standby was entered, in seconds on the caller's clock; `None` while active.
+    standby_since: Option<f64>,
+    /// Number of times that standby was entered.
     pub standby_count: u64,
 }
 
-/// Result of a call to [`Lifecycle::enter_standby`] or [`Lifecycle::leave_standby`], which are idempotent.
+/// The result of [`Lifecycle::enter_standby`] and [`Lifecycle::leave_standby`], which are idempotent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Transition {
-    /// It was in that state already.
+    /// The sidecar was already in the requested state.
     Unchanged,
     /// The state has changed.
     Changed,
 }
 
 impl Lifecycle {
-    /// Enters standby at `now`; a second call keeps the earlier time.
+    /// Enters standby at `now`. A further call does not change the time at which standby was entered.
     pub fn enter_standby(&mut self, now: f64) -> Transition {
-        if self.standby.is_some() {
+        if self.standby_since.is_some() {
             return Transition::Unchanged;
         }
-        self.standby = Some(now);
+        self.standby_since = Some(now);
         self.standby_count += 1;
         Transition::Changed
     }
 
-    /// Accepts clients again.
+    /// Leaves standby, so that the sidecar accepts clients again.
     pub fn leave_standby(&mut self) -> Transition {
-        match self.standby.take() {
+        match self.standby_since.take() {
             Some(_) => Transition::Changed,
             None => Transition::Unchanged,
         }
     }
 
-    /// Since when it is in standby.
+    /// Returns when standby was entered, or `None` while active.
     pub fn standby_since(&self) -> Option<f64> {
-        self.standby
+        self.standby_since
     }
 
-    /// Whether `/ready` is positive: with a node to send to, not in standby and not shutting down.
-    pub fn is_ready(&self, has_nodes: bool, ending: bool) -> bool {
-        has_nodes && !ending && self.standby.is_none()
+    /// Returns whether `/ready` gives a positive answer: if there is an upstream to send to, and the sidecar is neither
+    /// in standby nor shutting down.
+    pub fn is_ready(&self, has_upstreams: bool, shutting_down: bool) -> bool {
+        has_upstreams && !shutting_down && self.standby_since.is_none()
     }
 
-    /// Whether each answer closes its connection: in standby, or once shutdown was requested.
-    pub fn closes_after_answer(&self, ending: bool) -> bool {
-        ending || self.standby.is_some()
+    /// Returns whether each answer closes its connection: in standby, and while `shutting_down`.
+    pub fn closes_after_answer(&self, shutting_down: bool) -> bool {
+        shutting_down || self.standby_since.is_some()
     }
 
-    /// Whether idle client connections are closed at once.
+    /// Returns whether client connections are closed as soon as they are idle.
     pub fn closes_idle_connections(&self) -> bool {
-        self.standby.is_some()
+        self.standby_since.is_some()
     }
 }
 
--- a/crates/sidecar/load-balancing/src/lifecycle/tests.rs
+++ b/crates/sidecar/load-balancing/src/lifecycle/tests.rs
@@ -1,6 +1,7 @@
 use super::*;
 
-// Guards against a second standby that changes the start time, and an active that reverts only part of it.
+// Guards against a second call that changes the time at which standby was entered, and against a return to active that
+// leaves part of standby in effect.
 #[test]
 fn standby_and_active_are_idempotent_and_revert_each_other() {
     let mut lifecycle = Lifecycle::default();
@@ -20,16 +21,23 @@
     assert_eq!(lifecycle.standby_count, 1);
 }
 
-// Guards against a schedule for long deadlines that SIGKILL overtakes where they are short.
+// Guards against a schedule that suits long deadlines, but exceeds the earliest SIGKILL if all deadlines are short.
 #[test]
 fn graceful_shutdown_ends_before_the_earliest_sigkill_for_all_deadlines() {
     for deadlines in [vec![0.1], vec![0.4, 0.2], vec![1.0, 1.5], vec![2.5, 3.0], vec![6.0, 0.3], vec![]] {
         let longest = deadlines.iter().copied().fold(0.0, f64::max);
-        let end = ShutdownSchedule::for_deadlines(deadlines.into_iter());
+        let schedule = ShutdownSchedule::for_deadlines(deadlines.into_iter());
         let kill = longest.min(3.0) + 0.7;
-        assert!(end.listener_closes <= end.idle_closes && end.idle_closes <= end.answers_by, "{end:?}");
-        assert!(end.answers_by <= kill - 0.3 && end.exits_by < kill && end.exits_by > end.answers_by);
-        // The listener stays open while connections arrive, if the deadlines allow it.
-        assert!(end.listener_closes > 0.4 || longest < 0.1, "{end:?}");
+        assert!(
+            schedule.listener_closes <= schedule.idle_closes && schedule.idle_closes <= schedule.answers_by,
+            "{schedule:?}"
+        );
+        assert!(
+            schedule.answers_by <= kill - 0.3
+                && schedule.exits_by < kill
+                && schedule.exits_by > schedule.answers_by
+        );
+        // The listener stays open for the 0.4 s in which connections arrive, unless the deadlines are too short.
+        assert!(schedule.listener_closes > 0.4 || longest < 0.1, "{schedule:?}");
     }
 }
--- a/crates/sidecar/load-balancing/src/policy/concurrency_limit.rs
+++ b/crates/sidecar/load-balancing/src/policy/concurrency_limit.rs
@@ -1,42 +1,46 @@
 //! Concurrency limit: how many requests this instance may have in flight.
 //!
-//! Where workers are known, each instance gets its part of all workers. Otherwise the limit adapts to
-//! response times: it is reduced by a factor while they show queueing and grows linearly while it is used.
+//! If the number of workers of an upstream is known, each instance gets its share of all workers. Otherwise
+//! the limit follows response times: it is reduced by a factor while they show queueing at the upstreams, and
+//! it grows linearly while it is used.
 
 use crate::api::ClassId;
 use crate::state::Balancer;
 
-/// Requests in flight for each upstream over all instances, before response times are known.
+/// Initial limit: requests in flight per upstream, over all instances, before response times are known.
 const INITIAL_CONCURRENCY_PER_UPSTREAM: f64 = 12.0;
-/// Least requests in flight for each upstream over all instances, where workers are unknown.
+/// Lower bound of the limit while workers are unknown: requests in flight per upstream, over all instances.
 const MIN_CONCURRENCY_PER_UPSTREAM: f64 = 3.0;
-/// Where workers are known, the least requests in flight, as a part of them.
+/// Lower bound of the limit while workers are known: requests in flight per worker, over all instances.
 const MIN_CONCURRENCY_PER_WORKER: f64 = 0.5;
-/// A median response time above this multiple of its baseline shows queueing ...
+/// A median response time above this multiple of its baseline shows queueing, within the two bounds below.
 const QUEUEING_BASELINE_RATIO: f64 = 2.0;
-/// ... but not below this part of the latency target: there is time to queue ...
+/// Below this fraction of the latency target, the median never shows queueing: there is time left to queue.
 const MIN_QUEUEING_TARGET_FRACTION: f64 = 0.5;
-/// ... and always above this part: the slower half of the responses needs the rest.
+/// Above this fraction of the latency target, the median always shows queueing: the slower half of the
+/// responses needs the rest of the target.
 const MAX_QUEUEING_TARGET_FRACTION: f64 = 0.7;
-/// Factor by which the limit is reduced, at most once in a median response time.
+/// Factor by which the limit is reduced, at most once per median response time.
 const LIMIT_DECREASE_FACTOR: f64 = 0.9;
-/// Growth of the limit for each response.
+/// Amount by which the limit grows with each response, in requests.
 const LIMIT_INCREASE: f64 = 0.1;
-/// The limit grows while more than one in this many of it is in flight: unused capacity says nothing about
-/// more of it.
+/// The limit grows while more than the limit divided by this number is in flight. As long as capacity is
+/// unused, response times do not tell whether the upstreams could serve more.
 const LIMIT_USE_DIVISOR: f64 = 2.0;
-/// Capacity over this instance's equal part of all workers: clients do not spread evenly over instances.
+/// Multiplier of this instance's equal share of all workers, since clients do not spread evenly over
+/// instances.
 const WORKER_SHARE_HEADROOM: f64 = 1.2;
 
 impl Balancer {
-    /// Sets the limit after the first endpoint list.
+    /// Sets the initial limit, once the first endpoint list is known.
     pub(super) fn initialize_concurrency_limit(&mut self) {
         self.concurrency_limit.limit = INITIAL_CONCURRENCY_PER_UPSTREAM * self.upstreams_per_instance();
         self.concurrency_limit.usable_upstreams = self.upstreams.len() as f64;
     }
 
-    /// Requests that this instance may have in flight, with so many running upstreams. Instances that each
-    /// fill all workers would queue at the servers together, so each takes its part.
+    /// Returns how many requests this instance may have in flight while `running` upstreams run. Instances
+    /// that each filled all workers would together cause queues at the servers, so each is limited to its
+    /// share.
     pub(super) fn capacity(&self, running: usize) -> f64 {
         if self.confirms_selections() {
             return f64::MAX;
@@ -48,7 +52,7 @@
         self.workers.map_or(f64::INFINITY, share).min(self.concurrency_limit.limit)
     }
 
-    /// Records a response time and adapts the limit.
+    /// Records a response time in seconds and adapts the limit.
     pub(super) fn observe_response_time(&mut self, class: ClassId, elapsed: f64) {
         if !elapsed.is_finite() {
             return;
--- a/crates/sidecar/load-balancing/src/policy/endpoints.rs
+++ b/crates/sidecar/load-balancing/src/policy/endpoints.rs
@@ -1,24 +1,26 @@
-//! Which upstreams exist and which of them this instance prefers: endpoint list updates and subsetting.
+//! Endpoint list updates and subsetting: which upstreams exist, and which of them this instance prefers.
 //!
-//! With many instances and few responses each, what an instance observes of all upstreams is always out of
-//! date, and each instance pays for every failing one and opens a connection to each. So each prefers a
-//! subset, which overlaps with the subsets of others.
+//! If each of many instances used all upstreams, each would get few responses from any of them: its
+//! observations would always be out of date, it would lose requests to every failing upstream, and it would
+//! open a connection to each. So each instance prefers a subset, which overlaps with the subsets of other
+//! instances.
 
 use crate::api::{Action, EndpointEntry, EndpointState};
 use crate::state::{Balancer, Upstream};
 
 use super::load_factor::DEFAULT_LOAD_FACTOR;
-use super::WAKE_LIST;
+use super::WAKE_RESUBSCRIBE;
 
-/// Instances that share an upstream in their subsets: with more, an instance gets fewer responses from each.
+/// Number of instances that have the same upstream in their subsets. A higher number means fewer responses
+/// from each upstream to each instance.
 const SUBSET_OVERLAP: f64 = 3.0;
-/// Failed list calls after which the backoff no longer doubles.
+/// Number of consecutive failed calls for the endpoint list after which the backoff no longer doubles.
 const MAX_LIST_BACKOFF_EXPONENT: u32 = 4;
-/// Base of the list backoff, as a divisor of the time for which an instance counts as informed.
+/// The base of the backoff is [`Settings::list_validity`](crate::Settings::list_validity) divided by this.
 const LIST_BACKOFF_DIVISOR: f64 = 40.0;
 
 impl Balancer {
-    /// Applies a full endpoint list: absent upstreams are removed.
+    /// Applies a full endpoint list; upstreams that it does not contain are removed.
     pub(super) fn replace_endpoints(&mut self, entries: &[EndpointEntry], actions: &mut Vec<Action>) {
         for upstream in self.upstreams.values_mut() {
             upstream.entry.state = EndpointState::Removed;
@@ -26,14 +28,14 @@
         self.update_endpoints(entries, actions);
     }
 
-    /// Renews a failed list subscription after a backoff with jitter, well inside the time for which an
-    /// instance counts as informed.
-    pub(super) fn back_off_list(&mut self, actions: &mut Vec<Action>) {
+    /// Schedules the renewal of a failed subscription after a backoff with jitter, well before the endpoint
+    /// list counts as outdated.
+    pub(super) fn schedule_resubscription(&mut self, actions: &mut Vec<Action>) {
         self.list_failures = (self.list_failures + 1).min(MAX_LIST_BACKOFF_EXPONENT);
         let base = self.settings.list_validity / LIST_BACKOFF_DIVISOR;
         let jitter = 0.5 + self.rng.next();
         let backoff = base * f64::from(1 << self.list_failures) * jitter;
-        actions.push(Action::Wake { after: backoff, token: WAKE_LIST });
+        actions.push(Action::Wake { after: backoff, token: WAKE_RESUBSCRIBE });
     }
 
     /// Applies changed entries of the endpoint list.
@@ -45,7 +47,7 @@
         for entry in entries {
             self.update_endpoint(entry);
         }
-        // An upstream that was removed stays until the outcomes of its attempts have arrived.
+        // A removed upstream is kept until the outcomes of its attempts have arrived.
         self.upstreams.retain(|_, upstream| {
             upstream.entry.state != EndpointState::Removed || !upstream.in_flight.is_empty()
         });
@@ -65,22 +67,24 @@
         }
     }
 
-    /// Starts without observations for a new or restarted upstream; attempts in flight to it stay counted.
+    /// Adds a new or restarted upstream without observations. Attempts in flight to a restarted one stay
+    /// counted.
     fn start_upstream(&mut self, entry: &EndpointEntry) {
-        // Random offsets, so that instances do not move in step.
+        // Random offsets, so that instances do not select upstreams in lockstep.
         let classes = self.settings.classes.iter();
         let current_weights = classes.map(|_| self.rng.next() * DEFAULT_LOAD_FACTOR).collect();
         let mut upstream = Upstream { current_weights, ..Upstream::new(*entry, DEFAULT_LOAD_FACTOR) };
         if let Some(previous) = self.upstreams.remove(&entry.upstream) {
             upstream.in_flight = previous.in_flight;
-            upstream.outstanding_cost = previous.outstanding_cost;
+            upstream.outstanding_load = previous.outstanding_load;
         }
         let offset = self.rng.next();
         upstream.next_slow_start_send = self.now + offset * self.slow_start_interval(&upstream);
         self.upstreams.insert(entry.upstream, upstream);
     }
 
-    /// Marks the upstreams that this instance prefers: a window over the running ones, offset by its rank.
+    /// Marks the upstreams that this instance prefers: a window over the running upstreams in the order of
+    /// their ids, whose start depends on the instance's rank.
     fn select_subset(&mut self) {
         let running = |upstream: &&mut Upstream| upstream.entry.state == EndpointState::Running;
         let running: Vec<_> = self.upstreams.values_mut().filter(running).collect();
--- a/crates/sidecar/load-balancing/src/policy/health_check.rs
+++ b/crates/sidecar/load-balancing/src/policy/health_check.rs
@@ -1,7 +1,8 @@
-//! Health checks ahead of a selection.
+//! Health checks that confirm a selection.
 //!
-//! With many instances, load reports are out of date when they are used. Where a health check is cheap and
-//! its report shows a spare worker, one confirms a selection before the request is sent.
+//! With many instances, load reports are out of date by the time they are used. If health checks are cheap
+//! and their reports show whether a worker is idle, a health check confirms the selection before the request
+//! is sent.
 
 use crate::api::{Action, ClassId, Ending, LoadReport, UpstreamId};
 use crate::state::{Balancer, Upstream, HEALTH_CHECK_BUDGET_PER_REQUEST};
@@ -9,13 +10,14 @@
 use super::load_factor::REFRESH_INTERVAL_MEDIANS;
 use super::selection::Selectable;
 
-/// A reported spare worker is trusted for this many median response times; then idle upstreams count as
-/// unknown.
+/// A report that shows a spare worker is trusted for this many median response times. After that, the
+/// upstream counts as one without a known spare worker.
 const SPARE_WORKER_MAX_AGE_MEDIANS: f64 = 10.0;
-/// An upstream is checked again after this part of the median response time: before, its load has hardly
-/// changed.
+/// Minimum age of an upstream's latest report before it is checked again, as a fraction of the median
+/// response time. Before that, its load has hardly changed.
 const RECHECK_INTERVAL_MEDIANS: f64 = 1.0 / 4.0;
-/// Concurrency below the number of workers by this much is a spare worker: estimates of both are fractional.
+/// An upstream has a spare worker if its concurrency is lower than its number of workers by more than this,
+/// since both are fractional estimates.
 const SPARE_WORKER_MARGIN: f64 = 0.5;
 
 impl Balancer {
@@ -35,13 +37,13 @@
         }
     }
 
-    /// Whether selections are confirmed by a health check: they are cheap and show spare workers.
+    /// Returns whether health checks confirm selections: if they are allowed, cheap, and show spare workers.
     pub(super) fn confirms_selections(&self) -> bool {
         let affordable = 2.0 * self.settings.price_health_check <= HEALTH_CHECK_BUDGET_PER_REQUEST;
         self.settings.allow_health_checks && affordable && self.settings.reports_queue
     }
 
-    /// Whether a recent report shows a spare worker.
+    /// Returns whether a recent report of this upstream shows a spare worker.
     pub(super) fn has_spare_worker(&self, upstream: &Upstream) -> bool {
         let max_age_medians =
             if self.confirms_selections() { REFRESH_INTERVAL_MEDIANS } else { SPARE_WORKER_MAX_AGE_MEDIANS };
@@ -51,15 +53,16 @@
         recent && upstream.concurrency().is_some_and(|n| n < workers - SPARE_WORKER_MARGIN)
     }
 
-    /// Whether a health check may be sent: within the budget, or at the rate of responses. In overload all
-    /// are busy, and each pending request would go on checking.
-    pub(super) fn may_check(&self) -> bool {
+    /// Returns whether a health check may be sent now: within the budget at any time, beyond it once per
+    /// recheck interval. Without this limit, each pending request would go on sending health checks under
+    /// overload, when all upstreams are busy.
+    pub(super) fn may_send_health_check(&self) -> bool {
         let since_last = self.now - self.health_check_budget.last_sent_at();
         self.health_check_budget.covers_one() || since_last > self.recheck_interval()
     }
 
-    /// Sends a health check to one of these, except to those whose report is too recent to have changed. True
-    /// when one was sent.
+    /// Sends a health check to one of the candidates, leaving out those whose latest report is too recent to
+    /// have changed. Returns whether one was sent.
     pub(super) fn send_health_check(
         &mut self,
         candidates: &[Selectable],
--- a/crates/sidecar/load-balancing/src/policy/hedging.rs
+++ b/crates/sidecar/load-balancing/src/policy/hedging.rs
@@ -1,18 +1,19 @@
-//! Hedging: an idempotent request that waits on an ejected upstream is cancelled there, so that it can be
-//! sent to another one once its outcome arrives.
+//! Hedging: an idempotent request in flight to an ejected upstream is cancelled there, so that it can be sent
+//! to another upstream once the outcome of the cancelled attempt arrives.
 
 use crate::api::{Action, RequestId};
 use crate::state::Balancer;
 use std::collections::BTreeSet;
 
-/// Part of the latency target before which an attempt is not cancelled: what takes long is mostly expensive,
-/// and takes long elsewhere too.
+/// Fraction of the latency target for which an attempt is left to run before it may be cancelled: most
+/// requests that take long are expensive and would take as long elsewhere.
 const HEDGE_DELAY_TARGET_FRACTION: f64 = 0.5;
 
 impl Balancer {
-    /// Cancels attempts of idempotent requests that are in flight to ejected upstreams.
+    /// Cancels attempts of idempotent requests that are in flight to ejected upstreams, as far as the retry
+    /// budget covers another attempt for each.
     pub(super) fn cancel_stalled_attempts(&mut self, actions: &mut Vec<Action>) {
-        // Each hedge needs a retry token, which is paid when the outcome arrives.
+        // Each hedge needs a retry token, which is spent when the outcome of the cancelled attempt arrives.
         let mut tokens = if self.settings.allow_cancel { self.retry_budget.tokens() } else { 0.0 };
         if tokens < 1.0 {
             return;
@@ -24,8 +25,8 @@
         }
     }
 
-    /// Requests with an attempt in flight to an ejected upstream for longer than the shortest hedge delay, by
-    /// id.
+    /// Returns the requests that have had an attempt in flight to an ejected upstream for longer than the
+    /// shortest hedge delay of any class.
     fn requests_at_ejected_upstreams(&self) -> BTreeSet<RequestId> {
         let delays =
             self.settings.classes.iter().map(|class| HEDGE_DELAY_TARGET_FRACTION * class.latency_target);
@@ -36,7 +37,8 @@
         attempts.map(|attempt| attempt.request).collect()
     }
 
-    /// Cancels the last attempt of a request if it has stalled and there is time for another; true if it did.
+    /// Cancels the last attempt of a request if it has stalled and there is time for another attempt. Returns
+    /// whether it was cancelled.
     fn cancel_stalled_attempt(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
         let Some(request) = self.requests.get_mut(&id) else { return false };
         if !request.idempotent || request.completed || request.pending {
--- a/crates/sidecar/load-balancing/src/policy/outcome.rs
+++ b/crates/sidecar/load-balancing/src/policy/outcome.rs
@@ -1,38 +1,39 @@
-//! What the outcome of an attempt changes: the upstream's health, the estimates, and the request.
+//! Effects of an attempt's outcome on the upstream's health, on the estimates, and on the request.
 
 use crate::api::{Action, ClassId, Ending, Outcome};
 use crate::state::{Balancer, Request};
 
 use super::outlier::STALL_TIMEOUT_MEDIANS;
 
-/// Part of the way to full health that a served request recovers.
+/// Fraction of the missing health that an upstream recovers with each served request.
 const HEALTH_RECOVERY: f64 = 1.0 / 4.0;
-/// Factor of the health for each time-out or broken connection, and its lower bound.
+/// Factor by which each time-out or lost connection reduces an upstream's health.
 const HEALTH_DECREASE_FACTOR: f64 = 0.75;
+/// Lower bound of an upstream's health.
 const MIN_HEALTH: f64 = 0.1;
 
 impl Balancer {
-    /// Records the outcome of an attempt; retries or answers its request.
+    /// Records the outcome of an attempt, and retries or completes its request.
     pub(super) fn observe_outcome(&mut self, outcome: &Outcome, actions: &mut Vec<Action>) {
         let request = self.requests.get(&outcome.id);
         let class = request.map(|request| request.class);
         let cost = request.and_then(|request| request.cost);
         let load = request.map_or(0.0, Request::load);
-        // Predicted before this outcome changes the estimate.
+        // Predicted before this outcome updates the regression.
         let predicted = match (class, cost) {
             (Some(class), Some(cost)) => self.response_times.class(class).by_cost.predict(cost),
             _ => None,
         };
-        // The report first: it is older than the answer and still counts this attempt.
+        // The report is recorded first: it was taken before the answer and still counts this attempt.
         self.observe_report(outcome.upstream, outcome.report);
         self.observe_upstream_outcome(outcome, load, predicted.filter(|time| *time > 0.0));
         if let Some(class) = class {
             self.observe_class_outcome(outcome, class, cost);
         }
-        self.close_attempt(outcome, actions);
+        self.end_attempt(outcome, actions);
     }
 
-    /// Updates load, contact and health of the upstream.
+    /// Updates the load, the time of the last contact and the health of the upstream.
     fn observe_upstream_outcome(&mut self, outcome: &Outcome, load: f64, predicted: Option<f64>) {
         let Outcome { id, attempt, upstream: upstream_id, ending, elapsed, .. } = *outcome;
         let Some(upstream) = self.upstreams.get(&upstream_id) else { return };
@@ -53,22 +54,24 @@
         match ending {
             Ending::Served => {
                 if upstream.consecutive_failures > 0 {
-                    // It may have restarted unnoticed: slow start for one window.
+                    // It may have restarted unnoticed, so it is treated as in slow start for one overload
+                    // window.
                     upstream.suspect_until = now + self.settings.overload_window;
                 }
                 upstream.consecutive_failures = 0;
-                upstream.broken_connections = 0;
+                upstream.lost_connections = 0;
                 upstream.health += (1.0 - upstream.health) * HEALTH_RECOVERY;
             }
             Ending::TimedOut if elapsed > STALL_TIMEOUT_MEDIANS * median && no_contact_since_sent => {
                 self.record_failure(upstream_id);
             }
-            // One broken connection is no broken upstream; one that is down breaks all of them.
-            Ending::ConnectionLost if upstream.broken_connections > 0 && no_contact_since_sent => {
+            // A single lost connection does not show that the upstream is down; one that is down loses all of
+            // them.
+            Ending::ConnectionLost if upstream.lost_connections > 0 && no_contact_since_sent => {
                 self.record_failure(upstream_id);
             }
             Ending::TimedOut | Ending::ConnectionLost => {
-                upstream.broken_connections += u32::from(ending == Ending::ConnectionLost);
+                upstream.lost_connections += u32::from(ending == Ending::ConnectionLost);
                 upstream.health = (upstream.health * HEALTH_DECREASE_FACTOR).max(MIN_HEALTH);
             }
             Ending::ConnectFailed => self.record_failure(upstream_id),
@@ -76,7 +79,7 @@
         }
     }
 
-    /// Updates success and response times of the class.
+    /// Updates the success rate and the response times of the class.
     fn observe_class_outcome(&mut self, outcome: &Outcome, class: ClassId, cost: Option<f64>) {
         let ending = outcome.ending;
         let failed = matches!(ending, Ending::UpstreamError | Ending::ConnectionLost | Ending::Shed);
@@ -93,8 +96,9 @@
         }
     }
 
-    /// Marks the attempt as ended. Without another one in flight, the request is retried or answered.
-    fn close_attempt(&mut self, outcome: &Outcome, actions: &mut Vec<Action>) {
+    /// Marks the attempt as ended. The request is finished if it needs no further answer; otherwise it is
+    /// retried or answered once none of its attempts is in flight.
+    fn end_attempt(&mut self, outcome: &Outcome, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&outcome.id) else { return };
         if let Some(attempt) = request.attempts.get_mut(outcome.attempt as usize) {
             attempt.in_flight = false;
@@ -103,7 +107,7 @@
         if outcome.last || request.completed {
             self.requests.finish(outcome.id);
         } else if request.attempts.iter().all(|attempt| !attempt.in_flight) {
-            self.retry_or_reject(outcome.id, actions);
+            self.retry_or_give_up(outcome.id, actions);
         }
     }
 }
--- a/crates/sidecar/load-balancing/src/policy/outlier.rs
+++ b/crates/sidecar/load-balancing/src/policy/outlier.rs
@@ -1,43 +1,43 @@
 //! Outlier ejection: which upstreams and zones are excluded from selection.
 //!
-//! An upstream is ejected after failures in a row, for a time that doubles, and while it is stalled. When
-//! most of a zone fails, all of it is ejected but for trial requests. When nearly all upstreams look
-//! unhealthy, the fault is elsewhere and none is ejected.
+//! An upstream is ejected after consecutive failures, for a time that doubles with each, and while it is
+//! stalled. When most upstreams of a zone fail, the whole zone is ejected except for trial requests. When
+//! nearly all upstreams look unhealthy, the fault is assumed to lie elsewhere, and none is ejected.
 
 use crate::api::{EndpointState, UpstreamId, ZoneId};
 use crate::state::{Balancer, Upstream};
 use std::collections::BTreeMap;
 
-/// Failures in a row after which the ejection time no longer doubles.
+/// Number of consecutive failures after which the ejection time no longer doubles.
 const MAX_EJECTION_EXPONENT: u32 = 3;
-/// Ejection time, in connect time-outs, before it doubles for each failure.
+/// Ejection time, in connect time-outs, before it doubles with each failure.
 const EJECTION_TIME_CONNECT_TIMEOUTS: f64 = 2.0;
-/// An attempt without an outcome for this many times its expected time, while peers answer, means a stall or
-/// a very heavy request.
+/// Upper bound of the stall timeout, in expected response times. If an attempt takes longer than this while
+/// other upstreams answer, its upstream has stalled or its request is very expensive.
 pub(super) const STALL_TIMEOUT_MEDIANS: f64 = 3.0;
-/// The stall timeout is `1 + this / attempts in flight` expected times, at most [`STALL_TIMEOUT_MEDIANS`]: an
-/// upstream with many attempts in flight stalls all of them.
+/// The stall timeout is `1 + this / attempts in flight` expected response times, at most
+/// [`STALL_TIMEOUT_MEDIANS`]. It is shorter with many attempts in flight, since a stall affects all of them.
 const STALL_TIMEOUT_SPREAD: f64 = 4.0;
-/// Failing upstreams from which a zone may count as failed: one or two may fail on their own.
+/// Minimum number of failing upstreams in a failed zone: one or two may fail independently of their zone.
 const MIN_FAILING_PER_FAILED_ZONE: usize = 3;
-/// With more than this part of all upstreams unhealthy, none is ejected; the loss of one zone of two stays
-/// below it.
+/// When more than this fraction of all upstreams is unhealthy, none is ejected. The loss of one of two zones
+/// stays below it.
 const PANIC_THRESHOLD: f64 = 0.8;
 
-/// Counts of one pass over the upstreams.
+/// Counts of upstreams and attempts, taken by [`Balancer::update_ejections`].
 #[derive(Default)]
-pub(super) struct Survey {
-    /// Upstreams that run, ejected or not.
+pub(super) struct UpstreamCounts {
+    /// Upstreams that are running, ejected or not.
     pub running: usize,
-    /// Upstreams that run and are not ejected.
+    /// Upstreams that are running and not ejected.
     pub usable: usize,
-    /// Health checks without a result.
+    /// Health checks that have no result yet.
     pub health_checks: usize,
-    /// Own attempts in flight at upstreams that are not ejected.
+    /// Attempts of this instance in flight to upstreams that are not ejected.
     pub in_flight: usize,
 }
 
-/// Failing and responsive upstreams, of a zone or of all.
+/// Numbers of failing and responsive upstreams, in one zone or overall.
 #[derive(Clone, Copy, Default)]
 struct HealthCounts {
     failing: usize,
@@ -50,8 +50,8 @@
         self.responsive += usize::from(responsive);
     }
 
-    /// Whether a zone with these counts is failed: most of it fails, and elsewhere most is responsive.
-    /// Upstreams without recent contact count for neither.
+    /// Returns whether a zone with these counts has failed: most of its upstreams fail, and most of the
+    /// others are responsive. Upstreams without recent contact count as neither.
     fn is_failed_zone(self, all: HealthCounts) -> bool {
         self.failing >= MIN_FAILING_PER_FAILED_ZONE
             && self.failing > self.responsive
@@ -60,7 +60,8 @@
 }
 
 impl Balancer {
-    /// Records a failure: ejects an upstream for a time that doubles; one trial request brings it back.
+    /// Records a failure and ejects the upstream for a time that doubles with each consecutive failure. After
+    /// that, one trial request decides whether it is used again.
     pub(super) fn record_failure(&mut self, id: UpstreamId) {
         let Some(upstream) = self.upstreams.get_mut(&id) else { return };
         upstream.consecutive_failures = (upstream.consecutive_failures + 1).min(MAX_EJECTION_EXPONENT);
@@ -68,9 +69,9 @@
         upstream.ejected_until = self.now + base * f64::from(1 << upstream.consecutive_failures);
     }
 
-    /// Whether an upstream has not answered for longer than its attempts in flight explain. A paused server
-    /// keeps its load factor, so it would go on getting requests. One that is busy with a heavy request is
-    /// not stalled before that could be over.
+    /// Returns whether an upstream has not answered for longer than its attempts in flight explain. The load
+    /// factor of a paused server does not change, so without this check it would go on getting requests. An
+    /// upstream that is busy with an expensive request is not stalled before that request could be finished.
     fn is_stalled(&self, upstream: &Upstream) -> bool {
         let Some(oldest) = upstream.in_flight.first() else { return false };
         let median = self.response_times.median;
@@ -81,12 +82,13 @@
         median > 0.0 && self.now - oldest.sent_at.max(upstream.last_contact) > timeout
     }
 
-    /// One pass over the upstreams before anything is selected: refreshes load factors, ejects, and counts.
-    pub(super) fn survey_upstreams(&mut self) -> Survey {
-        self.expire_served();
-        // Taken out, since the checks below read the rest of the state.
+    /// Refreshes the load factors, decides which upstreams are ejected, and counts them. Runs before each
+    /// dispatch.
+    pub(super) fn update_ejections(&mut self) -> UpstreamCounts {
+        self.prune_served_times();
+        // Taken out of `self`, since the checks below borrow the rest of the state.
         let mut upstreams = std::mem::take(&mut self.upstreams);
-        let mut survey = Survey::default();
+        let mut counts = UpstreamCounts::default();
         let mut zones: BTreeMap<ZoneId, HealthCounts> = BTreeMap::new();
         let mut all = HealthCounts::default();
         let mut unhealthy = Vec::with_capacity(upstreams.len());
@@ -102,8 +104,8 @@
             all.add(failing, responsive);
             unhealthy.push(is_unhealthy);
             let running = upstream.entry.state == EndpointState::Running;
-            survey.running += usize::from(running);
-            survey.health_checks += usize::from(upstream.health_check_sent_at.is_some());
+            counts.running += usize::from(running);
+            counts.health_checks += usize::from(upstream.health_check_sent_at.is_some());
             warm += usize::from(running && !self.in_slow_start(upstream));
         }
         self.served_per_warm_upstream = self.served_at.len() as f64 / warm.max(1) as f64;
@@ -111,15 +113,15 @@
         let panic = unhealthy_count as f64 > PANIC_THRESHOLD * unhealthy.len() as f64;
         for (upstream, unhealthy) in upstreams.values_mut().zip(unhealthy) {
             let failed_zone = zones[&upstream.entry.zone].is_failed_zone(all);
-            // In a failed zone, those that failed themselves get the trial requests.
-            let by_zone = upstream.consecutive_failures == 0 && failed_zone;
-            upstream.ejected = !panic && (unhealthy || by_zone);
+            // In a failed zone, trial requests go to the upstreams that have failed themselves.
+            let ejected_with_zone = upstream.consecutive_failures == 0 && failed_zone;
+            upstream.ejected = !panic && (unhealthy || ejected_with_zone);
             if !upstream.ejected {
-                survey.usable += usize::from(upstream.entry.state == EndpointState::Running);
-                survey.in_flight += upstream.in_flight.len();
+                counts.usable += usize::from(upstream.entry.state == EndpointState::Running);
+                counts.in_flight += upstream.in_flight.len();
             }
         }
         self.upstreams = upstreams;
-        survey
+        counts
     }
 }
--- a/crates/sidecar/load-balancing/src/policy/selection.rs
+++ b/crates/sidecar/load-balancing/src/policy/selection.rs
@@ -1,25 +1,28 @@
 //! Selection: which upstream gets a request.
 //!
-//! The upstreams that may be selected now take turns by smooth weighted round robin, weighted by load factor
-//! and success. Every exception to plain turns stands in [`Balancer::selectable`].
+//! Smooth weighted round robin selects among the upstreams that are currently selectable, weighted by load
+//! factor and success weight. [`Balancer::selectable`] contains all rules that exclude an upstream from this.
 
 use crate::api::{ClassId, EndpointState, UpstreamId};
 use crate::estimate::OutcomeCounts;
 use crate::state::{Balancer, Request, Upstream};
 use crate::weighted_round_robin::{self, Candidate};
 
-/// Success weight above which an upstream is a measure of the least load: failing ones are idle.
+/// Only upstreams with a success weight above this count when the least load is determined, since failing
+/// ones are idle.
 const MIN_HEALTHY_SUCCESS_WEIGHT: f64 = 0.5;
-/// Weight of a request's own cost against the load in flight: of the latter half is done, and on several
-/// cores.
+/// Weight of a request's own cost relative to the load in flight, of which half is done on average and which
+/// runs on several cores.
 const OWN_COST_WEIGHT: f64 = 3.0;
-/// Loads that exceed the least by no more than this, in mean request costs, count as equal.
+/// Loads that exceed the least load by no more than this multiple of the mean request cost count as equal to
+/// it.
 const LOAD_TOLERANCE: f64 = 0.2;
-/// Load multiplier of other zones while nothing is queued and crossings have a price.
+/// Load multiplier of upstreams in other zones while no other request is pending, if cross-zone attempts have
+/// a price.
 const CROSS_ZONE_LOAD_FACTOR: f64 = 1.3;
-/// Prior of an upstream's success rate over its other classes, as so many served attempts.
+/// Prior of an upstream's success rate over its other classes, as a number of served attempts.
 const OTHER_CLASSES_PRIOR: OutcomeCounts = OutcomeCounts { served: 2.0, completed: 2.0 };
-/// Weight of the prior in the success rate of one class at one upstream, in attempts.
+/// Weight of the prior in the success rate of one class at one upstream, as a number of attempts.
 const CLASS_PRIOR_WEIGHT: f64 = 2.0;
 /// Exponent of the success rate in the success weight.
 const SUCCESS_EXPONENT: i32 = 4;
@@ -28,21 +31,21 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Selectable {
     pub upstream: UpstreamId,
-    /// Multiplier of the load factor by what became of the latest attempts, 0 to 1.
+    /// Multiplier of the load factor that follows from the outcomes of recent attempts, 0 to 1.
     pub success_weight: f64,
 }
 
-/// Success weights of one class at one moment, computed as far as asked for.
+/// Success weights of one class within one dispatch pass, computed on demand.
 #[derive(Clone, Debug, Default)]
 pub(super) struct SuccessWeights {
     /// Success rate of the class over all upstreams.
     overall: Option<f64>,
-    /// By position of the upstream.
+    /// By position of the upstream in `Balancer::upstreams`.
     by_upstream: Vec<Option<f64>>,
 }
 
 impl Balancer {
-    /// The upstreams that may be selected now for this request, in the order of their ids.
+    /// Returns the upstreams that may be selected now for this request, in the order of their ids.
     pub(super) fn selectable(&self, request: &Request, weights: &mut SuccessWeights) -> Vec<Selectable> {
         let overall = *weights.overall.get_or_insert_with(|| self.success_rate(request.class));
         weights.by_upstream.resize(self.upstreams.len(), None);
@@ -55,30 +58,33 @@
                 (upstream, Selectable { upstream: *id, success_weight })
             })
             .collect();
-        // Reports are out of date, and a slow upstream draws as many turns as its spare CPU says. So those
-        // with more own load in flight, at their own service time, than the least loaded are left out.
+        // Reports are out of date, and a slow upstream gets as many requests as its spare CPU suggests. So
+        // upstreams are left out to which this instance has more load in flight than to the least loaded one,
+        // measured by the upstream's own service time.
         let cross_zone = self.cross_zone_load_factor();
         let load = |upstream: &Upstream| self.load_with(request, upstream, cross_zone);
         let healthy = available.iter().filter(|(_, item)| item.success_weight > MIN_HEALTHY_SUCCESS_WEIGHT);
         let least = healthy.map(|(upstream, _)| load(upstream)).fold(f64::INFINITY, f64::min);
         let max_load = least + LOAD_TOLERANCE * self.response_times.mean_cost.unwrap_or(1.0);
         let least_loaded = available.into_iter().filter(|(upstream, _)| load(upstream) <= max_load);
-        // The instance's own subset goes first, then those that reported a spare worker.
+        // Upstreams in this instance's subset are preferred, and among these the ones that reported a spare
+        // worker.
         let preference = |upstream: &Upstream| (upstream.in_subset, self.has_spare_worker(upstream));
         let ranked: Vec<_> = least_loaded.map(|(upstream, item)| (preference(upstream), item)).collect();
         let best = ranked.iter().map(|(preference, _)| *preference).max();
         ranked.into_iter().filter(|(preference, _)| Some(*preference) == best).map(|(_, item)| item).collect()
     }
 
-    /// Whether an upstream may get an attempt of this request at all, whatever its load.
+    /// Returns whether an upstream may get an attempt of this request, regardless of its load.
     fn is_available(&self, request: &Request, id: UpstreamId, upstream: &Upstream) -> bool {
         let tried = request.attempts.iter().any(|attempt| attempt.entry.upstream == id);
         let on_trial = upstream.consecutive_failures > 0 && !upstream.in_flight.is_empty();
-        // A queue at a server can't be taken back: its workers are filled, the rest is queued here.
+        // Requests queued at a server can't be moved elsewhere, so only its workers are filled and further
+        // requests stay queued here.
         let in_flight = upstream.in_flight.len() as f64;
-        let filled = self.workers.is_some_and(|workers| in_flight >= workers.round());
+        let workers_busy = self.workers.is_some_and(|workers| in_flight >= workers.round());
         let running = upstream.entry.state == EndpointState::Running;
-        if !running || upstream.ejected || tried || on_trial || filled {
+        if !running || upstream.ejected || tried || on_trial || workers_busy {
             return false;
         }
         let paused = self.now < upstream.next_slow_start_send || !upstream.in_subset;
@@ -88,10 +94,11 @@
         !held_by_slow_start && !being_checked && self.in_dedup_scope(request, upstream)
     }
 
-    /// Load that an upstream would have with this request, in seconds of work at its own service time.
+    /// Returns the load that an upstream would have with this request, in seconds of work scaled by its own
+    /// service time ratio.
     fn load_with(&self, request: &Request, upstream: &Upstream, cross_zone: f64) -> f64 {
         let zone = if upstream.entry.zone == self.settings.zone { 1.0 } else { cross_zone };
-        let load = upstream.outstanding_cost + OWN_COST_WEIGHT * request.load();
+        let load = upstream.outstanding_load + OWN_COST_WEIGHT * request.load();
         load * upstream.service_time_ratio * zone
     }
 
@@ -104,9 +111,9 @@
         }
     }
 
-    /// Weight of an upstream for a class by what became of its latest attempts of it; where these are few,
-    /// also by its other classes and by all upstreams. Some upstreams fail all requests or one class, and
-    /// fast.
+    /// Returns the success weight of an upstream for a class, from the outcomes of recent attempts of that
+    /// class. While these are few, its other classes and the class at all upstreams count as well. Without
+    /// this weight, upstreams that quickly fail all requests, or all of one class, would attract traffic.
     fn success_weight(&self, upstream: &Upstream, class: ClassId, overall: f64) -> f64 {
         let others = (0..self.settings.classes.len()).filter(|other| *other != class.0);
         let others = others.map(|other| upstream.outcome_counts(ClassId(other), self.now));
@@ -116,7 +123,8 @@
         ((own.served + prior) / (own.completed + CLASS_PRIOR_WEIGHT)).powi(SUCCESS_EXPONENT)
     }
 
-    /// Selects one of these by smooth weighted round robin; they must be in the order of their ids.
+    /// Selects one of these upstreams, which must be in the order of their ids, by smooth weighted round
+    /// robin.
     pub(super) fn select_round_robin(
         &mut self,
         selectable: &[Selectable],
--- a/crates/sidecar/load-balancing/src/policy/slow_start.rs
+++ b/crates/sidecar/load-balancing/src/policy/slow_start.rs
@@ -1,16 +1,17 @@
-//! Slow start: how little an upstream gets at first after a start.
+//! Slow start: limits the traffic of an upstream after its start.
 //!
-//! A started server fails under load that it could serve later, even when each of many instances sends it a
-//! single request. Its capacity is taken to grow linearly, and only the instances that have it in their
-//! subset send, each its part.
+//! A recently started server fails under load that it could serve later; a single request from each of many
+//! instances can be too much. Its capacity is assumed to grow linearly, and only the instances that have it
+//! in their subset send to it, each its share.
 
 use crate::state::{Balancer, Upstream};
 
-/// Part of the capacity of an upstream in slow start that is used: with less, the others overload.
+/// Fraction of the capacity of an upstream in slow start that is used. A lower one would overload the others.
 const SLOW_START_UTILIZATION: f64 = 0.8;
 
 impl Balancer {
-    /// Part of its full capacity that an upstream certainly has by now; 1 after its slow start.
+    /// Returns the fraction of its full capacity that an upstream is assumed to have by now; 1 after its slow
+    /// start.
     pub(super) fn slow_start_capacity(&self, upstream: &Upstream) -> f64 {
         let initial = self.settings.slow_start_capacity;
         if self.now < upstream.suspect_until {
@@ -22,15 +23,17 @@
         (initial + (1.0 - initial) * age / duration).min(1.0)
     }
 
-    /// Whether an upstream is in its slow start.
+    /// Returns whether an upstream is in slow start.
     pub(super) fn in_slow_start(&self, upstream: &Upstream) -> bool {
         self.slow_start_capacity(upstream) < 1.0
     }
 
-    /// Time between two sends of this instance to an upstream in slow start, in seconds; 0 after it.
+    /// Returns the minimum time in seconds between two attempts of this instance to an upstream in slow
+    /// start; 0 after it.
     ///
-    /// Derived from what other upstreams serve, or from what one worker serves at the median response time.
-    /// What they are sent is no measure: requests that they reject are retried and would raise it.
+    /// Derived from the number of requests that other upstreams serve, or that one worker serves at the
+    /// median response time. The number of requests sent to them is unsuitable: requests that they reject are
+    /// retried and would raise it.
     pub(super) fn slow_start_interval(&self, upstream: &Upstream) -> f64 {
         let capacity = self.slow_start_capacity(upstream);
         let window = self.settings.overload_window;
@@ -42,8 +45,8 @@
         f64::from(u8::from(capacity < 1.0)) * (window / budget).min(self.settings.slow_start_duration)
     }
 
-    /// Forgets served requests that are older than the overload window.
-    pub(super) fn expire_served(&mut self) {
+    /// Removes the times of served requests that are older than the overload window.
+    pub(super) fn prune_served_times(&mut self) {
         while self.served_at.front().is_some_and(|at| *at < self.now - self.settings.overload_window) {
             self.served_at.pop_front();
         }
--- a/crates/sidecar/load-balancing/src/state.rs
+++ b/crates/sidecar/load-balancing/src/state.rs
@@ -1,4 +1,4 @@
-//! The state that the policy works on, grouped by owner. No decisions: these stand in `policy`.
+//! The state of a balancer, grouped by what it describes. The decisions based on it are in the `policy` module.
 
 mod budgets;
 mod concurrency;
@@ -18,10 +18,11 @@
 use crate::estimate::OutcomeCounts;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Prior of the success rate of a class over all upstreams, as so many served attempts.
+/// Prior of the success rate of a class over all upstreams, as a number of served attempts.
 const SUCCESS_PRIOR: OutcomeCounts = OutcomeCounts { served: 3.0, completed: 3.0 };
 
-/// The decisions of one balancer instance: a state machine without I/O, driven by the caller's clock.
+/// One balancer instance: a state machine without I/O, driven by the events that the caller passes to
+/// [`Balancer::handle`].
 ///
 /// Times are seconds on the caller's clock.
 pub struct Balancer {
@@ -31,33 +32,36 @@
     pub(crate) now: f64,
     pub(crate) upstreams: BTreeMap<UpstreamId, Upstream>,
     pub(crate) requests: Requests,
-    /// Workers of an upstream, learned from reports of those with a queue.
+    /// Estimated number of workers of an upstream, from the load reports of upstreams with a queue; `None` before the
+    /// first such report.
     pub(crate) workers: Option<f64>,
     pub(crate) response_times: ResponseTimes,
-    /// When upstreams past their slow start served a request, within the last `Settings::fall` seconds.
+    /// Times at which upstreams past their slow start served a request, within the last
+    /// [`Settings::overload_window`] seconds.
     pub(crate) served_at: VecDeque<f64>,
-    /// Requests that each upstream past its slow start served in that window, on average.
+    /// Mean number of requests that an upstream past its slow start served in that window.
     pub(crate) served_per_warm_upstream: f64,
     pub(crate) concurrency_limit: ConcurrencyLimit,
     pub(crate) mean_concurrency: MeanConcurrency,
-    /// Instances that have a given upstream in their subset, this one among them; at least 1.
+    /// Number of instances that have an upstream in their subset, on average; at least 1.
     pub(crate) instances_per_upstream: f64,
     pub(crate) retry_budget: RetryBudget,
     pub(crate) health_check_budget: HealthCheckBudget,
-    /// By tenant, as long as the settings have tenants.
+    /// Quota buckets by [`TenantId`](crate::TenantId), one for each tenant in the settings.
     pub(crate) quotas: Vec<QuotaBucket>,
-    /// Failed calls for the endpoint list since the last update; at most 4.
+    /// Failed calls for the endpoint list since its last update; at most 4.
     pub(crate) list_failures: u32,
-    /// Time of the earliest wake-up asked for; infinite without one.
+    /// Time of the earliest requested wake-up for the dispatch queue; infinite without one.
     pub(crate) next_wake: f64,
 }
 
 impl Balancer {
-    /// A new instance. `seed` sets it apart from other instances; `now` starts its clock.
+    /// Creates an instance whose clock starts at `now`. Instances need different seeds, so that they do not select
+    /// upstreams in lockstep.
     ///
     /// # Errors
     ///
-    /// Returns [`SettingsError`] for settings that are invalid.
+    /// Returns [`SettingsError`] if the settings are invalid.
     pub fn new(settings: Settings, seed: u64, now: f64) -> Result<Self, SettingsError> {
         settings.validate()?;
         Ok(Balancer {
@@ -81,44 +85,48 @@
         })
     }
 
-    /// Upstreams for each instance: what all instances send together must not grow with their number.
+    /// Returns the number of upstreams per instance. Limits are scaled with it, so that the requests of all instances
+    /// together do not grow with the number of instances.
     pub(crate) fn upstreams_per_instance(&self) -> f64 {
         self.upstreams.len() as f64 / self.settings.instances as f64
     }
 
-    /// Mean of own requests in flight over some median response times.
+    /// Returns the mean number of this instance's requests in flight, over the last few median response times.
     pub(crate) fn mean_concurrency(&self) -> f64 {
-        self.mean_concurrency.at(self.now, self.response_times.median, self.settings.tick)
+        self.mean_concurrency.value_at(self.now, self.response_times.median, self.settings.tick)
     }
 
-    /// Success rate of a class over all upstreams, 0 to 1.
+    /// Returns the success rate of a class over all upstreams, 0 to 1.
     pub(crate) fn success_rate(&self, class: ClassId) -> f64 {
         let counts = self.upstreams.values().map(|upstream| upstream.outcome_counts(class, self.now));
         counts.fold(SUCCESS_PRIOR, OutcomeCounts::plus).success_rate()
     }
 
-    /// Takes one request out of a tenant's quota at this instance; false when it exceeds the quota.
+    /// Takes one token from a tenant's quota at this instance. Returns `false` if the request exceeds the quota.
     pub(crate) fn take_quota(&mut self, tenant: usize, quota_per_s: f64) -> bool {
         let rate_per_s = quota_per_s / self.settings.instances as f64;
         self.quotas[tenant].try_take(rate_per_s, self.now)
     }
 
-    /// Replaces the settings by those of a later generation. Classes keep their positions, so that requests
-    /// already admitted keep the rules of their class; a changed class comes under a new position at the end.
-    /// The tick stays: the timers already set count in it.
+    /// Replaces the settings by those of a later generation, except for the tick, in which the timers that are
+    /// already set count.
+    ///
+    /// Classes must keep their positions, so that requests that are already admitted keep the rules of their class. A
+    /// changed class must be added at the end, under a new position.
     ///
     /// # Errors
     ///
-    /// Returns [`SettingsError`] for settings that are invalid or would remove classes.
+    /// Returns [`SettingsError`] if the settings are invalid or have fewer classes than before. Nothing is changed in
+    /// that case.
     pub fn update_settings(&mut self, settings: Settings) -> Result<(), SettingsError> {
         settings.validate()?;
         let classes = settings.classes.len();
         if classes < self.settings.classes.len() {
-            return Err(SettingsError { name: "classes", problem: "may be added to, not taken away" });
+            return Err(SettingsError { name: "classes", problem: "must not be removed, only added" });
         }
         self.response_times.resize(classes);
-        // New classes start their round robin at a random offset, as those of the start did; no existing
-        // current weight changes.
+        // The round robin of a new class starts at random offsets, as it does for a new upstream. The current weights
+        // of the existing classes do not change.
         let max_offset = self.upstreams.values().map(|upstream| upstream.load_factor).fold(1.0, f64::max);
         for upstream in self.upstreams.values_mut() {
             while upstream.current_weights.len() < classes {
--- a/crates/sidecar/load-balancing/src/state/concurrency.rs
+++ b/crates/sidecar/load-balancing/src/state/concurrency.rs
@@ -1,27 +1,28 @@
-//! The concurrency of one instance: its limit and its mean.
+//! The concurrency of one instance: its limit and its decayed mean.
 
-/// The mean concurrency is taken over this many median response times.
+/// Time constant of the mean concurrency, in median response times.
 const CONCURRENCY_WINDOW_MEDIANS: f64 = 4.0;
 
-/// Limit on the requests that this instance has in flight, where the upstreams' workers are unknown.
+/// The adaptive limit on the requests that this instance has in flight.
 #[derive(Clone, Copy, Debug)]
 pub struct ConcurrencyLimit {
-    /// Requests in flight; 0 before the first endpoint list. May lie below 1 where there are many instances.
+    /// Maximum number of requests in flight; 0 before the first endpoint list. May lie below 1 if there are many
+    /// instances.
     pub limit: f64,
-    /// Upstreams that could be sent to when the limit was last set or scaled.
+    /// Number of usable upstreams when the limit was last set or scaled.
     pub usable_upstreams: f64,
-    /// When it was last reduced.
+    /// When the limit was last reduced.
     pub reduced_at: f64,
 }
 
 impl ConcurrencyLimit {
-    /// Not set yet.
+    /// Creates a limit that is not set yet.
     pub fn new(now: f64) -> Self {
         ConcurrencyLimit { limit: 0.0, usable_upstreams: 0.0, reduced_at: now }
     }
 
-    /// Scales the limit with the number of usable upstreams. Otherwise, when half of the upstreams are lost,
-    /// the others would get what all of them could serve.
+    /// Scales the limit with the number of usable upstreams. Otherwise, after the loss of half of the upstreams, the
+    /// others would get as many requests as all of them could serve.
     pub fn scale(&mut self, usable: usize) {
         if usable > 0 && self.usable_upstreams > 0.0 {
             self.limit *= usable as f64 / self.usable_upstreams;
@@ -30,8 +31,7 @@
     }
 }
 
-/// Exponentially decayed mean of own requests in flight, so that an instance's limit may lie below one
-/// request.
+/// Exponentially decayed mean of this instance's requests in flight. It makes a limit below one request possible.
 #[derive(Clone, Copy, Debug)]
 pub struct MeanConcurrency {
     mean: f64,
@@ -39,19 +39,19 @@
 }
 
 impl MeanConcurrency {
-    /// Nothing in flight.
+    /// Creates a mean of 0.
     pub fn new(now: f64) -> Self {
         MeanConcurrency { mean: 0.0, updated_at: now }
     }
 
-    /// The mean at `now`, for this median response time; `tick` bounds the time constant from below.
-    pub fn at(&self, now: f64, median: f64, tick: f64) -> f64 {
+    /// Returns the mean at `now`, given the median response time. The time constant is at least `tick`.
+    pub fn value_at(&self, now: f64, median: f64, tick: f64) -> f64 {
         self.mean * (-(now - self.updated_at) / (CONCURRENCY_WINDOW_MEDIANS * median).max(tick)).exp()
     }
 
-    /// Records an attempt that was sent.
+    /// Records that an attempt was sent.
     pub fn record_send(&mut self, now: f64, median: f64, tick: f64) {
-        self.mean = self.at(now, median, tick) + 1.0 / CONCURRENCY_WINDOW_MEDIANS;
+        self.mean = self.value_at(now, median, tick) + 1.0 / CONCURRENCY_WINDOW_MEDIANS;
         self.updated_at = now;
     }
 }
--- a/crates/sidecar/load-balancing/src/state/requests.rs
+++ b/crates/sidecar/load-balancing/src/state/requests.rs
@@ -1,4 +1,4 @@
-//! The requests that are owed a final answer or still have an attempt in flight.
+//! The requests that have no final answer yet or still have an attempt in flight.
 
 use crate::api::{ClassId, EndpointEntry, RequestId};
 use std::cmp::Ordering;
@@ -6,43 +6,44 @@
 
 /// One attempt of a request.
 pub struct Attempt {
-    /// The upstream's entry at the time of sending; a later change does not move the attempt's zone or cell.
+    /// The upstream's entry at the time of the send, so that a later change does not affect the zone or cell of the
+    /// attempt.
     pub entry: EndpointEntry,
     pub sent_at: f64,
-    /// Until its outcome arrives.
+    /// Whether the attempt has no outcome yet.
     pub in_flight: bool,
-    /// Unless the outcome proved otherwise.
+    /// Whether the upstream may have run the request; `false` only if the outcome proves that it has not.
     pub may_have_run: bool,
-    /// Cancelled by a hedge; its outcome is still due.
+    /// Whether the attempt was cancelled for a hedge. Its outcome still has to arrive.
     pub cancelled: bool,
 }
 
-/// A request from its arrival until its final answer and the outcome of its last attempt.
+/// A request, from its arrival to its final answer and the outcome of its last attempt.
 pub struct Request {
     pub class: ClassId,
     pub arrived_at: f64,
-    /// The latency target as a time: an answer after it earns nothing, unless late answers have a value.
-    /// Never after `deadline`.
+    /// When the latency target is reached; an answer after this earns nothing. Equal to `deadline` for a class whose
+    /// late answers have a value, and never after it.
     pub answer_by: f64,
     /// When the client gives up.
     pub deadline: f64,
-    /// Value of an answer in time, of which the highest is dispatched first.
+    /// Value of an answer in time; the request with the highest value is dispatched first.
     pub priority: f64,
-    /// Expected work in seconds, from the caller's hint; positive and finite.
+    /// Expected work in seconds, by the caller's hint; positive and finite. `None` without a valid hint.
     pub cost: Option<f64>,
-    /// Expected response time in seconds; infinite when it can't be answered in time by any upstream.
+    /// Expected response time in seconds; infinite if no upstream can answer in time.
     pub expected_time: f64,
-    /// Its class may run again.
+    /// Whether the class was idempotent when the request arrived.
     pub idempotent: bool,
     pub attempts: Vec<Attempt>,
-    /// Waits to be dispatched.
+    /// Whether the request waits to be dispatched.
     pub pending: bool,
-    /// Nothing more is owed to the client.
+    /// Whether the client needs no further answer.
     pub completed: bool,
 }
 
 impl Request {
-    /// What it adds to the load of an upstream: its cost, or 1 where there is no hint.
+    /// Returns what the request adds to the load of an upstream: its cost, or 1 without a hint.
     pub fn load(&self) -> f64 {
         self.cost.unwrap_or(1.0)
     }
@@ -53,8 +54,8 @@
     }
 }
 
-/// Queue entry of a request that waits to be dispatched. Ordered by priority (highest first), then by arrival
-/// (newest first: under overload the oldest would all be answered too late), then by id.
+/// The dispatch queue's entry for a request. Entries are ordered by priority (highest first), then by arrival, then by
+/// id. The newest arrival comes first: under overload, with the oldest first, all would be answered too late.
 #[derive(Clone, Copy)]
 pub struct PendingRequest {
     pub id: RequestId,
@@ -88,13 +89,13 @@
 
 impl Eq for PendingRequest {}
 
-/// Requests by id, with the dispatch queue kept sorted, so that no event scans or sorts all requests.
+/// Requests by id, and the dispatch queue, which is kept sorted so that no event has to scan or sort all requests.
 #[derive(Default)]
 pub struct Requests {
-    all: BTreeMap<RequestId, Request>,
-    /// Exactly the requests that are pending and not completed.
+    by_id: BTreeMap<RequestId, Request>,
+    /// Contains exactly the requests that are pending and not completed.
     queue: BTreeSet<PendingRequest>,
-    /// Requests that are idempotent and not completed.
+    /// Number of requests that are idempotent and not completed.
     open_idempotent: usize,
 }
 
@@ -103,30 +104,30 @@
     pub fn insert(&mut self, id: RequestId, request: Request) {
         self.open_idempotent += usize::from(request.idempotent);
         self.queue.insert(request.as_pending(id));
-        self.all.insert(id, request);
+        self.by_id.insert(id, request);
     }
 
     pub fn get(&self, id: &RequestId) -> Option<&Request> {
-        self.all.get(id)
+        self.by_id.get(id)
     }
 
     pub fn get_mut(&mut self, id: &RequestId) -> Option<&mut Request> {
-        self.all.get_mut(id)
+        self.by_id.get_mut(id)
     }
 
-    /// The dispatch queue in its order.
+    /// Returns the dispatch queue, in the order in which requests are to be sent.
     pub fn pending(&self) -> &BTreeSet<PendingRequest> {
         &self.queue
     }
 
-    /// Whether an open request might be hedged.
+    /// Returns whether any request could be hedged: an idempotent one that is not completed.
     pub fn has_open_idempotent(&self) -> bool {
         self.open_idempotent > 0
     }
 
-    /// Puts a request into the dispatch queue or takes it out.
+    /// Adds a request to the dispatch queue or removes it. A completed request is not added.
     pub fn set_pending(&mut self, id: RequestId, pending: bool) {
-        let Some(request) = self.all.get_mut(&id) else { return };
+        let Some(request) = self.by_id.get_mut(&id) else { return };
         request.pending = pending;
         if pending && !request.completed {
             self.queue.insert(request.as_pending(id));
@@ -135,20 +136,20 @@
         }
     }
 
-    /// Marks a request as completed: nothing more is owed.
+    /// Marks a request as completed, so that it gets no further answer or attempt.
     pub fn complete(&mut self, id: RequestId) {
-        let Some(request) = self.all.get_mut(&id) else { return };
+        let Some(request) = self.by_id.get_mut(&id) else { return };
         self.open_idempotent -= usize::from(request.idempotent && !request.completed);
         request.completed = true;
         self.set_pending(id, false);
     }
 
-    /// Completes a request; removes it once none of its attempts is in flight.
+    /// Completes a request, and removes it if none of its attempts is in flight.
     pub fn finish(&mut self, id: RequestId) {
         self.complete(id);
-        let Some(request) = self.all.get(&id) else { return };
+        let Some(request) = self.by_id.get(&id) else { return };
         if request.attempts.iter().all(|attempt| !attempt.in_flight) {
-            self.all.remove(&id);
+            self.by_id.remove(&id);
         }
     }
 }
@@ -157,6 +158,6 @@
     type Output = Request;
 
     fn index(&self, id: &RequestId) -> &Request {
-        &self.all[id]
+        &self.by_id[id]
     }
 }
--- a/crates/sidecar/load-balancing/src/state/response_times.rs
+++ b/crates/sidecar/load-balancing/src/state/response_times.rs
@@ -1,13 +1,13 @@
-//! Response times as this instance observes them, overall and by class.
+//! Response times observed by this instance, overall and by class.
 
 use crate::api::ClassId;
 use crate::estimate::ServiceTimeRegression;
 
-/// Step of a running median, as a part of it, for each response.
+/// Step by which each response moves a running median, as a fraction of the median.
 const MEDIAN_STEP: f64 = 0.05;
-/// Growth of the baseline for each response, so that an old minimum is forgotten slowly.
+/// Factor by which the baseline grows with each response, so that an old minimum is slowly forgotten.
 const BASELINE_GROWTH_PER_RESPONSE: f64 = 1.0003;
-/// Smoothing factor of the mean cost, for each request with a hint.
+/// Smoothing factor of the mean cost, applied with each request that has a work hint.
 const MEAN_COST_SMOOTHING: f64 = 0.02;
 
 /// Response times of one class, in seconds.
@@ -15,10 +15,10 @@
 pub struct ClassResponseTimes {
     /// Running median; 0 before the first response.
     pub median: f64,
-    /// Slowly growing minimum of the median: the median has to exceed a multiple of it before it shows
-    /// queueing.
+    /// Slowly growing minimum of the median; infinite before the first response. A median above a multiple of it
+    /// shows queueing.
     pub baseline: f64,
-    /// Response time by the cost that the caller expects.
+    /// Regression of the response time by the cost that the caller expects.
     pub by_cost: ServiceTimeRegression,
 }
 
@@ -34,46 +34,46 @@
     /// Running median over all classes; 0 before the first response. The policy's time constants are
     /// multiples of it.
     pub median: f64,
-    /// Mean cost of the requests with a hint, in seconds.
+    /// Mean cost of the requests with a work hint, in seconds; `None` before the first one.
     pub mean_cost: Option<f64>,
-    /// As long as the settings have classes.
+    /// Response times by class, one entry for each class in the settings.
     by_class: Vec<ClassResponseTimes>,
 }
 
 impl ResponseTimes {
-    /// Nothing observed, for so many classes.
+    /// Creates the response times of `classes` classes, without observations.
     pub fn new(classes: usize) -> Self {
         ResponseTimes { median: 0.0, mean_cost: None, by_class: vec![ClassResponseTimes::default(); classes] }
     }
 
-    /// Adds classes without observations.
+    /// Adds classes without observations, up to a total of `classes`.
     pub fn resize(&mut self, classes: usize) {
         self.by_class.resize(classes, ClassResponseTimes::default());
     }
 
-    /// The response times of a class.
+    /// Returns the response times of a class.
     pub fn class(&self, class: ClassId) -> &ClassResponseTimes {
         &self.by_class[class.0]
     }
 
-    /// Records the cost of a request that its caller expects.
+    /// Records the cost that the caller expects of a request.
     pub fn observe_cost(&mut self, cost: f64) {
         let mean = self.mean_cost.get_or_insert(cost);
         *mean += MEAN_COST_SMOOTHING * (cost - *mean);
     }
 
-    /// Records the response time of a request with a hint.
+    /// Records the response time of a request with a work hint.
     pub fn observe_by_cost(&mut self, class: ClassId, cost: f64, elapsed: f64) {
         self.by_class[class.0].by_cost.observe(cost, elapsed);
     }
 
-    /// Moves the medians towards a response time.
+    /// Moves the overall median and the median of the class towards a response time.
     pub fn observe(&mut self, class: ClassId, elapsed: f64) {
         move_median(&mut self.by_class[class.0].median, elapsed);
         move_median(&mut self.median, elapsed);
     }
 
-    /// Lets the baseline of a class grow a little, but not past its median; gives the new baseline.
+    /// Lets the baseline of a class grow by one step, but not above its median. Returns the new baseline.
     pub fn update_baseline(&mut self, class: ClassId) -> f64 {
         let times = &mut self.by_class[class.0];
         times.baseline = (times.baseline * BASELINE_GROWTH_PER_RESPONSE).min(times.median);
@@ -81,6 +81,7 @@
     }
 }
 
+/// Moves a running median one step towards a response time; the first response sets it.
 fn move_median(median: &mut f64, elapsed: f64) {
     let step = MEDIAN_STEP * *median;
     *median = if *median == 0.0 { elapsed } else { *median + step * (elapsed - *median).signum() };
--- a/crates/sidecar/load-balancing/src/state/rng.rs
+++ b/crates/sidecar/load-balancing/src/state/rng.rs
@@ -1,15 +1,15 @@
-//! The balancer's source of chance: seeded, so that equal events give equal decisions.
+//! The balancer's random number generator. It is seeded, so that equal events lead to equal decisions.
 
-/// SplitMix64 generator.
+/// A SplitMix64 generator.
 pub struct Rng(u64);
 
 impl Rng {
-    /// A generator with this seed.
+    /// Creates a generator with this seed.
     pub fn new(seed: u64) -> Self {
         Rng(seed)
     }
 
-    /// The next number in `[0, 1)`.
+    /// Returns the next number, uniformly distributed in `[0, 1)`.
     pub fn next(&mut self) -> f64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut mixed = self.0;
--- a/crates/sidecar/load-balancing/src/state/upstream.rs
+++ b/crates/sidecar/load-balancing/src/state/upstream.rs
@@ -1,15 +1,16 @@
-//! Per-upstream state: endpoint entry, load, outcomes and ejection, as this instance observes them.
+//! Per-upstream state as observed by this instance: endpoint entry, load, outcomes and ejection.
 
 use crate::api::{ClassId, EndpointEntry, LoadReport, RequestId};
 use crate::estimate::{OutcomeCounts, OutcomeHistory};
 
-/// Smoothing factor of [`Upstream::service_time_ratio`], for each completed attempt.
+/// Smoothing factor of [`Upstream::service_time_ratio`], applied with each completed attempt.
 const SERVICE_TIME_RATIO_SMOOTHING: f64 = 0.1;
-/// Bounds of a single sample of the service time ratio, so that one outlier does not dominate.
+/// Lower bound of a single sample of the service time ratio, so that one outlier does not dominate.
 const MIN_SERVICE_TIME_RATIO: f64 = 0.2;
+/// Upper bound of such a sample.
 const MAX_SERVICE_TIME_RATIO: f64 = 5.0;
 
-/// Identifies one attempt that has no outcome yet.
+/// An attempt that has no outcome yet.
 #[derive(Clone, Copy, Debug)]
 pub struct InFlightAttempt {
     pub request: RequestId,
@@ -19,60 +20,63 @@
     pub sent_at: f64,
 }
 
-/// A load report with what is needed to correct it later.
+/// A load report, with the state needed to correct it by later attempts.
 #[derive(Clone, Copy, Debug)]
 pub struct ObservedReport {
     pub report: LoadReport,
-    /// When it arrived.
+    /// When the report arrived.
     pub received_at: f64,
-    /// Own attempts in flight at that moment; the report already counts them.
+    /// This instance's attempts in flight at that time, which the report already counts.
     pub in_flight: usize,
 }
 
-/// One server as this instance observes it.
+/// The state of one upstream as observed by this instance.
 pub struct Upstream {
     pub entry: EndpointEntry,
     /// Weight in the smooth weighted round robin, at least 0.
     pub load_factor: f64,
-    /// Round robin state by class: one weight for all classes would let a class spend the turns that another
-    /// has accumulated. As long as the settings have classes.
+    /// Current weights in the smooth weighted round robin, one for each class in the settings. With one weight for all
+    /// classes, a class would use up the turns that another class has accumulated.
     pub current_weights: Vec<f64>,
+    /// When `load_factor` was last refreshed; minus infinity before the first time.
     pub load_factor_refreshed_at: f64,
+    /// Attempts sent since `load_factor` was last refreshed.
     pub attempts_since_refresh: u32,
     pub last_report: Option<ObservedReport>,
-    /// Own attempts without an outcome, in the order in which they were sent.
+    /// This instance's attempts without an outcome, in the order in which they were sent.
     pub in_flight: Vec<InFlightAttempt>,
-    /// Sum of the costs of `in_flight`; 0 when that is empty.
-    pub outstanding_cost: f64,
-    /// Mean of observed by predicted service time: above 1, this upstream is slower than the average.
+    /// Sum of the loads of the requests in `in_flight`; exactly 0 if that is empty.
+    pub outstanding_load: f64,
+    /// Smoothed ratio of observed to predicted service time; above 1 for an upstream slower than the average.
     pub service_time_ratio: f64,
-    /// When it last answered anything, an error included.
+    /// When the upstream last gave any answer, including errors and rejections.
     pub last_contact: f64,
-    /// Failures that eject, in a row since the last served answer; at most 3.
+    /// Consecutive failures that lead to ejection, since the last served request; at most 3.
     pub consecutive_failures: u32,
-    /// Connections that broke under a request since the last served answer.
-    pub broken_connections: u32,
+    /// Connections lost while a request was in flight, since the last served request.
+    pub lost_connections: u32,
+    /// End of the ejection after the latest failure; minus infinity before the first one.
     pub ejected_until: f64,
-    /// Until then it may have restarted unnoticed and is treated as in slow start.
+    /// Until this time the upstream is treated as in slow start, since it may have restarted unnoticed.
     pub suspect_until: f64,
-    /// Mean load factor by its reports, for the time after a report has aged.
+    /// Smoothed load factor by its reports, used instead of the latest report as that becomes older.
     pub baseline_load_factor: f64,
-    /// In slow start, no further attempt before this.
+    /// Time before which no further attempt is sent in slow start.
     pub next_slow_start_send: f64,
-    /// Multiplier of the load factor, lowered by time-outs and broken connections; 0.1 to 1.
+    /// Multiplier of the load factor, reduced by time-outs and lost connections; 0.1 to 1.
     pub health: f64,
-    /// By class; grows with the first outcome of a class.
+    /// Outcomes of attempts, by class; extended with the first outcome of a class.
     pub outcomes: Vec<OutcomeHistory>,
-    /// When a health check was sent that has no result yet.
+    /// When the health check in progress was sent; `None` if there is none.
     pub health_check_sent_at: Option<f64>,
-    /// Excluded from selection: stalled, failing, or in a failed zone.
+    /// Whether the upstream is excluded from selection: stalled, failing, or in a failed zone.
     pub ejected: bool,
-    /// In the subset of upstreams that this instance prefers.
+    /// Whether the upstream is in the subset that this instance prefers.
     pub in_subset: bool,
 }
 
 impl Upstream {
-    /// An upstream of which nothing but its endpoint entry is known.
+    /// Creates an upstream of which only the endpoint entry is known.
     pub fn new(entry: EndpointEntry, load_factor: f64) -> Self {
         Upstream {
             entry,
@@ -82,11 +86,11 @@
             attempts_since_refresh: 0,
             last_report: None,
             in_flight: Vec::new(),
-            outstanding_cost: 0.0,
+            outstanding_load: 0.0,
             service_time_ratio: 1.0,
             last_contact: f64::NEG_INFINITY,
             consecutive_failures: 0,
-            broken_connections: 0,
+            lost_connections: 0,
             ejected_until: f64::NEG_INFINITY,
             suspect_until: f64::NEG_INFINITY,
             baseline_load_factor: load_factor,
@@ -99,8 +103,8 @@
         }
     }
 
-    /// Estimated requests at the server: the last report, corrected by own attempts sent and completed since.
-    /// `None` without a report of active or queued requests.
+    /// Returns the estimated number of requests at the upstream: the last report, corrected by this instance's
+    /// attempts that were sent or completed since. `None` if the last report has no number of requests.
     pub fn concurrency(&self) -> Option<f64> {
         let observed = self.last_report?;
         let reported = observed.report.in_flight.or(observed.report.queued).filter(|v| v.is_finite())?;
@@ -108,12 +112,12 @@
         Some((reported + own - observed.in_flight as f64).max(own))
     }
 
-    /// Decayed outcomes of a class.
+    /// Returns the outcomes of a class, decayed to `now`.
     pub fn outcome_counts(&self, class: ClassId, now: f64) -> OutcomeCounts {
         self.outcomes.get(class.0).map_or(OutcomeCounts::default(), |history| history.counts(now))
     }
 
-    /// Records whether a completed attempt of a class was served.
+    /// Records the outcome of a completed attempt of a class.
     pub fn record_outcome(&mut self, class: ClassId, now: f64, served: bool) {
         if self.outcomes.len() <= class.0 {
             self.outcomes.resize(class.0 + 1, OutcomeHistory::new(now));
@@ -121,18 +125,18 @@
         self.outcomes[class.0].record(now, served);
     }
 
-    /// Records an attempt that was sent.
-    pub fn attempt_sent(&mut self, attempt: InFlightAttempt, cost: f64) {
+    /// Records that an attempt was sent; `load` is that of its request.
+    pub fn attempt_sent(&mut self, attempt: InFlightAttempt, load: f64) {
         self.in_flight.push(attempt);
-        self.outstanding_cost += cost;
+        self.outstanding_load += load;
         self.attempts_since_refresh += 1;
     }
 
-    /// Records that an attempt ended; `cost` as when it was sent.
-    pub fn attempt_ended(&mut self, request: RequestId, attempt: u32, cost: f64) {
+    /// Records that an attempt ended; `load` is the same as when it was sent.
+    pub fn attempt_ended(&mut self, request: RequestId, attempt: u32, load: f64) {
         self.in_flight.retain(|other| (other.request, other.attempt) != (request, attempt));
-        // Without attempts in flight the load is 0, whatever rounding errors have accumulated.
-        self.outstanding_cost = if self.in_flight.is_empty() { 0.0 } else { self.outstanding_cost - cost };
+        // Reset to 0 without attempts in flight, so that rounding errors do not accumulate.
+        self.outstanding_load = if self.in_flight.is_empty() { 0.0 } else { self.outstanding_load - load };
     }
 
     /// Records the ratio of observed to predicted service time of a completed attempt.
--- a/crates/sidecar/load-balancing/src/weighted_round_robin.rs
+++ b/crates/sidecar/load-balancing/src/weighted_round_robin.rs
@@ -1,18 +1,20 @@
-//! Smooth weighted round robin: selects one of several weighted candidates, so that each is selected in proportion to
-//! its weight and evenly over time. It knows nothing of what the candidates are and keeps no state of its own.
+//! Smooth weighted round robin: selects one of several candidates, so that each is selected in proportion to its weight
+//! and the selections of each are spread evenly over time. The caller keeps the state between selections.
 
 /// One candidate of a selection.
 pub struct Candidate<'a, T> {
-    /// What is selected.
+    /// The item to return if this candidate is selected.
     pub item: T,
-    /// Its weight in this selection; at least 0.
+    /// Weight in this selection; at least 0.
     pub weight: f64,
-    /// Its current weight: grows by `weight` with each selection, and drops when it is selected.
+    /// State between selections: grows by `weight` with each selection, and is reduced by the sum of all weights when
+    /// this candidate is selected.
     pub current_weight: &'a mut f64,
 }
 
-/// Adds each candidate's weight to its current weight, selects the highest current weight among those of positive
-/// weight, and subtracts the sum of all weights from it. `None` where no candidate has a positive weight.
+/// Selects a candidate: adds each candidate's weight to its current weight, selects the highest current weight among
+/// the candidates with a positive weight, and subtracts the sum of all weights from it. The first one is selected among
+/// equals. Returns `None` if no candidate has a positive weight.
 pub fn select<'a, T: Copy>(candidates: impl Iterator<Item = Candidate<'a, T>>) -> Option<T> {
     let mut sum = 0.0;
     let mut best: Option<Candidate<'a, T>> = None;
