--- a/crates/sidecar/load-balancing/tests/decision_trace/main.rs
+++ b/crates/sidecar/load-balancing/tests/decision_trace/main.rs
@@ -1,8 +1,8 @@
-//! The decisions as a whole: the same pseudo-random event stream gives the same actions, to the last bit.
+//! Compares all decisions with recorded ones: equal pseudo-random event streams must lead to equal actions, bit by bit.
 //!
-//! A refactoring must not change one decision. These digests were recorded from the code as it was before the
-//! decision module was split; a change of behaviour that is meant has to record new ones and say why.
-//! They cover every action with its numbers as bits, so they hold for one implementation of `exp`.
+//! Guards against a refactoring that changes a decision. The digests were recorded before the policy was split into
+//! modules. An intended change of behaviour has to record new ones and give the reason. They cover every action
+//! with the bits of its numbers, so they hold for one implementation of `exp`.
 
 use passrelay_load_balancing::*;
 
@@ -10,7 +10,7 @@
 
 use simulation::Simulation;
 
-/// Three classes: a safe one, a keyed one and an unsafe one, each with its own value and latency target.
+/// Returns an idempotent, a keyed and a non-idempotent class, each with its own value and latency target.
 fn classes(scope: DedupScope) -> Vec<Class> {
     vec![
         Class {
@@ -41,7 +41,7 @@
     vec![Tenant { quota_per_s: 20.0 }, Tenant { quota_per_s: f64::INFINITY }]
 }
 
-/// A single balancer whose upstreams report their requests, with cancels and duplicates.
+/// Settings of a single balancer whose upstreams report their requests, with cancellation and concurrent attempts.
 fn single() -> Settings {
     Settings {
         classes: classes(DedupScope::Zone),
@@ -58,7 +58,7 @@
     }
 }
 
-/// One of eight balancers that confirms each selection by a health check.
+/// Settings of one of eight balancers, which confirms each selection by a health check.
 fn with_health_checks() -> Settings {
     Settings {
         instances: 8,
@@ -76,7 +76,7 @@
     }
 }
 
-/// One of forty balancers with CPU reports alone.
+/// Settings of one of forty balancers, which expects only the CPU utilization in load reports.
 fn one_of_many() -> Settings {
     Settings {
         instances: 40,
@@ -90,6 +90,7 @@
     }
 }
 
+/// Runs a simulation and returns the digest of all actions and their number by kind.
 fn trace(settings: Settings, seed: u64, upstreams: u64, gap: f64) -> (u64, [usize; 7]) {
     let mut simulation = Simulation::new(settings, seed, upstreams);
     (simulation.run(gap), simulation.kinds)
@@ -120,7 +121,7 @@
 }
 
 #[test]
-fn retuned_settings_decide_as_recorded() {
+fn a_balancer_with_updated_settings_decides_as_recorded() {
     let mut simulation = Simulation::new(single(), 15, 12);
     simulation.run(0.01);
     let mut later = single();
--- a/crates/sidecar/load-balancing/tests/decision_trace/simulation.rs
+++ b/crates/sidecar/load-balancing/tests/decision_trace/simulation.rs
@@ -1,12 +1,12 @@
-//! A closed simulation round one balancer: clients, upstreams and the endpoint list, driven by one seeded generator.
+//! A simulation of the clients, the upstreams and the endpoint list of one balancer, driven by one seeded generator.
 
 use passrelay_load_balancing::*;
 use std::collections::BTreeMap;
 
-/// Events of one run; the runs together take some 30,000.
+/// Number of events of one run; all runs together have about 30,000.
 const EVENTS: usize = 5_000;
 
-/// A multiplicative congruential generator of the test's own, apart from the module's.
+/// A linear congruential generator, independent of the balancer's own generator.
 struct Generator(u64);
 
 impl Generator {
@@ -15,22 +15,23 @@
         self.0 >> 33
     }
 
-    /// A number below `bound`.
+    /// Returns a number below `bound`.
     fn below(&mut self, bound: u64) -> u64 {
         self.next() % bound
     }
 
-    /// A number from 0 up to 1, in steps that a float holds exactly.
+    /// Returns a number in `[0, 1)`, in steps that floating point numbers represent exactly.
     fn fraction(&mut self) -> f64 {
         self.below(1 << 20) as f64 / (1 << 20) as f64
     }
 
+    /// Returns `true` with a probability of `percent`.
     fn chance(&mut self, percent: u64) -> bool {
         self.below(100) < percent
     }
 }
 
-/// FNV-1a over 64-bit words.
+/// A 64-bit FNV-1a digest of 64-bit words.
 struct Digest(u64);
 
 impl Digest {
@@ -43,7 +44,7 @@
     fn add_action(&mut self, action: &Action) {
         let optional = |value: Option<f64>| value.map_or(u64::MAX, f64::to_bits);
         let words = match *action {
-            Action::Send { id, upstream, timeout: patience } => [1, id.0, upstream.0, optional(patience)],
+            Action::Send { id, upstream, timeout } => [1, id.0, upstream.0, optional(timeout)],
             Action::Cancel { id, attempt } => [2, id.0, u64::from(attempt), 0],
             Action::Reject { id, retry_after } => [3, id.0, optional(retry_after), 0],
             Action::Fail { id } => [4, id.0, 0, 0],
@@ -55,14 +56,14 @@
     }
 }
 
-/// An event that comes due.
-enum Due {
-    AttemptEnds { id: RequestId, attempt: u32, upstream: UpstreamId, sent: f64, ending: Ending },
-    ProbeEnds { upstream: UpstreamId, sent: f64, ending: Ending },
+/// An event that is scheduled for a later time.
+enum ScheduledEvent {
+    AttemptEnds { id: RequestId, attempt: u32, upstream: UpstreamId, sent_at: f64, ending: Ending },
+    HealthCheckEnds { upstream: UpstreamId, sent_at: f64, ending: Ending },
     Wake(u64),
 }
 
-/// Upstreams, clients and the endpoint list round one balancer, all by one generator.
+/// The upstreams, the clients and the endpoint list of one balancer, all driven by one generator.
 pub struct Simulation {
     generator: Generator,
     pub balancer: Balancer,
@@ -72,13 +73,15 @@
     pub tenants: u64,
     entries: Vec<EndpointEntry>,
     next_request: u64,
-    next_due: u64,
-    /// By time (as bits of a positive float, which sort as the float) and number.
-    due: BTreeMap<(u64, u64), Due>,
+    /// Number of the event that was scheduled last.
+    last_scheduled: u64,
+    /// Scheduled events, by time (as the bits of a positive float, which sort like the float) and number.
+    scheduled_events: BTreeMap<(u64, u64), ScheduledEvent>,
+    /// Number of the latest attempt of each request.
     attempts: BTreeMap<RequestId, u32>,
-    /// Requests without a final answer, for clients that disconnect and streams that begin.
+    /// Requests without a final answer, from which those are chosen whose client disconnects or whose response starts.
     open: Vec<RequestId>,
-    /// How many actions of each kind there were.
+    /// Number of actions of each kind so far.
     pub kinds: [usize; 7],
 }
 
@@ -103,8 +106,8 @@
             tenants,
             entries: entries.collect(),
             next_request: 0,
-            next_due: 0,
-            due: BTreeMap::new(),
+            last_scheduled: 0,
+            scheduled_events: BTreeMap::new(),
             attempts: BTreeMap::new(),
             open: Vec::new(),
             kinds: [0; 7],
@@ -120,9 +123,9 @@
         }
     }
 
-    fn schedule(&mut self, after: f64, due: Due) {
-        self.next_due += 1;
-        self.due.insert(((self.now + after).to_bits(), self.next_due), due);
+    fn schedule(&mut self, after: f64, event: ScheduledEvent) {
+        self.last_scheduled += 1;
+        self.scheduled_events.insert(((self.now + after).to_bits(), self.last_scheduled), event);
     }
 
     fn apply(&mut self, action: Action) {
@@ -130,15 +133,15 @@
             Action::Send { id, upstream, .. } => {
                 let attempt = self.attempts.entry(id).and_modify(|n| *n += 1).or_insert(0);
                 let attempt = *attempt;
-                let (after, ending) = self.fate(upstream, attempt);
-                let sent = self.now;
-                self.schedule(after, Due::AttemptEnds { id, attempt, upstream, sent, ending });
+                let (after, ending) = self.outcome_of(upstream, attempt);
+                let sent_at = self.now;
+                self.schedule(after, ScheduledEvent::AttemptEnds { id, attempt, upstream, sent_at, ending });
                 0
             }
             Action::Cancel { id, attempt } => {
-                for due in self.due.values_mut() {
-                    if let Due::AttemptEnds { id: of, attempt: number, ending, .. } = due {
-                        if (*of, *number) == (id, attempt) {
+                for event in self.scheduled_events.values_mut() {
+                    if let ScheduledEvent::AttemptEnds { id: request, attempt: number, ending, .. } = event {
+                        if (*request, *number) == (id, attempt) {
                             *ending = Ending::Cancelled;
                         }
                     }
@@ -154,14 +157,14 @@
                 3
             }
             Action::Wake { after, token } => {
-                self.schedule(after.max(0.001), Due::Wake(token));
+                self.schedule(after.max(0.001), ScheduledEvent::Wake(token));
                 4
             }
             Action::HealthCheck(upstream) => {
-                let sent = self.now;
+                let sent_at = self.now;
                 let ending = if self.generator.chance(3) { Ending::ConnectFailed } else { Ending::Served };
                 let after = 0.001 + 0.002 * self.generator.fraction();
-                self.schedule(after, Due::ProbeEnds { upstream, sent, ending });
+                self.schedule(after, ScheduledEvent::HealthCheckEnds { upstream, sent_at, ending });
                 5
             }
             Action::Subscribe => 6,
@@ -169,13 +172,14 @@
         self.kinds[kind] += 1;
     }
 
-    /// How an attempt at an upstream will end: some are slow, some fail, one zone is away for a while.
-    fn fate(&mut self, upstream: UpstreamId, attempt: u32) -> (f64, Ending) {
+    /// Returns after which time and how an attempt at an upstream ends: some upstreams are slow, some fail, and at
+    /// times a whole zone does not answer.
+    fn outcome_of(&mut self, upstream: UpstreamId, attempt: u32) -> (f64, Ending) {
         let slow = if upstream.0 % 7 == 3 { 3.0 } else { 1.0 };
         let time = slow * (0.02 + 0.3 * self.generator.fraction() * self.generator.fraction());
-        let lost = upstream.0 % 3 == 1 && (8.0..11.0).contains(&(self.now % 20.0));
+        let zone_lost = upstream.0 % 3 == 1 && (8.0..11.0).contains(&(self.now % 20.0));
         let down = upstream.0 % 5 == 2 && (3.0..5.0).contains(&(self.now % 12.0));
-        if lost {
+        if zone_lost {
             return (2.0, Ending::TimedOut);
         }
         if down {
@@ -212,7 +216,7 @@
         Some(report)
     }
 
-    /// A request of a random class and tenant; half of them have a work hint.
+    /// Submits a request of a random class and tenant; half of the requests have a work hint.
     fn request(&mut self) {
         self.next_request += 1;
         let id = RequestId(self.next_request);
@@ -229,16 +233,17 @@
         self.handle(Event::Request { id, class, tenant, client_timeout, work_hint, repeat });
     }
 
-    /// A change of the endpoint list: one drains, goes, comes back or restarts; now and then the full list.
+    /// Changes the endpoint list: one upstream drains, is removed, returns or restarts. Sometimes the full list is
+    /// sent, or the call for it fails.
     fn change_list(&mut self) {
         if self.generator.chance(20) {
             return self.handle(Event::EndpointListFailed);
         }
-        let at = self.generator.below(self.entries.len() as u64) as usize;
+        let index = self.generator.below(self.entries.len() as u64) as usize;
         let now = self.now;
-        let away = self.entries.iter().filter(|e| e.state != EndpointState::Running).count();
-        let change = if away * 3 > self.entries.len() { 2 } else { self.generator.below(5) };
-        let entry = &mut self.entries[at];
+        let unavailable = self.entries.iter().filter(|e| e.state != EndpointState::Running).count();
+        let change = if unavailable * 3 > self.entries.len() { 2 } else { self.generator.below(5) };
+        let entry = &mut self.entries[index];
         match change {
             0 => entry.state = EndpointState::Draining,
             1 => entry.state = EndpointState::Removed,
@@ -250,51 +255,51 @@
         }
         let entry = *entry;
         if self.generator.chance(30) {
-            let all = self.entries.iter().filter(|e| e.state != EndpointState::Removed);
-            let all = all.copied().collect();
-            self.handle(Event::EndpointList(all));
+            let listed = self.entries.iter().filter(|e| e.state != EndpointState::Removed);
+            let listed = listed.copied().collect();
+            self.handle(Event::EndpointList(listed));
         } else {
             self.handle(Event::EndpointChanges(vec![entry]));
         }
     }
 
-    fn fire(&mut self, due: Due) {
-        match due {
-            Due::AttemptEnds { id, attempt, upstream, sent, ending } => {
+    fn fire(&mut self, event: ScheduledEvent) {
+        match event {
+            ScheduledEvent::AttemptEnds { id, attempt, upstream, sent_at, ending } => {
                 let report = self.report();
                 let last = ending == Ending::Served;
                 if last {
                     self.open.retain(|open| *open != id);
                 }
-                let elapsed = self.now - sent;
+                let elapsed = self.now - sent_at;
                 self.handle(Event::Outcome(Outcome { id, attempt, upstream, ending, elapsed, last, report }));
             }
-            Due::ProbeEnds { upstream, sent, ending } => {
+            ScheduledEvent::HealthCheckEnds { upstream, sent_at, ending } => {
                 let report = self.report();
-                let elapsed = self.now - sent;
+                let elapsed = self.now - sent_at;
                 self.handle(Event::HealthCheckEnded { upstream, ending, elapsed, report });
             }
-            Due::Wake(token) => self.handle(Event::Wake(token)),
+            ScheduledEvent::Wake(token) => self.handle(Event::Wake(token)),
         }
     }
 
-    /// Runs the stream and gives the digest. `gap` is the mean time between what comes from outside.
+    /// Runs the simulation and returns the digest of all actions. `gap` is the mean time between external events.
     pub fn run(&mut self, gap: f64) -> u64 {
         let all = self.entries.clone();
         self.handle(Event::EndpointList(all));
-        let mut outside = gap;
+        let mut next_external = gap;
         for _ in 0..EVENTS {
-            let next = self.due.keys().next().map(|(at, _)| f64::from_bits(*at));
-            if let Some(at) = next.filter(|at| *at <= outside) {
+            let next = self.scheduled_events.keys().next().map(|(at, _)| f64::from_bits(*at));
+            if let Some(at) = next.filter(|at| *at <= next_external) {
                 self.now = self.now.max(at);
-                let (_, due) = self.due.pop_first().unwrap();
-                self.fire(due);
+                let (_, event) = self.scheduled_events.pop_first().unwrap();
+                self.fire(event);
                 continue;
             }
-            self.now = self.now.max(outside);
-            // Bursts: half of the time three times as many.
-            let crowded = (self.now % 6.0) < 3.0;
-            outside += gap * 2.0 * self.generator.fraction() * if crowded { 0.5 } else { 1.5 };
+            self.now = self.now.max(next_external);
+            // Bursts: half of the time, external events are three times as frequent.
+            let in_burst = (self.now % 6.0) < 3.0;
+            next_external += gap * 2.0 * self.generator.fraction() * if in_burst { 0.5 } else { 1.5 };
             match self.generator.below(1000) {
                 0..=4 => self.change_list(),
                 5..=14 => {
--- a/crates/sidecar/load-balancing/tests/hedging.rs
+++ b/crates/sidecar/load-balancing/tests/hedging.rs
@@ -1,4 +1,4 @@
-//! Hedging: stalled attempts of safe requests are cancelled for another one.
+//! Hedging: stalled attempts of idempotent requests are cancelled in favour of another attempt.
 
 mod common;
 
@@ -6,46 +6,46 @@
 use passrelay_load_balancing::*;
 
 #[test]
-fn a_safe_attempt_at_a_stalled_upstream_is_cancelled_and_an_unsafe_one_never() {
-    for (idempotency, withdrawn) in [(Idempotency::Idempotent, true), (Idempotency::NonIdempotent, false)] {
+fn only_idempotent_attempts_at_a_stalled_upstream_are_cancelled() {
+    for (idempotency, cancelled) in [(Idempotency::Idempotent, true), (Idempotency::NonIdempotent, false)] {
         let mut harness = serve_two_zones(idempotency);
         let (id, actions) = harness.submit(10.0);
-        let silent = sent(&actions).unwrap();
+        let stalled = sent_to(&actions).unwrap();
         let mut cancels = 0;
         for n in 1..100 {
             let now = 10.0 + f64::from(n) * 0.01;
             let (other, mut actions) = harness.submit(now);
-            if let Some(to) = sent(&actions).filter(|to| *to != silent) {
-                actions.extend(harness.end(now, other, 0, to, Ending::Served));
+            if let Some(to) = sent_to(&actions).filter(|to| *to != stalled) {
+                actions.extend(harness.end_attempt(now, other, 0, to, Ending::Served));
             }
             cancels += actions.iter().filter(|a| **a == Action::Cancel { id, attempt: 0 }).count();
         }
-        assert_eq!(cancels, usize::from(withdrawn), "{idempotency:?}");
-        // Still within the latency target: after it, nothing is retried.
-        let actions = harness.end(10.995, id, 0, silent, Ending::Cancelled);
-        assert_eq!(sent(&actions).is_some(), withdrawn);
-        assert_eq!(finals(&actions), usize::from(!withdrawn));
+        assert_eq!(cancels, usize::from(cancelled), "{idempotency:?}");
+        // The latency target has not passed yet; after it, no request is retried.
+        let actions = harness.end_attempt(10.995, id, 0, stalled, Ending::Cancelled);
+        assert_eq!(sent_to(&actions).is_some(), cancelled);
+        assert_eq!(final_answers(&actions), usize::from(!cancelled));
     }
 }
 
 #[test]
-fn a_safe_attempt_is_not_cancelled_before_half_of_the_latency_target() {
-    let set = Settings {
+fn an_idempotent_attempt_is_not_cancelled_before_half_of_the_latency_target() {
+    let settings = Settings {
         allow_cancel: true,
         allow_concurrent_attempts: true,
         allow_health_checks: false,
         ..settings(Idempotency::Idempotent)
     };
-    let mut harness = Harness::new(set, vec![entry(1), entry(2)]);
+    let mut harness = Harness::new(settings, vec![entry(1), entry(2)]);
     (0..20).for_each(|_| _ = request_once(&mut harness, 0, |_| Ending::Served));
-    let began = harness.now;
-    harness.submit(began);
+    let sent_at = harness.now;
+    harness.submit(sent_at);
     let cancelled = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::Cancel { .. }));
-    // By the median response time of 0.1 s its node has long stalled; the latency target is 1 s.
-    let actions = harness.at(began + 0.45, Event::Wake(9));
+    // By the median response time of 0.1 s the upstream has long stalled, but the latency target is 1 s.
+    let actions = harness.handle_at(sent_at + 0.45, Event::Wake(9));
     assert!(!cancelled(&actions));
-    // A peer that answers meanwhile shows that the fault is at this node.
+    // Meanwhile another upstream answers, which shows that the fault is at the stalled one.
     while request_once(&mut harness, 0, |_| Ending::Served) == UpstreamId(0) {}
-    let actions = harness.at(began + 0.6, Event::Wake(9));
+    let actions = harness.handle_at(sent_at + 0.6, Event::Wake(9));
     assert!(cancelled(&actions));
 }
