--- a/crates/sidecar/load-balancing/src/api/settings.rs
+++ b/crates/sidecar/load-balancing/src/api/settings.rs
@@ -88,7 +88,7 @@
     pub tenants: Vec<Tenant>,
     /// Multiplier of the value of a request that exceeds its tenant's quota, 0 to 1; 1 by default.
     pub over_quota_value: f64,
-    /// Whether values count per unit of work instead of per request; false by default.
+    /// Whether values count per unit of work instead of per request; false by default. Not used by the balancer.
     pub value_by_work: bool,
     /// Zone in which this instance runs; zone 0 by default.
     pub zone: ZoneId,
@@ -102,7 +102,8 @@
     /// Time in seconds for which the endpoint list of an instance with a subscription counts as current without
     /// updates; 10 by default.
     pub list_validity: f64,
-    /// Whether load reports come with answers; if not, only with health check results. True by default.
+    /// Whether load reports come with answers; if not, only with health check results. True by default. Not used by
+    /// the balancer, which takes reports from both.
     pub reports_in_answers: bool,
     /// Whether load reports contain the number of requests at the upstream; false by default.
     pub reports_concurrency: bool,
@@ -125,6 +126,7 @@
     /// Time-out for establishing a connection, in seconds; 0.25 by default.
     pub connect_timeout: f64,
     /// Time in seconds after which nothing may be sent any more to an upstream that has begun to drain; 1 by default.
+    /// Not used by the balancer, which sends nothing to a draining upstream.
     pub drain_grace: f64,
     /// Fraction of its capacity that an upstream has at the beginning of its slow start, 0 to 1; 0.2 by default.
     pub slow_start_capacity: f64,
