--- a/crates/passrelay/tests/endings.rs
+++ b/crates/passrelay/tests/endings.rs
@@ -25,7 +25,7 @@
     let mut shorter = with_deadlines(told, 0.5);
     shorter["listen"] = relay.address.to_string().into();
     relay.reload(&shorter.to_string());
-    relay.until_logged("event=reloaded generation=1");
+    relay.wait_for_log("event=reloaded generation=1");
 }
 
 fn loopback() -> TcpListener {
@@ -45,7 +45,7 @@
 
 /// A sidecar with an operators' address, before nodes at these addresses; it is ready.
 fn before(nodes: &[SocketAddr], change: impl Fn(&mut Value)) -> (Relay, Discovery) {
-    Relay::before_with(PROGRAM, nodes, |told| {
+    Relay::start_configured(PROGRAM, nodes, |told| {
         watch(told);
         change(told);
     })
@@ -63,8 +63,8 @@
 
 fn bytes(reply: Reply) -> Vec<u8> {
     match reply {
-        Reply::Bytes(bytes) | Reply::Last(bytes) | Reply::Reset(bytes) => bytes,
-        Reply::Silence => Vec::new(),
+        Reply::Bytes(bytes) | Reply::BytesThenClose(bytes) | Reply::BytesThenReset(bytes) => bytes,
+        Reply::NoResponse => Vec::new(),
     }
 }
 
@@ -74,25 +74,25 @@
 // by an end and by a reset.
 #[test]
 fn who_leaves_while_no_node_is_there_is_not_sent_on_later() {
-    let node = Server::start(|_| answer(200, "", b"ok"));
-    let discovery = Discovery::start(vec![node_line("s-0", node.address, "terminating")]);
+    let node = Server::start(|_| response(200, "", b"ok"));
+    let discovery = Discovery::start(vec![node_entry("s-0", node.address, "terminating")]);
     let relay = Relay::start(PROGRAM, &watched(&discovery));
-    until("the list is there", || relay.logged("event=node_list ").is_some());
+    wait_until("the list is there", || relay.find_log("event=node_list ").is_some());
     let mut callers: Vec<_> = (0..30).map(|_| relay.caller()).collect();
     callers.iter_mut().for_each(|c| c.send(&request("pay", 5.0, b"")));
     let mut stays = relay.caller();
     stays.send(&request("pay", 5.0, b""));
-    until("all wait", || relay.status()["owed"] == 31);
+    wait_until("all wait", || relay.status()["owed"] == 31);
     for (n, caller) in callers.into_iter().enumerate() {
         if n % 2 == 0 {
             caller.reset();
         }
     }
-    until("they have left", || relay.status()["owed"] == 1);
-    discovery.tell(vec![node_line("s-0", node.address, "in_service")]);
-    assert_eq!(stays.hear().unwrap().status(), 200);
+    wait_until("they have left", || relay.status()["owed"] == 1);
+    discovery.set_nodes(vec![node_entry("s-0", node.address, "in_service")]);
+    assert_eq!(stays.receive().unwrap().status(), 200);
     a_while();
-    assert_eq!(node.seen().len(), 1);
+    assert_eq!(node.requests().len(), 1);
 }
 
 // Guards against requests sent on over a connection that came up after their clients had left.
@@ -102,21 +102,21 @@
     let (relay, _discovery) = before(&[slow.local_addr().unwrap()], |_| {});
     let mut callers: Vec<_> = (0..8).map(|_| relay.caller()).collect();
     callers.iter_mut().for_each(|c| c.send(&request("pay", 5.0, b"")));
-    until("all wait", || relay.status()["owed"] == 8);
+    wait_until("all wait", || relay.status()["owed"] == 8);
     drop(callers);
-    relay.until_nobody_is_there();
-    let node = Server::on(slow, |_| answer(200, "", b"ok"));
+    relay.wait_until_idle();
+    let node = Server::from_listener(slow, |_| response(200, "", b"ok"));
     // The one who stays shows that connections come up by now.
     assert_eq!(relay.call("pay", 5.0).status(), 200);
     a_while();
-    assert_eq!(node.seen().len(), 1);
+    assert_eq!(node.requests().len(), 1);
 }
 
 // Guards against the last byte of a request sent on after its client has left: on a connection that has been idle it is
 // held back for a moment. The program is stopped until both have arrived, so that it finds the request and the end in one turn.
 #[test]
 fn who_leaves_behind_a_held_last_byte_is_not_sent_on() {
-    let node = Server::start(|_| answer(200, "", b"ok"));
+    let node = Server::start(|_| response(200, "", b"ok"));
     let (relay, _discovery) = before(&[node.address], |_| {});
     for _ in 0..6 {
         assert_eq!(relay.call("pay", 5.0).status(), 200);
@@ -125,66 +125,66 @@
         let mut caller = relay.caller();
         relay.pause();
         caller.send(&request("pay", 5.0, b""));
-        caller.leave();
+        caller.close();
         relay.resume();
-        relay.until_nobody_is_there();
+        relay.wait_until_idle();
     }
     a_while();
-    assert_eq!(node.seen().len(), 6, "only those whose clients stayed");
+    assert_eq!(node.requests().len(), 6, "only those whose clients stayed");
 }
 
 // Guards against an attempt after the next for a client that left meanwhile.
 #[test]
 fn who_leaves_between_two_attempts_is_not_sent_on_again() {
-    let node = Server::start(|_| answer(503, "X-Rejected: 1\r\n", b""));
+    let node = Server::start(|_| response(503, "X-Rejected: 1\r\n", b""));
     let (relay, _discovery) = before(&[node.address], |_| {});
     let mut caller = relay.caller();
     caller.send(&request("look", 5.0, b""));
-    until("the first attempt has come back", || !node.seen().is_empty());
+    wait_until("the first attempt has come back", || !node.requests().is_empty());
     caller.reset();
-    relay.until_nobody_is_there();
-    let seen = node.seen().len();
+    relay.wait_until_idle();
+    let seen = node.requests().len();
     a_while();
-    assert_eq!(node.seen().len(), seen);
+    assert_eq!(node.requests().len(), seen);
 }
 
 // Guards against a client that is not seen to leave, since more bytes lie before its end than a buffer takes; its
 // request would wait on, and go out once a node is there. The bytes behind the request are nobody's request any more.
 #[test]
 fn who_leaves_behind_many_early_bytes_is_seen_to_leave() {
-    let node = Server::start(|_| answer(200, "", b"ok"));
-    let discovery = Discovery::start(vec![node_line("s-0", node.address, "terminating")]);
+    let node = Server::start(|_| response(200, "", b"ok"));
+    let discovery = Discovery::start(vec![node_entry("s-0", node.address, "terminating")]);
     let relay = Relay::start(PROGRAM, &watched(&discovery));
-    until("the list is there", || relay.logged("event=node_list ").is_some());
+    wait_until("the list is there", || relay.find_log("event=node_list ").is_some());
     let mut caller = relay.caller();
     let early = request("pay", 5.0, "z".repeat(50_000).as_bytes());
     caller.send(&[request("pay", 5.0, b""), early.clone(), early.clone(), early].concat());
-    until("the first waits", || relay.status()["owed"] == 1);
-    caller.say_goodbye();
+    wait_until("the first waits", || relay.status()["owed"] == 1);
+    caller.shutdown_write();
     let began = Instant::now();
-    relay.until_nobody_is_there();
+    relay.wait_until_idle();
     assert!(began.elapsed() < Duration::from_secs(2), "{:?}", began.elapsed());
-    discovery.tell(vec![node_line("s-0", node.address, "in_service")]);
+    discovery.set_nodes(vec![node_entry("s-0", node.address, "in_service")]);
     assert_eq!(relay.call("pay", 5.0).status(), 200);
     a_while();
-    assert_eq!(node.seen().len(), 1);
+    assert_eq!(node.requests().len(), 1);
 }
 
 // Guards against half a request taken for a whole one, and against what it held kept after its client's end.
 #[test]
 fn half_a_request_and_an_end_leave_nothing_behind() {
-    let node = Server::start(|_| answer(200, "", b"ok"));
+    let node = Server::start(|_| response(200, "", b"ok"));
     let (relay, _discovery) = before(&[node.address], |_| {});
     let whole = request("pay", 5.0, b"12345678");
     let mut callers: Vec<_> = [10, whole.len() - 9, whole.len() - 1].map(|n| (relay.caller(), n)).into();
     for (caller, part) in &mut callers {
         caller.send(&whole[..*part]);
-        caller.say_goodbye();
+        caller.shutdown_write();
     }
-    relay.until_nobody_is_there();
+    relay.wait_until_idle();
     let status = relay.status();
     assert_eq!((status["taken"].as_u64(), status["buffers"].as_u64()), (Some(0), Some(0)), "{status}");
-    assert!(node.seen().is_empty());
+    assert!(node.requests().is_empty());
 }
 
 // ---- A client floods ----
@@ -193,7 +193,7 @@
 // request that is refused still gets its answer and an end in order. And against memory that grows with the flood.
 #[test]
 fn who_sends_much_on_a_refused_request_still_gets_its_answer_and_an_end() {
-    let node = Server::start(|_| answer(200, "", b"ok"));
+    let node = Server::start(|_| response(200, "", b"ok"));
     let (relay, _discovery) = before(&[node.address], |_| {});
     let head = request("pay", 4.0, b"").replace("Content-Length: 0", "Content-Length: 900000");
     let text = head + &"z".repeat(900_000);
@@ -203,13 +203,13 @@
     }
     assert!(relay.status()["buffers"].as_u64().unwrap() <= 16);
     for flood in &mut floods {
-        assert_eq!(flood.hear().expect("the refusal").status(), 413);
-        flood.say_goodbye();
-        assert_eq!(flood.rest().expect("an end, not a reset"), b"");
+        assert_eq!(flood.receive().expect("the refusal").status(), 413);
+        flood.shutdown_write();
+        assert_eq!(flood.read_to_end().expect("an end, not a reset"), b"");
     }
-    relay.until_nobody_is_there();
+    relay.wait_until_idle();
     assert_eq!(relay.call("pay", 4.0).status(), 200);
-    assert_eq!(node.seen().len(), 1);
+    assert_eq!(node.requests().len(), 1);
 }
 
 // ---- We close a client's connection ----
@@ -218,17 +218,17 @@
 // first, and what it sends then is read and goes to no node.
 #[test]
 fn who_asks_just_as_its_time_to_rest_ends_gets_an_end_and_no_reset() {
-    let node = Server::start(|_| answer(200, "", b"ok"));
+    let node = Server::start(|_| response(200, "", b"ok"));
     let (relay, _discovery) = before(&[node.address], |_| {});
     let mut rests = relay.caller();
     // Nothing is said for 2.5 s; then the end is heard, and only then asked.
-    assert!(rests.hear().is_none());
+    assert!(rests.receive().is_none());
     rests.send(&request("pay", 4.0, b""));
     a_while();
-    assert!(rests.rest().is_ok_and(|rest| rest.is_empty()));
-    rests.say_goodbye();
-    relay.until_nobody_is_there();
-    assert!(node.seen().is_empty());
+    assert!(rests.read_to_end().is_ok_and(|rest| rest.is_empty()));
+    rests.shutdown_write();
+    relay.wait_until_idle();
+    assert!(node.requests().is_empty());
 }
 
 // ---- SIGTERM ----
@@ -237,33 +237,38 @@
 // or a SIGHUP that changes the end, and against a half request that stays without an answer. `/ready` is no at once.
 #[test]
 fn after_sigterm_nothing_is_taken_that_cannot_be_answered() {
-    let node =
-        Server::start(|m| if m.line.contains("look") { Reply::Silence } else { answer(200, "", b"ok") });
-    let discovery = Discovery::start(vec![node_line("s-0", node.address, "in_service")]);
+    let node = Server::start(|m| {
+        if m.start_line.contains("look") {
+            Reply::NoResponse
+        } else {
+            response(200, "", b"ok")
+        }
+    });
+    let discovery = Discovery::start(vec![node_entry("s-0", node.address, "in_service")]);
     let told = with_deadlines(watched(&discovery), 1.0);
     let mut relay = Relay::start(PROGRAM, &told);
-    relay.until_ready();
+    relay.wait_until_ready();
     let (mut rests, mut half, mut probe) = (relay.caller(), relay.caller(), relay.caller());
-    assert_eq!(rests.ask(&request("pay", 1.0, b"")).status(), 200);
-    assert_eq!(probe.ask("GET /ready HTTP/1.1\r\n\r\n").status(), 200);
+    assert_eq!(rests.exchange(&request("pay", 1.0, b"")).status(), 200);
+    assert_eq!(probe.exchange("GET /ready HTTP/1.1\r\n\r\n").status(), 200);
     let whole = request("pay", 1.0, b"12345678");
     half.send(&whole[..whole.len() - 4]);
-    until("half of it is there", || relay.status()["buffers"] == 1);
+    wait_until("half of it is there", || relay.status()["buffers"] == 1);
     relay.terminate();
-    relay.until_logged("event=ending");
-    assert_eq!(probe.ask("GET /ready HTTP/1.1\r\n\r\n").status(), 503);
+    relay.wait_for_log("event=ending");
+    assert_eq!(probe.exchange("GET /ready HTTP/1.1\r\n\r\n").status(), 503);
     relay.signal("HUP");
     relay.terminate();
-    relay.until_logged("event=reloaded");
+    relay.wait_for_log("event=reloaded");
     // It was told that its connection ends: what it sends after that has to go nowhere.
-    assert!(rests.hear().is_none());
-    let before = node.seen().len();
+    assert!(rests.receive().is_none());
+    let before = node.requests().len();
     rests.send(&request("pay", 1.0, b""));
-    assert_eq!(half.hear().expect("an answer to half a request").status(), 503);
-    assert!(rests.rest().is_ok_and(|rest| rest.is_empty()));
+    assert_eq!(half.receive().expect("an answer to half a request").status(), 503);
+    assert!(rests.read_to_end().is_ok_and(|rest| rest.is_empty()));
     drop((rests, half, probe));
-    assert!(relay.ended_well());
-    assert_eq!(node.seen().len(), before);
+    assert!(relay.wait_for_success());
+    assert_eq!(node.requests().len(), before);
     assert_eq!(relay.log().iter().filter(|l| l.contains("event=ending")).count(), 1);
 }
 
@@ -283,10 +288,10 @@
     // Room for just this one: the system tries again a second after its first try.
     let filler = slow.accept().unwrap();
     sleep(Duration::from_millis(1500).saturating_sub(began.elapsed()));
-    let node = Server::on(slow, |_| answer(200, "", b"ok"));
+    let node = Server::from_listener(slow, |_| response(200, "", b"ok"));
     assert_eq!(relay.call("pay", 5.0).status(), 200);
     assert_eq!(relay.status()["node_connections"], 1, "no other was needed");
-    assert_eq!(node.seen().len(), 1, "what was given up went nowhere");
+    assert_eq!(node.requests().len(), 1, "what was given up went nowhere");
     drop(filler);
 }
 
@@ -303,12 +308,12 @@
         assert_eq!(relay.call("pay", 0.5).status(), 503);
     }
     assert!(relay.status()["node_connections"].as_u64().unwrap() <= 6);
-    let line = node_line("s-1", late.local_addr().unwrap(), "terminating");
-    discovery.tell(vec![node_line("s-0", never.local_addr().unwrap(), "in_service"), line]);
-    relay.until_logged("event=node_draining");
-    let drained = Server::on(late, |_| answer(200, "", b"wrong"));
-    until("all are given back", || relay.status()["node_connections"] == 0);
-    assert!(drained.seen().is_empty());
+    let line = node_entry("s-1", late.local_addr().unwrap(), "terminating");
+    discovery.set_nodes(vec![node_entry("s-0", never.local_addr().unwrap(), "in_service"), line]);
+    relay.wait_for_log("event=node_draining");
+    let drained = Server::from_listener(late, |_| response(200, "", b"wrong"));
+    wait_until("all are given back", || relay.status()["node_connections"] == 0);
+    assert!(drained.requests().is_empty());
 }
 
 // Guards against a request sent to where its node no longer is: it came back under its name at another address while
@@ -319,13 +324,15 @@
     let (relay, discovery) = before(&[old.local_addr().unwrap()], |_| {});
     let mut caller = relay.caller();
     caller.send(&request("pay", 5.0, b""));
-    until("it waits", || relay.status()["owed"] == 1);
-    let new = Server::start(|_| answer(200, "", b"new"));
-    discovery.tell(["s-0", "s-1"].map(|name| node_line(name, new.address, "in_service")).into());
-    until("the list has come", || relay.log().iter().filter(|l| l.contains("event=node_list ")).count() == 2);
-    let old = Server::on(old, |_| answer(200, "", b"old"));
-    assert_eq!(caller.hear().unwrap().body, b"new");
-    assert!(old.seen().is_empty());
+    wait_until("it waits", || relay.status()["owed"] == 1);
+    let new = Server::start(|_| response(200, "", b"new"));
+    discovery.set_nodes(["s-0", "s-1"].map(|name| node_entry(name, new.address, "in_service")).into());
+    wait_until("the list has come", || {
+        relay.log().iter().filter(|l| l.contains("event=node_list ")).count() == 2
+    });
+    let old = Server::from_listener(old, |_| response(200, "", b"old"));
+    assert_eq!(caller.receive().unwrap().body, b"new");
+    assert!(old.requests().is_empty());
 }
 
 // ---- A node's answer ----
@@ -334,11 +341,11 @@
 // connection has gone back to the pool and carries the next request. Each body has to be the caller's own.
 #[test]
 fn a_second_answer_some_milliseconds_late_reaches_nobody() {
-    let doubling = serve_by(loopback(), |_, sock| {
+    let doubling = serve_connections(loopback(), |_, sock| {
         let mut writer = sock.try_clone().unwrap();
         let mut reader = BufReader::new(sock);
         while let Some(message) = Message::read(&mut reader) {
-            let reply = bytes(answer(200, "", &id_of(&message)));
+            let reply = bytes(response(200, "", &id_of(&message)));
             // The next request is under way when the second answer to this one comes.
             sleep(Duration::from_millis(20));
             let _ = writer.write_all(&reply);
@@ -349,12 +356,12 @@
             });
         }
     });
-    let other = Server::start(|m| answer(200, "", &id_of(m)));
+    let other = Server::start(|m| response(200, "", &id_of(m)));
     let (relay, _discovery) = before(&[doubling, other.address], |_| {});
     let mut caller = relay.caller();
     for n in 0..40 {
         let text = request(["look", "pay"][n % 2], 4.0, b"");
-        let reply = caller.ask(&text);
+        let reply = caller.exchange(&text);
         assert_eq!(reply.status(), 200);
         assert!(text.contains(std::str::from_utf8(&reply.body).unwrap()), "another's answer: {reply:?}");
     }
@@ -364,19 +371,19 @@
 // after an answer it is held back for longer. Of twelve who leave at once hardly one can be too slow.
 #[test]
 fn who_leaves_while_the_connection_rests_is_not_sent_on() {
-    let node = Server::start(|_| answer(200, "", b"ok"));
+    let node = Server::start(|_| response(200, "", b"ok"));
     let (relay, _discovery) = before(&[node.address], |_| {});
     let mut stays = relay.caller();
     for _ in 0..12 {
-        assert_eq!(stays.ask(&request("pay", 5.0, b"")).status(), 200);
+        assert_eq!(stays.exchange(&request("pay", 5.0, b"")).status(), 200);
         let mut caller = relay.caller();
         caller.send(&request("pay", 5.0, b""));
-        until("it is taken", || relay.status()["taken"].as_u64() > relay.status()["served"].as_u64());
+        wait_until("it is taken", || relay.status()["taken"].as_u64() > relay.status()["served"].as_u64());
         caller.reset();
-        until("it has left", || relay.status()["owed"] == 0);
+        wait_until("it has left", || relay.status()["owed"] == 0);
     }
     a_while();
-    assert!((12..=15).contains(&node.seen().len()), "{}", node.seen().len());
+    assert!((12..=15).contains(&node.requests().len()), "{}", node.requests().len());
 }
 
 // Guards against an answer that never ends: both connections would be held for as long as it comes. How long a long answer
@@ -386,12 +393,12 @@
     for head in ["HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "HTTP/1.1 200 OK\r\n\r\n"] {
         let given_back = Arc::new(AtomicBool::new(false));
         let ended = given_back.clone();
-        let address = serve_by(loopback(), move |_, sock| {
+        let address = serve_connections(loopback(), move |_, sock| {
             let mut writer = sock.try_clone().unwrap();
             let mut reader = BufReader::new(sock);
             while let Some(message) = Message::read(&mut reader) {
-                if message.line.contains("pay") {
-                    let _ = writer.write_all(&bytes(answer(200, "", b"ok")));
+                if message.start_line.contains("pay") {
+                    let _ = writer.write_all(&bytes(response(200, "", b"ok")));
                     continue;
                 }
                 let _ = writer.write_all(head.as_bytes());
@@ -403,13 +410,13 @@
         let (relay, _discovery) = before(&[address], |_| {});
         let mut caller = relay.caller();
         caller.send(&request("look", 1.0, b""));
-        let reader = std::thread::spawn(move || caller.read_on());
+        let reader = std::thread::spawn(move || caller.drain());
         assert_eq!(relay.call("pay", 4.0).status(), 200);
         let (heard, last) = reader.join().unwrap();
         assert!(!last.ends_with(b"0\r\n\r\n"), "an end that was none");
         assert!((64 << 20..66 << 20).contains(&heard), "{heard}");
-        until("the node's connection is given back", || given_back.load(Ordering::SeqCst));
-        relay.until_nobody_is_there();
+        wait_until("the node's connection is given back", || given_back.load(Ordering::SeqCst));
+        relay.wait_until_idle();
     }
 }
 
@@ -417,7 +424,7 @@
 // on giving the rest.
 #[test]
 fn a_long_answer_goes_on_past_its_clients_time() {
-    let address = serve_by(loopback(), |_, sock| {
+    let address = serve_connections(loopback(), |_, sock| {
         let mut writer = sock.try_clone().unwrap();
         let mut reader = BufReader::new(sock);
         while Message::read(&mut reader).is_some() {
@@ -446,13 +453,13 @@
     let cases = cut.into_iter().flat_map(|text| [(text, false, 502), (text, true, 502)]);
     for (text, reset, wanted) in cases.chain([(OPEN, false, 200), (OPEN, true, 502)]) {
         let node = Server::start(move |_| match reset {
-            true => Reply::Reset(text.as_bytes().to_vec()),
-            false => Reply::Last(text.as_bytes().to_vec()),
+            true => Reply::BytesThenReset(text.as_bytes().to_vec()),
+            false => Reply::BytesThenClose(text.as_bytes().to_vec()),
         });
         let (relay, _discovery) = before(&[node.address], |_| {});
         let reply = relay.call("pay", 4.0);
         assert_eq!(reply.status(), wanted, "{text:?}, reset: {reset}");
-        assert_eq!(node.seen().len(), 1);
+        assert_eq!(node.requests().len(), 1);
     }
 }
 
@@ -463,21 +470,21 @@
     let released = Arc::new(AtomicBool::new(false));
     let gate = released.clone();
     let node = Server::start(move |m| {
-        if m.line.contains("look") {
-            until("it is too late", || gate.load(Ordering::SeqCst));
+        if m.start_line.contains("look") {
+            wait_until("it is too late", || gate.load(Ordering::SeqCst));
         }
-        answer(200, "", &id_of(m))
+        response(200, "", &id_of(m))
     });
     let (relay, _discovery) = before(&[node.address], |_| {});
     let mut caller = relay.caller();
-    assert!([503, 504].contains(&caller.ask(&request("look", 0.4, b"")).status()));
+    assert!([503, 504].contains(&caller.exchange(&request("look", 0.4, b"")).status()));
     released.store(true, Ordering::SeqCst);
     for _ in 0..5 {
         let text = request("pay", 4.0, b"");
-        let reply = caller.ask(&text);
+        let reply = caller.exchange(&text);
         assert!(reply.status() == 200 && text.contains(std::str::from_utf8(&reply.body).unwrap()));
     }
-    until("the late one's connection is gone", || node.ended() == 1);
+    wait_until("the late one's connection is gone", || node.closed_connections() == 1);
 }
 
 // Guards against a repeat that begins after its class's window: it was decided in time, but its connection came up only
@@ -486,22 +493,22 @@
 fn a_repeat_whose_connection_comes_up_after_its_window_is_not_sent() {
     for (window, repeated) in [(0.4, false), (30.0, true)] {
         let (slow, _fillers) = full_listener();
-        let cut = Server::start(|_| Reply::Last(Vec::new()));
-        let discovery = Discovery::start(vec![node_line("s-0", cut.address, "in_service")]);
+        let cut = Server::start(|_| Reply::BytesThenClose(Vec::new()));
+        let discovery = Discovery::start(vec![node_entry("s-0", cut.address, "in_service")]);
         let mut told = watched(&discovery);
         let class = &mut told["settings"]["Classes"][1];
         (class["Idempotency"], class["RepeatWindow"]) = (json!("idempotency_key"), json!(window));
         let relay = Relay::start(PROGRAM, &told);
-        relay.until_ready();
+        relay.wait_until_ready();
         let mut caller = relay.caller();
-        let slow_line = |health| node_line("s-1", slow.local_addr().unwrap(), health);
+        let slow_line = |health| node_entry("s-1", slow.local_addr().unwrap(), health);
         caller.send(&request("pay", 4.0, b""));
-        until("the first attempt was cut", || cut.ended() >= 1);
-        discovery.tell(vec![node_line("s-0", cut.address, "terminating"), slow_line("in_service")]);
-        relay.until_logged("event=node_draining");
-        let node = Server::on(slow, |_| answer(200, "", b"again"));
-        let status = caller.hear().unwrap().status();
-        assert_eq!((status == 200, node.seen().len() == 1), (repeated, repeated), "{window}: {status}");
+        wait_until("the first attempt was cut", || cut.closed_connections() >= 1);
+        discovery.set_nodes(vec![node_entry("s-0", cut.address, "terminating"), slow_line("in_service")]);
+        relay.wait_for_log("event=node_draining");
+        let node = Server::from_listener(slow, |_| response(200, "", b"again"));
+        let status = caller.receive().unwrap().status();
+        assert_eq!((status == 200, node.requests().len() == 1), (repeated, repeated), "{window}: {status}");
         drop(discovery);
     }
 }
@@ -514,20 +521,20 @@
         let released = Arc::new(AtomicBool::new(false));
         let gate = released.clone();
         let node = Server::start(move |m| {
-            until("the program is stopped", || gate.load(Ordering::SeqCst));
-            answer(200, "", &id_of(m))
+            wait_until("the program is stopped", || gate.load(Ordering::SeqCst));
+            response(200, "", &id_of(m))
         });
         let (relay, _discovery) = before(&[node.address], |_| {});
         let mut caller = relay.caller();
         caller.send(&request(class, 0.5, b""));
-        until("the node has it", || node.seen().len() == 1);
+        wait_until("the node has it", || node.requests().len() == 1);
         relay.signal("STOP");
         released.store(true, Ordering::SeqCst);
         a_while();
         relay.signal("CONT");
-        assert!([200, 503, 504].contains(&caller.hear().expect("an answer").status()));
+        assert!([200, 503, 504].contains(&caller.receive().expect("an answer").status()));
         let text = request(class, 4.0, b"");
-        let next = caller.ask(&text);
+        let next = caller.exchange(&text);
         assert!(next.status() == 200 && text.contains(std::str::from_utf8(&next.body).unwrap()), "{next:?}");
     }
 }
@@ -536,20 +543,20 @@
 // taken the one that has been idle longest makes room, but not over a request that lies unread.
 #[test]
 fn who_asks_as_its_place_is_given_away_is_answered() {
-    let node = Server::start(|_| answer(200, "", b"ok"));
+    let node = Server::start(|_| response(200, "", b"ok"));
     let (relay, _discovery) = before(&[node.address], |told| told["limits"]["sockets"] = 44.into());
     let mut rests: Vec<_> = (0..4).map(|_| relay.caller()).collect();
     for caller in &mut rests {
-        assert_eq!(caller.ask(&request("pay", 4.0, b"")).status(), 200);
+        assert_eq!(caller.exchange(&request("pay", 4.0, b"")).status(), 200);
     }
     relay.signal("STOP");
     let mut newcomers: Vec<_> = (0..14).map(|_| relay.caller()).collect();
     newcomers.iter_mut().for_each(|c| c.send(&request("pay", 4.0, b"")));
     rests[0].send(&request("pay", 4.0, b""));
     relay.signal("CONT");
-    assert_eq!(rests[0].hear().expect("an answer").status(), 200);
+    assert_eq!(rests[0].receive().expect("an answer").status(), 200);
     // So many at once may be refused, but none is left without an answer.
-    let statuses: Vec<_> = newcomers.iter_mut().map(|c| c.hear().map_or(0, |m| m.status())).collect();
+    let statuses: Vec<_> = newcomers.iter_mut().map(|c| c.receive().map_or(0, |m| m.status())).collect();
     assert!(statuses.iter().all(|s| [200, 503].contains(s)), "{statuses:?}");
 }
 
@@ -559,20 +566,20 @@
     let released = Arc::new(AtomicBool::new(false));
     let gate = released.clone();
     let node = Server::start(move |m| {
-        until("the crowd is there", || gate.load(Ordering::SeqCst));
-        answer(200, "", &id_of(m))
+        wait_until("the crowd is there", || gate.load(Ordering::SeqCst));
+        response(200, "", &id_of(m))
     });
-    let discovery = Discovery::start(vec![node_line("s-0", node.address, "in_service")]);
-    let mut relay = Relay::start_limited(PROGRAM, &config(discovery.server.address), 24);
-    relay.until_ready();
+    let discovery = Discovery::start(vec![node_entry("s-0", node.address, "in_service")]);
+    let mut relay = Relay::start_with_fd_limit(PROGRAM, &config(discovery.server.address), 24);
+    relay.wait_until_ready();
     let mut owed: Vec<_> = (0..3).map(|_| (relay.caller(), request("look", 5.0, b""))).collect();
     owed.iter_mut().for_each(|(caller, text)| caller.send(text));
-    until("the node has them", || node.seen().len() == 3);
+    wait_until("the node has them", || node.requests().len() == 3);
     let crowd: Vec<_> = (0..60).map(|_| relay.caller()).collect();
-    relay.until_logged("event=descriptors_exhausted");
+    relay.wait_for_log("event=descriptors_exhausted");
     released.store(true, Ordering::SeqCst);
     for (caller, text) in &mut owed {
-        let reply = caller.hear().expect("an answer");
+        let reply = caller.receive().expect("an answer");
         assert!(reply.status() == 200 && text.contains(std::str::from_utf8(&reply.body).unwrap()));
     }
     drop(crowd);
@@ -587,14 +594,15 @@
         let (mut relay, _discovery) = before(&[slow.local_addr().unwrap()], |_| {});
         let mut caller = relay.caller();
         caller.send(&request("pay", 5.0, b""));
-        until("it waits", || relay.status()["owed"] == 1);
+        wait_until("it waits", || relay.status()["owed"] == 1);
         relay.terminate();
-        relay.until_logged("event=ending");
-        let node = comes_up.then(|| Server::on(slow.try_clone().unwrap(), |_| answer(200, "", b"ok")));
-        let status = caller.hear().expect("an answer").status();
+        relay.wait_for_log("event=ending");
+        let node =
+            comes_up.then(|| Server::from_listener(slow.try_clone().unwrap(), |_| response(200, "", b"ok")));
+        let status = caller.receive().expect("an answer").status();
         assert_eq!(status, if comes_up { 200 } else { 503 });
-        assert_eq!(node.map_or(0, |n| n.seen().len()), usize::from(comes_up));
-        assert!(relay.ended_well());
+        assert_eq!(node.map_or(0, |n| n.requests().len()), usize::from(comes_up));
+        assert!(relay.wait_for_success());
         drop(fillers);
     }
 }
@@ -603,24 +611,29 @@
 // longest, and finds what was taken meanwhile unanswered. Nodes hang, so no answer comes by itself.
 #[test]
 fn a_planned_end_is_over_before_sigkill_where_deadlines_are_short() {
-    let node =
-        Server::start(|m| if m.line.contains("look") { Reply::Silence } else { answer(200, "", b"ok") });
-    let discovery = Discovery::start(vec![node_line("s-0", node.address, "in_service")]);
+    let node = Server::start(|m| {
+        if m.start_line.contains("look") {
+            Reply::NoResponse
+        } else {
+            response(200, "", b"ok")
+        }
+    });
+    let discovery = Discovery::start(vec![node_entry("s-0", node.address, "in_service")]);
     let told = with_deadlines(config(discovery.server.address), 1.0);
     let mut relay = Relay::start(PROGRAM, &told);
-    relay.until_ready();
+    relay.wait_until_ready();
     let (mut hung, mut busy) = (relay.caller(), relay.caller());
     hung.send(&request("look", 2.0, b""));
-    until("the node has it", || node.seen().len() == 1);
+    wait_until("the node has it", || node.requests().len() == 1);
     let began = Instant::now();
     relay.terminate();
-    relay.until_logged("event=ending");
+    relay.wait_for_log("event=ending");
     // On a connection that stays open requests go on coming, one that hangs among them.
     let mut statuses = Vec::new();
     loop {
         let class = if statuses.len() == 3 { "look" } else { "pay" };
         busy.send(&request(class, 1.0, b""));
-        let Some(reply) = busy.hear() else { break };
+        let Some(reply) = busy.receive() else { break };
         statuses.push(reply.status());
         if reply.header("connection") == Some("close") {
             break;
@@ -628,8 +641,8 @@
         std::thread::sleep(Duration::from_millis(50));
     }
     assert!(statuses.len() > 3 && statuses.iter().all(|s| [200, 503, 504].contains(s)), "{statuses:?}");
-    assert_eq!(hung.hear().expect("an answer to what was taken before").status() / 100, 5);
-    assert!(relay.ended_well());
+    assert_eq!(hung.receive().expect("an answer to what was taken before").status() / 100, 5);
+    assert!(relay.wait_for_success());
     assert!(began.elapsed() < Duration::from_secs_f64(1.7), "{:?}", began.elapsed());
 }
 
@@ -637,17 +650,22 @@
 // of them ended, and got no answer in its time, not even a refusal.
 #[test]
 fn where_all_connections_wait_newcomers_are_refused_at_once_and_not_left_outside() {
-    let node =
-        Server::start(|m| if m.line.contains("look") { Reply::Silence } else { answer(200, "", b"ok") });
+    let node = Server::start(|m| {
+        if m.start_line.contains("look") {
+            Reply::NoResponse
+        } else {
+            response(200, "", b"ok")
+        }
+    });
     let (relay, _discovery) =
-        Relay::before_with(PROGRAM, &[node.address], |told| told["limits"]["sockets"] = 44.into());
+        Relay::start_configured(PROGRAM, &[node.address], |told| told["limits"]["sockets"] = 44.into());
     let began = Instant::now();
     let mut callers: Vec<_> = (0..60).map(|_| relay.caller()).collect();
     callers.iter_mut().for_each(|c| c.send(&request("look", 3.0, b"")));
-    let replies: Vec<_> = callers.iter_mut().map(|c| c.hear().expect("an answer").status()).collect();
+    let replies: Vec<_> = callers.iter_mut().map(|c| c.receive().expect("an answer").status()).collect();
     assert!(began.elapsed() < Duration::from_secs_f64(3.5), "{:?}", began.elapsed());
     assert!(replies.iter().all(|s| [503, 504].contains(s)), "{replies:?}");
-    assert!((2..=10).contains(&node.seen().len()), "{}", node.seen().len());
+    assert!((2..=10).contains(&node.requests().len()), "{}", node.requests().len());
 }
 
 // ---- Discovery and configuration ----
@@ -659,7 +677,7 @@
     listener.set_nonblocking(true).unwrap();
     let (address, down) = (listener.local_addr().unwrap(), down.clone());
     let list =
-        bytes(answer(200, "", json!({"seq": 1, "whole": true, "hosts": lines}).to_string().as_bytes()));
+        bytes(response(200, "", json!({"seq": 1, "whole": true, "hosts": lines}).to_string().as_bytes()));
     let ended = std::thread::spawn(move || {
         let mut open = Vec::new();
         while !down.load(Ordering::SeqCst) {
@@ -674,7 +692,7 @@
                 let mut writer = sock.try_clone().unwrap();
                 let mut reader = BufReader::new(sock);
                 while let Some(message) = Message::read(&mut reader) {
-                    if !message.line.contains("since=") {
+                    if !message.start_line.contains("since=") {
                         let _ = writer.write_all(&list);
                     }
                 }
@@ -693,17 +711,17 @@
     let (gone, down) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
     let released = gone.clone();
     let old = Server::start(move |_| match released.load(Ordering::SeqCst) {
-        true => Reply::Reset(Vec::new()),
-        false => answer(200, "", b"old"),
+        true => Reply::BytesThenReset(Vec::new()),
+        false => response(200, "", b"old"),
     });
-    let new = Server::start(|_| answer(200, "", b"new"));
-    let (address, ended) = discovery_until(&down, &json!([node_line("s-0", old.address, "in_service")]));
+    let new = Server::start(|_| response(200, "", b"new"));
+    let (address, ended) = discovery_until(&down, &json!([node_entry("s-0", old.address, "in_service")]));
     let relay = Relay::start(PROGRAM, &config(address));
-    relay.until_ready();
+    relay.wait_until_ready();
     assert_eq!(relay.call("look", 4.0).body, b"old");
     down.store(true, Ordering::SeqCst);
     ended.join().unwrap();
-    relay.until_logged("event=discovery_failed");
+    relay.wait_for_log("event=discovery_failed");
     for _ in 0..10 {
         assert_eq!(relay.call("pay", 4.0).body, b"old", "the last list goes on");
     }
@@ -712,20 +730,22 @@
     assert_eq!(relay.call("look", 2.0).status() / 100, 5, "an answer, where no node is left");
     assert!(began.elapsed() < Duration::from_secs_f64(2.3), "{:?}", began.elapsed());
     let list =
-        json!({"seq": 7, "whole": true, "hosts": [node_line("s-1", new.address, "in_service")]}).to_string();
-    let back = Server::on(TcpListener::bind(address).unwrap(), move |m| match m.line.contains("since=7") {
-        true => Reply::Silence,
-        false => answer(200, "", list.as_bytes()),
+        json!({"seq": 7, "whole": true, "hosts": [node_entry("s-1", new.address, "in_service")]}).to_string();
+    let back = Server::from_listener(TcpListener::bind(address).unwrap(), move |m| {
+        match m.start_line.contains("since=7") {
+            true => Reply::NoResponse,
+            false => response(200, "", list.as_bytes()),
+        }
     });
     let began = Instant::now();
-    until("the new node serves", || relay.call("look", 2.0).body == b"new");
+    wait_until("the new node serves", || relay.call("look", 2.0).body == b"new");
     assert!(began.elapsed() < Duration::from_secs(6), "{:?}", began.elapsed());
-    let before = old.seen().len();
+    let before = old.requests().len();
     for _ in 0..10 {
         assert_eq!(relay.call("pay", 4.0).body, b"new");
     }
-    assert_eq!(old.seen().len(), before);
-    assert!(!back.seen().is_empty());
+    assert_eq!(old.requests().len(), before);
+    assert!(!back.requests().is_empty());
 }
 
 // Guards against requests that a reload cuts off: those that wait, at a node or for one, have the time that they were taken
@@ -735,21 +755,21 @@
     let release = Arc::new(AtomicBool::new(false));
     let open = release.clone();
     let node = Server::start(move |_| {
-        until("the node may answer", || open.load(Ordering::SeqCst));
-        answer(200, "", b"ok")
+        wait_until("the node may answer", || open.load(Ordering::SeqCst));
+        response(200, "", b"ok")
     });
-    let lines = |health| vec![node_line("s-0", node.address, health)];
+    let lines = |health| vec![node_entry("s-0", node.address, health)];
     let discovery = Discovery::start(lines("in_service"));
     let told = watched(&discovery);
     let relay = Relay::start(PROGRAM, &told);
-    relay.until_ready();
+    relay.wait_until_ready();
     let (mut at_node, mut waits) = (relay.caller(), relay.caller());
     at_node.send(&request("pay", 6.0, b""));
-    until("the node has it", || node.seen().len() == 1);
-    discovery.tell(lines("terminating"));
-    relay.until_logged("event=node_draining");
+    wait_until("the node has it", || node.requests().len() == 1);
+    discovery.set_nodes(lines("terminating"));
+    relay.wait_for_log("event=node_draining");
     waits.send(&request("pay", 6.0, b""));
-    until("it waits", || relay.status()["owed"] == 2);
+    wait_until("it waits", || relay.status()["owed"] == 2);
     shorten(&relay, told);
     let began = Instant::now();
     let status = relay.call("pay", 0.5).status();
@@ -758,24 +778,24 @@
     // Longer than the new deadline: the two that were taken before still wait.
     a_while();
     assert_eq!(relay.status()["owed"], 2);
-    discovery.tell(lines("in_service"));
+    discovery.set_nodes(lines("in_service"));
     release.store(true, Ordering::SeqCst);
-    assert_eq!(at_node.hear().unwrap().status(), 200);
-    assert_eq!(waits.hear().unwrap().status(), 200);
+    assert_eq!(at_node.receive().unwrap().status(), 200);
+    assert_eq!(waits.receive().unwrap().status(), 200);
 }
 
 // Guards against the same requests at a planned end: it follows the shorter deadline, and they are answered before it.
 #[test]
 fn an_end_that_follows_a_shortened_deadline_answers_what_was_taken_under_the_longer_one() {
-    let node = Server::start(|_| Reply::Silence);
-    let (mut relay, discovery) = Relay::before(PROGRAM, &[&node]);
+    let node = Server::start(|_| Reply::NoResponse);
+    let (mut relay, discovery) = Relay::start_with_nodes(PROGRAM, &[&node]);
     let mut caller = relay.caller();
     caller.send(&request("pay", 6.0, b""));
-    until("the node has it", || node.seen().len() == 1);
+    wait_until("the node has it", || node.requests().len() == 1);
     shorten(&relay, config(discovery.server.address));
     let began = Instant::now();
     relay.terminate();
-    assert_eq!(caller.hear().expect("an answer before the end").status() / 100, 5);
-    assert!(relay.ended_well());
+    assert_eq!(caller.receive().expect("an answer before the end").status() / 100, 5);
+    assert!(relay.wait_for_success());
     assert!(began.elapsed() < Duration::from_secs_f64(1.2), "{:?}", began.elapsed());
 }
--- a/crates/passrelay/tests/exchanges.rs
+++ b/crates/passrelay/tests/exchanges.rs
@@ -7,7 +7,7 @@
 //! `EXCHANGES=N` sets the number of exchanges, `EXCHANGE_SEED=S` the seed.
 
 use passrelay_test_support::fleet::{Fleet, Sidecar};
-use passrelay_test_support::{serve_by, Message};
+use passrelay_test_support::{serve_connections, Message};
 use rstest::rstest;
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -373,10 +373,10 @@
     let start = |endpoint: usize| {
         let log = log.clone();
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        serve_by(listener, move |_, sock| serve_endpoint(seed, endpoint, &log, sock))
+        serve_connections(listener, move |_, sock| serve_endpoint(seed, endpoint, &log, sock))
     };
     let addresses: Vec<_> = (0..ENDPOINTS).map(start).collect();
-    let sidecar = fleet.start_in_service(&addresses, &configuration());
+    let sidecar = fleet.start_serving(&addresses, &configuration());
     let done = AtomicBool::new(false);
     let violations = Mutex::new(Vec::new());
     let exchanges_done: Vec<Exchange> = std::thread::scope(|scope| {
--- a/crates/passrelay/tests/fleet/account.rs
+++ b/crates/passrelay/tests/fleet/account.rs
@@ -2,7 +2,7 @@
 
 use super::{configuration, PROGRAM};
 use passrelay_test_support::fleet::Fleet;
-use passrelay_test_support::until;
+use passrelay_test_support::wait_until;
 use serde_json::Value;
 
 const KEYS: [&str; 16] = [
@@ -28,8 +28,8 @@
 fn a_sidecars_account_has_these_keys_and_no_others() {
     let fleet = Fleet::new(PROGRAM, 1);
     let sidecar = fleet.start_all().remove(0);
-    assert_eq!(sidecar.put(0, &configuration(3)), 200);
-    until("it has the configuration", || sidecar.status()["generation"] == 3);
+    assert_eq!(sidecar.put_configuration(0, &configuration(3)), 200);
+    wait_until("it has the configuration", || sidecar.status()["generation"] == 3);
     let account = sidecar.status();
     let mut keys: Vec<&str> = account.as_object().expect("an object").keys().map(String::as_str).collect();
     keys.sort_unstable();
--- a/crates/passrelay/tests/fleet/answers.rs
+++ b/crates/passrelay/tests/fleet/answers.rs
@@ -3,7 +3,9 @@
 
 use super::{in_service, lone, ok, request, status, with_timeout, PROGRAM};
 use passrelay_test_support::fleet::{read_all, Fleet, Sidecar};
-use passrelay_test_support::{answer, full_listener, serve_by, until, Message, Reply, Server};
+use passrelay_test_support::{
+    full_listener, response, serve_connections, wait_until, Message, Reply, Server,
+};
 use serde_json::json;
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener};
@@ -18,7 +20,7 @@
 
 #[test]
 fn each_request_has_a_final_answer_when_the_time_of_its_route_is_over() {
-    let silent = Server::start(|_| Reply::Silence);
+    let silent = Server::start(|_| Reply::NoResponse);
     let (_fleet, sidecar) = before(&[silent.address], 300);
     for path in ["/open/1", "/look/1", "/ask/1", "/sum/1"] {
         let asked = Instant::now();
@@ -33,15 +35,15 @@
 fn an_endpoint_is_handed_what_is_left_also_when_it_is_the_second() {
     let full = |_: &Message| {
         std::thread::sleep(Duration::from_millis(600));
-        answer(503, "X-Passrelay-Request-Id: r1\r\nX-Passrelay-Not-Executed: full\r\n", b"")
+        response(503, "X-Passrelay-Request-Id: r1\r\nX-Passrelay-Not-Executed: full\r\n", b"")
     };
     let (one, other) = (Server::start(full), Server::start(full));
     let (_fleet, sidecar) = before(&[one.address, other.address], 5_000);
     sidecar.exchange(&request("/open/1", "", ""));
     let mut told: Vec<u64> = one
-        .seen()
+        .requests()
         .iter()
-        .chain(&other.seen())
+        .chain(&other.requests())
         .map(|m| m.header("x-passrelay-deadline-ms").unwrap().parse().unwrap())
         .collect();
     told.sort_unstable_by(|a, b| b.cmp(a));
@@ -60,16 +62,16 @@
     for _ in 0..6 {
         assert!(sidecar.exchange(&request("/open/1", "", "")).ends_with("served"));
     }
-    assert_eq!(good.seen().len(), 6);
+    assert_eq!(good.requests().len(), 6);
 }
 
 #[test]
 fn two_requests_at_once_on_one_connection_get_their_own_answers_in_order() {
     let endpoint = Server::start(|message| {
         let id = message.header("x-passrelay-request-id").unwrap().to_owned();
-        let slow = message.line.contains("first");
+        let slow = message.start_line.contains("first");
         std::thread::sleep(Duration::from_millis(if slow { 200 } else { 1 }));
-        answer(200, &format!("X-Passrelay-Request-Id: {id}\r\n"), format!("for {id}").as_bytes())
+        response(200, &format!("X-Passrelay-Request-Id: {id}\r\n"), format!("for {id}").as_bytes())
     });
     let (_fleet, sidecar) = lone(&[&endpoint]);
     let mut client = sidecar.client();
@@ -91,7 +93,7 @@
     // The endpoint answers at the head, reads the rest later, and keeps the connection.
     let (tell, told) = std::sync::mpsc::channel();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let address = serve_by(listener, move |_, sock| {
+    let address = serve_connections(listener, move |_, sock| {
         let mut writer = sock.try_clone().unwrap();
         let mut reader = BufReader::new(sock);
         loop {
@@ -143,16 +145,16 @@
     let (_fleet, sidecar) = lone(&[&endpoint]);
     let mut client = sidecar.client();
     client.write_all(&request("/open/1", "", "")).unwrap();
-    until("the endpoint has it", || !endpoint.seen().is_empty());
+    wait_until("the endpoint has it", || !endpoint.requests().is_empty());
     sidecar.signal("HUP");
     assert!(read_all(&mut client).ends_with("whole"));
-    assert_eq!(endpoint.seen().len(), 1);
+    assert_eq!(endpoint.requests().len(), 1);
 }
 
 #[test]
 fn a_second_answer_half_a_second_late_reaches_nobody() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let address = serve_by(listener, |_, sock| {
+    let address = serve_connections(listener, |_, sock| {
         let mut writer = sock.try_clone().unwrap();
         let mut reader = BufReader::new(sock);
         while let Some(message) = Message::read(&mut reader) {
--- a/crates/passrelay/tests/fleet/interruptions.rs
+++ b/crates/passrelay/tests/fleet/interruptions.rs
@@ -3,7 +3,7 @@
 
 use super::{configuration, in_service, lone, ok, request, status, PROGRAM};
 use passrelay_test_support::fleet::{read_all, Fleet};
-use passrelay_test_support::{full_listener, is_dialed, until, Server};
+use passrelay_test_support::{full_listener, is_connecting, wait_until, Server};
 use serde_json::json;
 use std::io::Write;
 use std::process::Command;
@@ -23,14 +23,14 @@
     let (_fleet, sidecar) = in_service(Fleet::new(PROGRAM, 1), &[address], &configuration(3));
     let mut client = sidecar.client();
     client.write_all(&request("/open/gate", "", "hello")).unwrap();
-    until("the endpoint is chosen", || is_dialed(address));
+    wait_until("the endpoint is chosen", || is_connecting(address));
     sidecar.pause();
-    let endpoint = Server::on(listener, |_| ok("bay 7"));
+    let endpoint = Server::from_listener(listener, |_| ok("bay 7"));
     std::thread::sleep(STANDSTILL);
     sidecar.resume();
     let answer = read_all(&mut client);
     assert!([503, 504].contains(&status(&answer)), "{answer}");
-    assert!(endpoint.seen().is_empty(), "{:?}", endpoint.seen());
+    assert!(endpoint.requests().is_empty(), "{:?}", endpoint.requests());
 }
 
 // Guards against an answer that looks whole to the client of a killed process, against one that reaches a client of its
@@ -40,25 +40,28 @@
     let released = Arc::new(AtomicBool::new(false));
     let gate = released.clone();
     let endpoint = Server::start(move |message| {
-        if message.line.contains("/open/first") {
-            until("the process is killed", || gate.load(Ordering::SeqCst));
+        if message.start_line.contains("/open/first") {
+            wait_until("the process is killed", || gate.load(Ordering::SeqCst));
         }
         ok("bay 7")
     });
     let (fleet, mut sidecar) = lone(&[&endpoint]);
     let mut client = sidecar.client();
     client.write_all(&request("/open/first", "", "hello")).unwrap();
-    until("the endpoint runs it", || endpoint.seen().len() == 1);
+    wait_until("the endpoint runs it", || endpoint.requests().len() == 1);
     sidecar.signal("KILL");
-    assert!(!sidecar.ended_well());
+    assert!(!sidecar.wait_for_success());
     assert_eq!(read_all(&mut client), "");
     let successor = fleet.start(1, false);
     released.store(true, Ordering::SeqCst);
     // The endpoint may not have been on disk yet, and a process without any is not ready.
-    until("it is told", || successor.heartbeat("i-0", "bays", endpoint.address, "ready", 2) == 200);
-    successor.until_ready();
-    until("the successor serves", || status(&successor.exchange(&request("/open/second", "", ""))) == 200);
-    let first_runs = endpoint.seen().iter().filter(|message| message.line.contains("/open/first")).count();
+    wait_until("it is told", || successor.heartbeat("i-0", "bays", endpoint.address, "ready", 2) == 200);
+    successor.wait_until_ready();
+    wait_until("the successor serves", || {
+        status(&successor.exchange(&request("/open/second", "", ""))) == 200
+    });
+    let first_runs =
+        endpoint.requests().iter().filter(|message| message.start_line.contains("/open/first")).count();
     assert_eq!(first_runs, 1);
 }
 
@@ -73,7 +76,7 @@
     assert_eq!(sidecar.heartbeat("i-9", "gates", endpoint.address, "ready", 1), 200);
     let answer = sidecar.exchange(&request("/open/after", "", ""));
     assert_eq!(status(&answer), 503, "{answer}");
-    assert!(endpoint.seen().iter().all(|message| message.line.contains("/open/before")));
+    assert!(endpoint.requests().iter().all(|message| message.start_line.contains("/open/before")));
 }
 
 // Guards against a declared size that wraps around, or can't be read, and so passes the tenant's quota of 100,000 tokens.
@@ -93,7 +96,7 @@
         let answer = ask(huge);
         assert_eq!(status(&answer), 429, "{huge}: {answer}");
     }
-    assert!(endpoint.seen().is_empty());
+    assert!(endpoint.requests().is_empty());
     assert_eq!(status(&ask("20,10")), 200);
 }
 
@@ -105,7 +108,9 @@
     let text = String::from_utf8(request("/open/gate", "", ""))
         .unwrap()
         .replace("Deadline-Ms: 3000", "Deadline-Ms: 100.5");
-    until("it listens", || std::net::TcpStream::connect((sidecar.control_address().ip(), 8_662)).is_ok());
+    wait_until("it listens", || {
+        std::net::TcpStream::connect((sidecar.control_address().ip(), 8_662)).is_ok()
+    });
     let began = std::time::Instant::now();
     let answer = sidecar.exchange(text.as_bytes());
     assert_eq!(status(&answer), 503, "{answer}");
@@ -130,9 +135,9 @@
     std::fs::write(&path, &settings).unwrap();
     let _ = pipe.write_all(&settings);
     drop(pipe);
-    until("it leads", || sidecar.status()["leads"] == json!(true));
-    until("it has read the settings again", || {
+    wait_until("it leads", || sidecar.status()["leads"] == json!(true));
+    wait_until("it has read the settings again", || {
         sidecar.log().iter().any(|line| line.contains("event=reloaded"))
     });
-    assert!(!sidecar.has_ended());
+    assert!(!sidecar.has_exited());
 }
--- a/crates/passrelay/tests/fleet/main.rs
+++ b/crates/passrelay/tests/fleet/main.rs
@@ -5,7 +5,7 @@
 mod interruptions;
 
 use passrelay_test_support::fleet::{read_all, Fleet, Sidecar};
-use passrelay_test_support::{answer, until, Message, Reply, Server};
+use passrelay_test_support::{response, wait_until, Message, Reply, Server};
 use serde_json::{json, Value};
 use std::io::Write;
 use std::net::SocketAddr;
@@ -48,7 +48,7 @@
 
 /// The one sidecar of a fleet with this configuration, and endpoints at these addresses in service.
 fn in_service(fleet: Fleet, addresses: &[SocketAddr], configuration: &Value) -> (Fleet, Sidecar) {
-    let sidecar = fleet.start_in_service(addresses, configuration);
+    let sidecar = fleet.start_serving(addresses, configuration);
     (fleet, sidecar)
 }
 
@@ -62,7 +62,7 @@
 }
 
 fn ok(body: &str) -> Reply {
-    answer(200, "X-Passrelay-Request-Id: r1\r\nX-Passrelay-Response-Seal: s1\r\n", body.as_bytes())
+    response(200, "X-Passrelay-Request-Id: r1\r\nX-Passrelay-Response-Seal: s1\r\n", body.as_bytes())
 }
 
 fn status(answer: &str) -> u16 {
@@ -80,8 +80,8 @@
     ));
     assert_eq!(status(&answer), 200, "{answer}");
     assert!(answer.ends_with("bay 7") && answer.to_lowercase().contains("x-passrelay-response-seal: s1"));
-    let seen: Message = endpoint.seen().remove(0);
-    assert_eq!(seen.line, "POST /open/gate?lane=2 HTTP/1.1");
+    let seen: Message = endpoint.requests().remove(0);
+    assert_eq!(seen.start_line, "POST /open/gate?lane=2 HTTP/1.1");
     assert_eq!(seen.body, b"hello");
     assert_eq!(seen.header("x-passrelay-tenant"), Some("family"));
     assert_eq!(seen.header("x-passrelay-target-instance"), Some("i-0"));
@@ -101,7 +101,7 @@
         // A connection rests a little before it is used again.
         std::thread::sleep(Duration::from_millis(50));
     }
-    let connections: Vec<usize> = endpoint.seen().iter().map(|m| m.connection).collect();
+    let connections: Vec<usize> = endpoint.requests().iter().map(|m| m.connection).collect();
     assert_eq!(connections, [0, 0, 0]);
 }
 
@@ -123,7 +123,7 @@
     let mut slow = request("/open/1", "", "0123456789");
     slow.truncate(slow.len() - 5);
     assert_eq!(status(&sidecar.exchange(&slow)), 408);
-    assert!(endpoint.seen().is_empty());
+    assert!(endpoint.requests().is_empty());
 }
 
 #[test]
@@ -133,20 +133,20 @@
     let head = String::from_utf8(request("/open/1", "Transfer-Encoding: chunked\r\n", "")).unwrap();
     let chunked = head.replace("Content-Length: 0\r\n", "") + "3\r\nabc\r\n4\r\ndefg\r\n0\r\n\r\n";
     assert_eq!(status(&sidecar.exchange(chunked.as_bytes())), 200);
-    assert_eq!(endpoint.seen()[0].body, b"abcdefg");
+    assert_eq!(endpoint.requests()[0].body, b"abcdefg");
 }
 
 #[test]
 fn a_request_that_may_have_run_is_never_sent_again_unless_it_may_be() {
-    let broken = Server::start(|_| Reply::Last(Vec::new()));
+    let broken = Server::start(|_| Reply::BytesThenClose(Vec::new()));
     let (_fleet, sidecar) = lone(&[&broken]);
     assert_eq!(status(&sidecar.exchange(&request("/open/1", "", ""))), 502);
-    assert_eq!(broken.seen().len(), 1);
+    assert_eq!(broken.requests().len(), 1);
 }
 
 #[test]
 fn an_answer_to_another_request_is_not_passed_on() {
-    let endpoint = Server::start(|_| answer(200, "X-Passrelay-Request-Id: other\r\n", b"not yours"));
+    let endpoint = Server::start(|_| response(200, "X-Passrelay-Request-Id: other\r\n", b"not yours"));
     let (_fleet, sidecar) = lone(&[&endpoint]);
     let answer = sidecar.exchange(&request("/open/1", "", ""));
     assert_eq!(status(&answer), 502);
@@ -156,10 +156,12 @@
 #[test]
 fn a_request_turned_away_unseen_goes_to_another_endpoint() {
     let full = || {
-        Server::start(|_| answer(503, "X-Passrelay-Request-Id: r1\r\nX-Passrelay-Not-Executed: 1\r\n", b""))
+        Server::start(|_| response(503, "X-Passrelay-Request-Id: r1\r\nX-Passrelay-Not-Executed: 1\r\n", b""))
     };
     let moved = || {
-        Server::start(|_| answer(421, "X-Passrelay-Request-Id: r1\r\nX-Passrelay-Instance-Id: i-9\r\n", b""))
+        Server::start(|_| {
+            response(421, "X-Passrelay-Request-Id: r1\r\nX-Passrelay-Instance-Id: i-9\r\n", b"")
+        })
     };
     for one in [full(), moved()] {
         let other = Server::start(|_| ok("served"));
@@ -173,8 +175,9 @@
 
 #[test]
 fn a_refusal_promises_that_nothing_ran_and_says_when_to_come_back() {
-    let full =
-        Server::start(|_| answer(503, "X-Passrelay-Request-Id: r1\r\nX-Passrelay-Not-Executed: 1\r\n", b""));
+    let full = Server::start(|_| {
+        response(503, "X-Passrelay-Request-Id: r1\r\nX-Passrelay-Not-Executed: 1\r\n", b"")
+    });
     let (_fleet, sidecar) = lone(&[&full]);
     let answer = sidecar.exchange(&request("/open/1", "", ""));
     assert_eq!(status(&answer), 503);
@@ -190,7 +193,7 @@
         text += &format!("{:x}\r\n{event}\r\n", event.len());
     }
     text += if whole { "0\r\n\r\n" } else { "9\r\nid: 99\nda\r\n" };
-    Reply::Last(text.into_bytes())
+    Reply::BytesThenClose(text.into_bytes())
 }
 
 #[test]
@@ -198,7 +201,7 @@
     let endpoint = || {
         Server::start(|message| match message.header("last-event-id") {
             Some("2") => events(3..5, true),
-            Some(_) => answer(500, "X-Passrelay-Request-Id: r1\r\n", b"wrong place"),
+            Some(_) => response(500, "X-Passrelay-Request-Id: r1\r\n", b"wrong place"),
             None => events(0..3, false),
         })
     };
@@ -208,7 +211,7 @@
     let data: Vec<&str> = answer.lines().filter_map(|line| line.strip_prefix("data: ")).collect();
     assert_eq!(data, ["0", "1", "2", "3", "4"], "{answer}");
     assert!(answer.ends_with("0\r\n\r\n"));
-    assert_eq!(one.seen().len() + other.seen().len(), 2);
+    assert_eq!(one.requests().len() + other.requests().len(), 2);
 }
 
 #[test]
@@ -218,7 +221,7 @@
     let (_fleet, sidecar) = lone(&[&endpoint, &other]);
     let answer = sidecar.exchange(&request("/sum/1", "", ""));
     assert!(answer.contains("data: 2") && !answer.ends_with("0\r\n\r\n"), "{answer}");
-    assert_eq!(endpoint.seen().len() + other.seen().len(), 1);
+    assert_eq!(endpoint.requests().len() + other.requests().len(), 1);
 }
 
 #[test]
@@ -231,7 +234,7 @@
     for _ in 0..6 {
         assert!(sidecar.exchange(&request("/look/1", "", "")).ends_with("stays"));
     }
-    assert!(leaves.seen().is_empty());
+    assert!(leaves.requests().is_empty());
 }
 
 #[test]
@@ -241,7 +244,7 @@
     assert!(!sidecar.is_ready());
     let answer = sidecar.exchange(&request("/open/1", "", ""));
     assert_eq!(status(&answer), 503, "{answer}");
-    assert_eq!(sidecar.control("GET", "/config", "", "").map(|a| a.status()), Some(404));
+    assert_eq!(sidecar.call_control("GET", "/config", "", "").map(|a| a.status()), Some(404));
 }
 
 #[test]
@@ -250,20 +253,20 @@
     let (_fleet, sidecar) = lone(&[&endpoint]);
     let mut faulty = configuration(5);
     faulty["routes"][1]["backend"] = json!("nobody");
-    let answer = sidecar.control("PUT", "/config", "If-Match: 3\r\n", &faulty.to_string()).unwrap();
+    let answer = sidecar.call_control("PUT", "/config", "If-Match: 3\r\n", &faulty.to_string()).unwrap();
     assert_eq!(answer.status(), 400);
     let text = String::from_utf8(answer.body).unwrap();
     assert!(text.contains("routes[1].backend") && text.contains("nobody"), "{text}");
-    assert_eq!(sidecar.put(0, &configuration(5)), 412);
-    assert_eq!(sidecar.put(3, &configuration(2)), 400);
+    assert_eq!(sidecar.put_configuration(0, &configuration(5)), 412);
+    assert_eq!(sidecar.put_configuration(3, &configuration(2)), 400);
     assert_eq!(
-        sidecar.control("PUT", "/config", "If-Match: 3\r\n", "{\"generation\": 4").unwrap().status(),
+        sidecar.call_control("PUT", "/config", "If-Match: 3\r\n", "{\"generation\": 4").unwrap().status(),
         400
     );
     // The order that was taken is acknowledged again, also after another one.
-    assert_eq!(sidecar.put(0, &configuration(3)), 200);
-    assert_eq!(sidecar.put(3, &configuration(6)), 200);
-    assert_eq!(sidecar.put(0, &configuration(3)), 200);
+    assert_eq!(sidecar.put_configuration(0, &configuration(3)), 200);
+    assert_eq!(sidecar.put_configuration(3, &configuration(6)), 200);
+    assert_eq!(sidecar.put_configuration(0, &configuration(3)), 200);
 }
 
 #[test]
@@ -271,12 +274,12 @@
     let fleet = Fleet::new(PROGRAM, 3);
     let mut sidecars = fleet.start_all();
     let put_anywhere = |sidecars: &[Sidecar], base: u64, generation: u64| {
-        until("the order is taken", || {
-            sidecars.iter().any(|s| s.put(base, &configuration(generation)) == 200)
+        wait_until("the order is taken", || {
+            sidecars.iter().any(|s| s.put_configuration(base, &configuration(generation)) == 200)
         });
     };
     put_anywhere(&sidecars, 0, 3);
-    until("all have it", || sidecars.iter().all(|s| s.status()["generation"] == json!(3)));
+    wait_until("all have it", || sidecars.iter().all(|s| s.status()["generation"] == json!(3)));
     let leader = sidecars.iter().position(|s| s.status()["leads"] == json!(true)).unwrap();
     let dead = sidecars.remove(leader);
     dead.signal("KILL");
@@ -284,7 +287,7 @@
     put_anywhere(&sidecars, 3, 8);
     let machine = u8::try_from(leader + 1).unwrap();
     let back = fleet.start(machine, false);
-    until("the one that was dead has it", || back.status()["generation"] == json!(8));
+    wait_until("the one that was dead has it", || back.status()["generation"] == json!(8));
 }
 
 #[test]
@@ -296,18 +299,18 @@
     let (_fleet, mut sidecar) = lone(&[&endpoint]);
     let mut client = sidecar.client();
     client.write_all(&request("/look/1", "", "")).unwrap();
-    until("the endpoint has it", || !endpoint.seen().is_empty());
+    wait_until("the endpoint has it", || !endpoint.requests().is_empty());
     sidecar.signal("TERM");
-    until("it isn't ready", || !sidecar.is_ready());
+    wait_until("it isn't ready", || !sidecar.is_ready());
     assert!(read_all(&mut client).ends_with("late but whole"));
-    assert!(sidecar.ended_well());
+    assert!(sidecar.wait_for_success());
 }
 
 /// An endpoint that never answers, and tells when the connection of a request ends.
 fn listening_for_the_end() -> (SocketAddr, std::sync::mpsc::Receiver<Duration>) {
     let (tell, told) = std::sync::mpsc::channel();
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let address = passrelay_test_support::serve_by(listener, move |_, sock| {
+    let address = passrelay_test_support::serve_connections(listener, move |_, sock| {
         let mut reader = std::io::BufReader::new(sock);
         if Message::read(&mut reader).is_some() {
             let began = std::time::Instant::now();
@@ -344,7 +347,7 @@
     let fields = "X-Passrelay-Model: m\r\nX-Passrelay-Token-Usage: 10,20\r\nX-Passrelay-Prefix-Hash: 5c:10\r\n\
                   X-Hop: 1\r\nConnection: X-Passrelay-Model, X-Passrelay-Token-Usage, X-Passrelay-Prefix-Hash, X-Hop\r\n";
     assert_eq!(status(&sidecar.exchange(&request("/open/1", fields, ""))), 200);
-    let seen = endpoint.seen().remove(0);
+    let seen = endpoint.requests().remove(0);
     assert_eq!(seen.header("x-passrelay-model"), Some("m"));
     assert_eq!(seen.header("x-passrelay-token-usage"), Some("10,20"));
     assert_eq!(seen.header("x-passrelay-prefix-hash"), Some("5c:10"));
@@ -355,7 +358,8 @@
 fn an_endpoint_that_is_not_known_is_not_told_that_its_end_is() {
     let endpoint = Server::start(|_| ok("x"));
     let (_fleet, sidecar) = lone(&[&endpoint]);
-    let leave = |id: &str| sidecar.control("DELETE", &format!("/instances/{id}"), "", "").map(|a| a.status());
+    let leave =
+        |id: &str| sidecar.call_control("DELETE", &format!("/instances/{id}"), "", "").map(|a| a.status());
     assert_eq!(leave("i-77"), Some(503));
     assert_eq!(leave("i-0"), Some(200));
     assert_eq!(leave("i-0"), Some(200), "it is known that it has gone");
@@ -374,7 +378,7 @@
 fn after_sigterm_each_request_taken_is_answered_and_those_that_would_be_cut_off_are_refused_at_once() {
     // Slow requests get their answer 5 s after they came.
     let endpoint = Server::start(|message| {
-        let slow = message.line.contains("slow");
+        let slow = message.start_line.contains("slow");
         std::thread::sleep(Duration::from_millis(if slow { 5_000 } else { 50 }));
         ok("whole")
     });
@@ -396,8 +400,10 @@
         late(6_000, "/open/quick", 600, false, 200),
     ];
     // A kept connection has had an answer before.
-    let clients: Vec<_> =
-        tries.iter().map(|t| t.kept.then(|| sidecar.kept_client(&request("/open/first", "", "")))).collect();
+    let clients: Vec<_> = tries
+        .iter()
+        .map(|t| t.kept.then(|| sidecar.keep_alive_client(&request("/open/first", "", ""))))
+        .collect();
     sidecar.signal("TERM");
     let signalled = std::time::Instant::now();
     std::thread::scope(|scope| {
@@ -428,29 +434,29 @@
             });
         }
     });
-    assert!(sidecar.ended_well());
-    let late_ones = endpoint.seen().iter().filter(|m| m.line.contains("slow")).count();
+    assert!(sidecar.wait_for_success());
+    let late_ones = endpoint.requests().iter().filter(|m| m.start_line.contains("slow")).count();
     assert_eq!(late_ones, 2, "what was refused has not run");
 }
 
 #[test]
 fn what_is_still_unanswered_when_the_process_ends_gets_a_final_answer() {
-    let endpoint = Server::start(|_| Reply::Silence);
+    let endpoint = Server::start(|_| Reply::NoResponse);
     let (_fleet, mut sidecar) = lone(&[&endpoint]);
     let mut client = sidecar.client();
     let text = String::from_utf8(request("/open/1", "", "")).unwrap().replace("Ms: 3000", "Ms: 60000");
     client.write_all(text.as_bytes()).unwrap();
-    until("the endpoint has it", || !endpoint.seen().is_empty());
+    wait_until("the endpoint has it", || !endpoint.requests().is_empty());
     sidecar.signal("TERM");
     assert_eq!(status(&read_all(&mut client)), 504);
-    assert!(sidecar.ended_well());
+    assert!(sidecar.wait_for_success());
 }
 
 #[test]
 fn a_configuration_of_many_routes_is_taken_and_reaches_everyone() {
     let fleet = Fleet::new(PROGRAM, 3);
     let sidecars = fleet.start_all();
-    until("the first order is taken", || sidecars[0].put(0, &configuration(3)) == 200);
+    wait_until("the first order is taken", || sidecars[0].put_configuration(0, &configuration(3)) == 200);
     let mut large = configuration(7);
     let routes = large["routes"].as_array_mut().unwrap();
     let template = routes[0].clone();
@@ -461,15 +467,16 @@
         routes.push(route);
     }
     for sidecar in &sidecars {
-        until("the large order is taken", || sidecar.put(3, &large) == 200);
+        wait_until("the large order is taken", || sidecar.put_configuration(3, &large) == 200);
     }
-    until("all have it", || sidecars.iter().all(|s| s.status()["generation"] == json!(7)));
+    wait_until("all have it", || sidecars.iter().all(|s| s.status()["generation"] == json!(7)));
     let change = json!({ "generation": 9, "remove": { "routes": ["more-1", "more-1999"] } });
     let headers = "If-Match: 7\r\n";
-    let patched =
-        || sidecars[2].control("PATCH", "/config", headers, &change.to_string()).map_or(0, |a| a.status());
-    until("the change is taken", || patched() == 200);
-    let read = sidecars[1].control("GET", "/config", "", "").unwrap();
+    let patched = || {
+        sidecars[2].call_control("PATCH", "/config", headers, &change.to_string()).map_or(0, |a| a.status())
+    };
+    wait_until("the change is taken", || patched() == 200);
+    let read = sidecars[1].call_control("GET", "/config", "", "").unwrap();
     let read: Value = serde_json::from_slice(&read.body).unwrap();
     assert_eq!(read["routes"].as_array().unwrap().len(), 2_002);
 }
@@ -490,12 +497,12 @@
     let fleet = Fleet::new(PROGRAM, 1);
     let sidecar = fleet.start_all().remove(0);
     let at = sidecar.control_address().to_string();
-    let file = fleet.file("configuration.json", &configuration(3).to_string());
+    let file = fleet.write_file("configuration.json", &configuration(3).to_string());
     assert_eq!(run(&["config", "check", &file]).0, Some(0));
     let mut faulty = configuration(4);
     faulty["routes"][0]["timeout-ms"] = json!(0);
     faulty["routes"][1]["backend"] = json!("nobody");
-    let bad = fleet.file("faulty.json", &faulty.to_string());
+    let bad = fleet.write_file("faulty.json", &faulty.to_string());
     let (code, text) = run(&["config", "check", &bad]);
     assert_eq!(code, Some(3));
     assert!(text.contains("routes[0].timeout-ms") && text.contains("routes[1].backend"), "{text}");
@@ -507,12 +514,12 @@
     assert_eq!(run(&["config", "diff", &file, "--at", &at]), (Some(0), String::new()));
     let mut later = configuration(5);
     later["routes"][0]["timeout-ms"] = json!(4_321);
-    let later = fleet.file("later.json", &later.to_string());
+    let later = fleet.write_file("later.json", &later.to_string());
     let (code, text) = run(&["config", "diff", &later, "--at", &at]);
     assert_eq!(code, Some(1));
     assert!(text.starts_with("~ routes ") && text.contains("timeout-ms"), "{text}");
     let (_, change) = run(&["config", "diff", &later, "--at", &at, "--output", "json"]);
-    let change = fleet.file("change.json", &change);
+    let change = fleet.write_file("change.json", &change);
     assert_eq!(run(&["config", "patch", &change, "--base", "3", "--at", &at]).0, Some(0));
     assert_eq!(run(&["config", "diff", &later, "--at", &at]), (Some(0), String::new()));
     assert_eq!(run(&["config", "diff", &bad, "--at", &at]).0, Some(3));
--- a/crates/passrelay/tests/lease.rs
+++ b/crates/passrelay/tests/lease.rs
@@ -3,7 +3,7 @@
 use passrelay_load_simulator::fault_injection::crowd;
 use passrelay_load_simulator::fault_injection::processes::{act, play, Plan};
 use passrelay_test_support::{
-    answer, config, free_address, node_line, until, Discovery, Message, Relay, Server,
+    config, free_address, node_entry, response, wait_until, Discovery, Message, Relay, Server,
 };
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Write};
@@ -34,7 +34,7 @@
         let mut fleet = Fleet { folder, voters: vec![None, None, None] };
         (1..=3).for_each(|id| fleet.vote(id));
         // All of them, not a majority: one that not all others have welcomed yet can't vote when these are killed.
-        until("all vote", || {
+        wait_until("all vote", || {
             let status = fleet.status();
             status["majority"] == true && (0..3).all(|at| status["voters"][at]["state"] == "voting")
         });
@@ -96,7 +96,7 @@
     }
 
     fn until_whole(&self) {
-        until("a majority votes", || self.status()["majority"] == true);
+        wait_until("a majority votes", || self.status()["majority"] == true);
     }
 
     /// The token that a command sees under a lease.
@@ -138,14 +138,14 @@
     assert!(fleet.token("nightly") > first);
     assert_eq!(fleet.ask(&["lease", "run", "nightly", "--", "sh", "-c", "exit 7"]).status.code(), Some(7));
     let mut holder = fleet.command(&["lease", "run", "nightly", "--", "sleep", "60"]).spawn().unwrap();
-    until("the lease is held", || fleet.shown("nightly")["state"] == "held");
+    wait_until("the lease is held", || fleet.shown("nightly")["state"] == "held");
     let refused = fleet.ask(&["lease", "run", "nightly", "--wait", "0s", "--", "true"]);
     assert_eq!(refused.status.code(), Some(124));
     assert!(String::from_utf8(refused.stderr).unwrap().contains("held by lease-run-"));
     // Let go at SIGTERM, which the command gets too.
     signal(&holder, "TERM");
     assert_eq!(holder.wait().unwrap().code(), Some(128 + 15));
-    until("it is free", || fleet.shown("nightly").is_null());
+    wait_until("it is free", || fleet.shown("nightly").is_null());
     assert_eq!(fleet.ask(&["lease", "release", "nightly"]).status.code(), Some(1), "nobody holds it");
 }
 
@@ -157,7 +157,7 @@
     let script = format!("echo $$ > {}; exec sleep 60", pid_file.display());
     let words = ["lease", "run", "job", "--ttl", "1s", "--", "sh", "-c", &script];
     let mut holder = fleet.command(&words).spawn().unwrap();
-    until("the command runs", || std::fs::read_to_string(&pid_file).is_ok_and(|p| p.ends_with('\n')));
+    wait_until("the command runs", || std::fs::read_to_string(&pid_file).is_ok_and(|p| p.ends_with('\n')));
     let pid = std::fs::read_to_string(&pid_file).unwrap().trim().to_owned();
     holder.kill().unwrap();
     let began = Instant::now();
@@ -174,7 +174,7 @@
     let fleet = Fleet::start();
     let words = ["lease", "run", "job", "--ttl", "1s", "--", "sleep", "60"];
     let mut holder = fleet.command(&words).spawn().unwrap();
-    until("the lease is held", || fleet.shown("job")["state"] == "held");
+    wait_until("the lease is held", || fleet.shown("job")["state"] == "held");
     signal(&holder, "STOP");
     let next = fleet.token("job");
     signal(&holder, "CONT");
@@ -196,7 +196,7 @@
     std::fs::remove_dir_all(fleet.folder.join("fleet-data/voter-2")).unwrap();
     fleet.vote(2);
     let state = |fleet: &Fleet| fleet.status()["voters"][1]["state"].as_str().unwrap_or("").to_owned();
-    until("voter 2 is refused", || {
+    wait_until("voter 2 is refused", || {
         state(&fleet).contains("voter 2 had another disk; remove it and add it anew")
     });
     assert!(fleet.token("job") > before + 1, "the two others go on");
@@ -224,7 +224,7 @@
     let state = |voter: usize| fleet.status()["voters"][voter - 1]["state"].as_str().unwrap_or("").to_owned();
     room(2, Some(100));
     assert!(fleet.token("job") > before, "the two others go on");
-    until("voter 2 says that its disk is full", || state(2).starts_with("no disk: "));
+    wait_until("voter 2 says that its disk is full", || state(2).starts_with("no disk: "));
     // Two of three: nothing can be lasting on a majority, so nothing is granted.
     room(3, Some(100));
     let refused = fleet.ask(&["lease", "run", "job", "--wait", "0s", "--", "true"]);
@@ -234,7 +234,7 @@
     let after = fleet.token("job");
     assert!(after > before + 1);
     room(3, None);
-    until("all vote", || (1..=3).all(|voter| state(voter) == "voting"));
+    wait_until("all vote", || (1..=3).all(|voter| state(voter) == "voting"));
     assert!(fleet.token("job") > after);
 }
 
@@ -253,7 +253,7 @@
         assert_eq!(removed.status.code(), Some(0), "{removed:?}");
         fleet.join(new, old);
         let added = || fleet.ask(&["fleet", "add", "--id", &new.to_string(), "--output", "json"]);
-        until("the new voter answers", || fleet.status().to_string().contains("waiting to be added"));
+        wait_until("the new voter answers", || fleet.status().to_string().contains("waiting to be added"));
         let said = added();
         assert_eq!(said.status.code(), Some(0), "{said:?}");
         assert_eq!(added().status.code(), Some(0), "asked for twice, it is done once");
@@ -323,15 +323,15 @@
         signal(fleet.voters[stopped].as_ref().unwrap(), "STOP");
         let began = Instant::now();
         let mut holder = fleet.command(&["lease", "run", "watched", "--", "sleep", "60"]).spawn().unwrap();
-        until("the lease is held", || fleet.shown("watched")["state"] == "held");
+        wait_until("the lease is held", || fleet.shown("watched")["state"] == "held");
         let token = fleet.shown("watched")["token"].as_u64().unwrap();
-        until("the grant is seen", || state(token, "held"));
+        wait_until("the grant is seen", || state(token, "held"));
         assert!(began.elapsed() < Duration::from_secs(9), "{:?}", began.elapsed());
         signal(&holder, "TERM");
         holder.wait().unwrap();
         signal(fleet.voters[stopped].as_ref().unwrap(), "CONT");
     }
-    until("its end is seen", || state(0, "free"));
+    wait_until("its end is seen", || state(0, "free"));
     signal(&watch, "TERM");
     assert_eq!(watch.wait().unwrap().code(), Some(0));
     reader.join().unwrap();
@@ -356,8 +356,8 @@
 #[test]
 fn a_sidecar_takes_part_only_where_its_configuration_says_so_and_requests_never_wait_for_it() {
     let fleet = Fleet::start();
-    let node = Server::start(|_| answer(200, "X-Load-Report: rps=3,cpu=0.5\r\n", b"done"));
-    let discovery = Discovery::start(vec![node_line("s-0", node.address, "in_service")]);
+    let node = Server::start(|_| response(200, "X-Load-Report: rps=3,cpu=0.5\r\n", b"done"));
+    let discovery = Discovery::start(vec![node_entry("s-0", node.address, "in_service")]);
     let config = |name: &str, file: Option<PathBuf>| {
         let mut config = config(discovery.server.address);
         config["name"] = json!(name);
@@ -374,9 +374,9 @@
         let names = list["sessions"].as_array().cloned().unwrap_or_default();
         names.iter().map(|s| s["process"].as_str().unwrap_or("").to_owned()).collect::<Vec<_>>()
     };
-    until("the member has a session", || sessions() == ["on"]);
-    alone.until_ready();
-    member.until_ready();
+    wait_until("the member has a session", || sessions() == ["on"]);
+    alone.wait_until_ready();
+    member.wait_until_ready();
     let (without, with) = (threads_and_descriptors(alone.pid()), threads_and_descriptors(member.pid()));
     assert_eq!((without.0, with.0), (1, 2));
     // A poller, its waker's pair in two descriptors at the most, and the link to one voter.
@@ -398,12 +398,12 @@
         std::thread::sleep(Duration::from_millis(5));
     }
     fleet.voters.iter().flatten().for_each(|voter| signal(voter, "CONT"));
-    until("the member has a session again", || sessions() == ["on"]);
+    wait_until("the member has a session again", || sessions() == ["on"]);
     drop(alone);
     // A planned end closes the session, long before its time to live is over.
     member.signal("TERM");
     let began = Instant::now();
-    until("the session is closed", || sessions().is_empty());
+    wait_until("the session is closed", || sessions().is_empty());
     assert!(began.elapsed() < Duration::from_secs(8), "{:?}", began.elapsed());
 }
 
--- a/crates/passrelay/tests/soak/control_calls.rs
+++ b/crates/passrelay/tests/soak/control_calls.rs
@@ -7,7 +7,7 @@
 use crate::http::call;
 use crate::operator::SERVICES;
 use crate::scenario::SoakFleet;
-use passrelay_test_support::until;
+use passrelay_test_support::wait_until;
 use serde_json::json;
 use std::process::Command;
 
@@ -76,7 +76,7 @@
     assert_eq!(run(&["rollout", "status", service]).0, Some(3), "there was none");
     assert_eq!(run(&["rollout", "start", service, "v2", "--deadline", "2"]).0, Some(0));
     assert_eq!(run(&["rollout", "start", "nowhere", "v2", "--deadline", "2"]).0, Some(3));
-    until("it is rolled back, for no endpoint came", || {
+    wait_until("it is rolled back, for no endpoint came", || {
         run(&["rollout", "status", service]).1.contains("\"rolled_back\"")
     });
     soak.in_service.iter().for_each(Endpoint::end);
--- a/crates/passrelay/tests/soak/endpoints.rs
+++ b/crates/passrelay/tests/soak/endpoints.rs
@@ -2,7 +2,7 @@
 
 use crate::http::call;
 use crate::records::{Records, Run, Time};
-use passrelay_test_support::{serve_by, Message};
+use passrelay_test_support::{serve_connections, Message};
 use rand::seq::IndexedRandom;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -64,7 +64,7 @@
             records: self.records.clone(),
             answered: AtomicUsize::new(0),
         };
-        let address = serve_by(listener, move |_, stream| server.serve(stream));
+        let address = serve_connections(listener, move |_, stream| server.serve(stream));
         let registration = Registration {
             id: id.clone(),
             body: json!({ "backend": service, "address": address.to_string(), "zone": "here",
--- a/crates/passrelay/tests/soak/faults.rs
+++ b/crates/passrelay/tests/soak/faults.rs
@@ -264,7 +264,7 @@
                     process.signal("KILL");
                 }
             }
-            if machine.process.as_mut().is_some_and(Sidecar::has_ended) {
+            if machine.process.as_mut().is_some_and(Sidecar::has_exited) {
                 let undisturbed = !self
                     .records
                     .disturbances
--- a/crates/passrelay/tests/soak/rollout_order.rs
+++ b/crates/passrelay/tests/soak/rollout_order.rs
@@ -13,7 +13,7 @@
 use crate::operator::SERVICES;
 use crate::scenario::SoakFleet;
 use passrelay_test_support::fleet::Sidecar;
-use passrelay_test_support::until;
+use passrelay_test_support::wait_until;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -82,7 +82,7 @@
         let ordered_at = Instant::now();
         assert_eq!(order(&controls, "v2", DEADLINE), Some(200));
         let second: Vec<_> = (0..4).map(|_| soak.endpoints.start(SERVICES[0], "v2", Quality::Good)).collect();
-        until("it is completed", || is_in_state(controls[3], "completed", "v2"));
+        wait_until("it is completed", || is_in_state(controls[3], "completed", "v2"));
         assert!(ordered_at.elapsed() < DEADLINE, "{:?}", ordered_at.elapsed());
         soak.in_service[..4].iter().for_each(Endpoint::end);
         let from = soak.records.now();
@@ -103,7 +103,7 @@
         let from = soak.records.now();
         assert_eq!(order(&controls, "v2", DEADLINE), Some(200));
         let second: Vec<_> = (0..4).map(|_| soak.endpoints.start(SERVICES[0], "v2", Quality::Bad)).collect();
-        until("it is rolled back", || is_in_state(controls[2], "rolled_back", "v2"));
+        wait_until("it is rolled back", || is_in_state(controls[2], "rolled_back", "v2"));
         let rolled_back_at = soak.records.now();
         assert!(rolled_back_at < from + DEADLINE, "{from:?} {rolled_back_at:?}");
         thread::sleep(Duration::from_secs(3));
@@ -124,15 +124,15 @@
     let controls = controls(&soak);
     assert_eq!(order(&controls, "v2", DEADLINE), Some(200));
     soak.processes.iter().for_each(|process| process.signal("KILL"));
-    soak.processes.iter_mut().for_each(|process| assert!(!process.ended_well()));
+    soak.processes.iter_mut().for_each(|process| assert!(!process.wait_for_success()));
     (1..=soak.fleet.tolerated_losses()).for_each(|machine| soak.fleet.wipe_disk(machine));
     let started_at = Instant::now();
     let processes: Vec<Sidecar> = (1..=6).map(|machine| soak.fleet.start(machine, false)).collect();
-    until("the order is read back", || {
+    wait_until("the order is read back", || {
         controls.iter().all(|control| rollout(*control).is_some_and(|(_, version)| version == "v2"))
     });
     assert!(started_at.elapsed() < RECOVERY, "{:?}", started_at.elapsed());
-    until("it is rolled back", || is_in_state(controls[5], "rolled_back", "v2"));
+    wait_until("it is rolled back", || is_in_state(controls[5], "rolled_back", "v2"));
     drop(processes);
     soak.in_service.iter().for_each(Endpoint::end);
 }
--- a/crates/passrelay/tests/soak/scenario.rs
+++ b/crates/passrelay/tests/soak/scenario.rs
@@ -9,7 +9,7 @@
 use crate::records::{Records, Time};
 use crate::second_versions::start_second_versions;
 use passrelay_test_support::fleet::{Fleet, Sidecar};
-use passrelay_test_support::until;
+use passrelay_test_support::wait_until;
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -81,7 +81,7 @@
         let caller = Caller { records: records.clone(), controls };
         let mut operator = Operator::new(caller, seed);
         operator.put_first(&first_document(IDLE_ROUTES));
-        until("every process is ready", || processes.iter().all(Sidecar::is_ready));
+        wait_until("every process is ready", || processes.iter().all(Sidecar::is_ready));
         let fronts = processes.iter().map(Sidecar::front_address).collect();
         SoakFleet { fleet: Arc::new(fleet), records, processes, endpoints, in_service, operator, fronts }
     }
--- a/crates/passrelay/tests/soak/seed_islands.rs
+++ b/crates/passrelay/tests/soak/seed_islands.rs
@@ -10,7 +10,7 @@
 use crate::endpoints::Endpoint;
 use crate::scenario::SoakFleet;
 use passrelay_test_support::fleet::Sidecar;
-use passrelay_test_support::until;
+use passrelay_test_support::wait_until;
 use std::thread;
 use std::time::Duration;
 
@@ -29,11 +29,11 @@
     }
     thread::sleep(SETTLED);
     processes.iter().for_each(|process| process.signal("KILL"));
-    processes.iter_mut().for_each(|process| assert!(!process.ended_well()));
+    processes.iter_mut().for_each(|process| assert!(!process.wait_for_success()));
     let processes: Vec<Sidecar> = (1..=MACHINES).map(|machine| fleet.spawn(machine)).collect();
-    until("all have the configuration", || {
+    wait_until("all have the configuration", || {
         processes.iter().all(|process| process.status()["generation"] == 1)
     });
-    until("all are ready", || processes.iter().all(Sidecar::is_ready));
+    wait_until("all are ready", || processes.iter().all(Sidecar::is_ready));
     in_service.iter().for_each(Endpoint::end);
 }
--- a/crates/passrelay/tests/soak/stale_denial.rs
+++ b/crates/passrelay/tests/soak/stale_denial.rs
@@ -11,7 +11,7 @@
 use crate::records::Records;
 use crate::scenario::SoakFleet;
 use passrelay_test_support::fleet::Sidecar;
-use passrelay_test_support::until;
+use passrelay_test_support::wait_until;
 use rstest::rstest;
 use serde_json::Value;
 use std::sync::Arc;
@@ -54,7 +54,7 @@
     let after = connection.receive().expect("an answer");
     core.iter().for_each(Sidecar::resume);
     assert_ne!(after.status(), denial, "denied by the configuration of before");
-    until("it is served", || {
+    wait_until("it is served", || {
         let answer = Connection::open(sidecar.front_address(), READ_TIMEOUT)
             .and_then(|mut connection| connection.exchange(&request(path, key)));
         answer.is_some_and(|answer| answer.status() == 200)
--- a/crates/testing/test-support/examples/endpoint.rs
+++ b/crates/testing/test-support/examples/endpoint.rs
@@ -3,7 +3,7 @@
 //!
 //! `cargo run -p passrelay-test-support --example endpoint -- CONTROL_ADDRESS SERVICE`
 
-use passrelay_test_support::{answer, Message, Reply, Server};
+use passrelay_test_support::{response, Message, Reply, Server};
 use serde_json::json;
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -41,7 +41,7 @@
     let head = format!(
         "Content-Type: text/event-stream\r\nX-Passrelay-Request-Id: {id}\r\nX-Passrelay-Instance-Load: 1,0,8\r\n"
     );
-    answer(200, &head, b"id: 1\ndata: bay 7\n\nid: 2\ndata: is free\n\n")
+    response(200, &head, b"id: 1\ndata: bay 7\n\nid: 2\ndata: is free\n\n")
 }
 
 fn heartbeat(
--- a/crates/testing/test-support/src/caller.rs
+++ b/crates/testing/test-support/src/caller.rs
@@ -1,7 +1,7 @@
 //! Callers of the sidecar in service, and their requests.
 
-use crate::process_state::is_end_acknowledged;
-use crate::{until, Message};
+use crate::process_state::is_fin_acknowledged;
+use crate::{wait_until, Message};
 use socket2::SockRef;
 use std::io::{BufReader, ErrorKind, Read, Write};
 use std::net::{Shutdown, TcpStream};
@@ -36,26 +36,26 @@
     }
 
     /// Reads one answer; `None` at the end of the connection.
-    pub fn hear(&mut self) -> Option<Message> {
+    pub fn receive(&mut self) -> Option<Message> {
         Message::read(&mut self.reader)
     }
 
     /// Writes this text and reads the answer.
-    pub fn ask(&mut self, text: &str) -> Message {
+    pub fn exchange(&mut self, text: &str) -> Message {
         self.send(text);
-        self.hear().expect("an answer")
+        self.receive().expect("an answer")
     }
 
     /// Ends its side of the connection and goes on hearing.
-    pub fn say_goodbye(&mut self) {
+    pub fn shutdown_write(&mut self) {
         let _ = self.reader.get_ref().shutdown(Shutdown::Write);
     }
 
     /// Ends the connection; returns once the other side's system has acknowledged the end, and with it all that was sent.
-    pub fn leave(mut self) {
+    pub fn close(mut self) {
         let own = self.reader.get_ref().local_addr().unwrap();
-        self.say_goodbye();
-        until("the end of the connection has arrived", || is_end_acknowledged(own));
+        self.shutdown_write();
+        wait_until("the end of the connection has arrived", || is_fin_acknowledged(own));
     }
 
     /// Leaves by a reset.
@@ -64,7 +64,7 @@
     }
 
     /// Reads to the end of the connection, however it ends: how much came, and its last bytes.
-    pub fn read_on(&mut self) -> (usize, Vec<u8>) {
+    pub fn drain(&mut self) -> (usize, Vec<u8>) {
         let (mut heard, mut last, mut piece) = (0, Vec::new(), vec![0; 1 << 16]);
         while let Ok(n @ 1..) = self.reader.read(&mut piece) {
             heard += n;
@@ -78,14 +78,14 @@
     /// # Errors
     ///
     /// Fails where the connection is reset instead.
-    pub fn rest(&mut self) -> std::io::Result<Vec<u8>> {
+    pub fn read_to_end(&mut self) -> std::io::Result<Vec<u8>> {
         let mut rest = Vec::new();
         self.reader.read_to_end(&mut rest).map(|_| rest)
     }
 
     /// Whether the other side ends the connection, after whatever it still sends.
-    pub fn is_ended(&mut self) -> bool {
-        let end = self.rest();
+    pub fn is_closed_by_peer(&mut self) -> bool {
+        let end = self.read_to_end();
         end.is_ok() || end.is_err_and(|e| e.kind() == ErrorKind::ConnectionReset)
     }
 }
--- a/crates/testing/test-support/src/discovery.rs
+++ b/crates/testing/test-support/src/discovery.rs
@@ -1,6 +1,6 @@
 //! Discovery, as the sidecar in service knows it.
 
-use crate::{answer, Server};
+use crate::{response, Server};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 /// A line of the node list.
-pub fn node_line(host: &str, address: SocketAddr, health: &str) -> Value {
+pub fn node_entry(host: &str, address: SocketAddr, health: &str) -> Value {
     json!({"host": host, "dial": address.to_string(), "site": "a", "class": "m", "block": 0,
            "health": health, "share": 1.0, "born_ms": 0})
 }
@@ -26,7 +26,7 @@
         let list = Arc::new(Mutex::new(json!({"seq": 1, "whole": true, "hosts": lines})));
         let held = list.clone();
         let server = Server::start(move |message| {
-            let value = |name| message.line.split(name).nth(1).and_then(|s| s.split(['&', ' ']).next());
+            let value = |name| message.start_line.split(name).nth(1).and_then(|s| s.split(['&', ' ']).next());
             let since = value("since=");
             let wait = value("timeout_ms=")
                 .and_then(|ms| ms.parse().ok())
@@ -37,13 +37,13 @@
                 thread::sleep(Duration::from_millis(5));
             }
             let body = held.lock().unwrap().to_string();
-            answer(200, "", body.as_bytes())
+            response(200, "", body.as_bytes())
         });
         Discovery { server, list }
     }
 
     /// Replaces the list.
-    pub fn tell(&self, lines: Vec<Value>) {
+    pub fn set_nodes(&self, lines: Vec<Value>) {
         let mut list = self.list.lock().unwrap();
         let seq = list["seq"].as_u64().unwrap() + 1;
         *list = json!({"seq": seq, "whole": true, "hosts": lines});
--- a/crates/testing/test-support/src/fleet.rs
+++ b/crates/testing/test-support/src/fleet.rs
@@ -1,7 +1,7 @@
 //! Processes of the router fleet on loopback: each fleet has addresses of its own, one for each machine.
 
-use crate::process_state::until_stopped;
-use crate::{until, Message};
+use crate::process_state::wait_until_stopped;
+use crate::{wait_until, Message};
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -131,7 +131,7 @@
     }
 
     /// Writes a file beside the fleet's; returns its path.
-    pub fn file(&self, name: &str, text: &str) -> String {
+    pub fn write_file(&self, name: &str, text: &str) -> String {
         let path = self.folder.join(name);
         std::fs::write(&path, text).expect("the file is written");
         path.display().to_string()
@@ -140,7 +140,7 @@
     /// Starts all machines for the first time and waits until one leads.
     pub fn start_all(&self) -> Vec<Sidecar> {
         let sidecars: Vec<Sidecar> = (1..=self.machines).map(|m| self.start(m, true)).collect();
-        until("a primary leads", || sidecars.iter().any(|s| s.status()["leads"] == json!(true)));
+        wait_until("a primary leads", || sidecars.iter().any(|s| s.status()["leads"] == json!(true)));
         sidecars
     }
 
@@ -150,13 +150,13 @@
     /// # Panics
     ///
     /// Panics where a heartbeat or the configuration is rejected, or the machine isn't ready in time.
-    pub fn start_in_service(&self, endpoints: &[SocketAddr], configuration: &Value) -> Sidecar {
+    pub fn start_serving(&self, endpoints: &[SocketAddr], configuration: &Value) -> Sidecar {
         let sidecar = self.start_all().remove(0);
         for (index, address) in endpoints.iter().enumerate() {
             assert_eq!(sidecar.heartbeat(&format!("i-{index}"), "bays", *address, "ready", 1), 200);
         }
-        assert_eq!(sidecar.put(0, configuration), 200);
-        sidecar.until_ready();
+        assert_eq!(sidecar.put_configuration(0, configuration), 200);
+        sidecar.wait_until_ready();
         sidecar
     }
 }
@@ -186,7 +186,7 @@
     }
 
     /// Whether the process has ended, by itself or by a signal.
-    pub fn has_ended(&mut self) -> bool {
+    pub fn has_exited(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(Some(_)))
     }
 
@@ -210,7 +210,7 @@
     }
 
     /// A client's connection that stays open after the answer to a request.
-    pub fn kept_client(&self, request: &[u8]) -> TcpStream {
+    pub fn keep_alive_client(&self, request: &[u8]) -> TcpStream {
         let mut stream = self.client();
         let text = String::from_utf8_lossy(request).replace("Connection: close\r\n", "");
         stream.write_all(text.as_bytes()).expect("the request is written");
@@ -228,7 +228,7 @@
     }
 
     /// A call to its control port.
-    pub fn control(&self, method: &str, path: &str, headers: &str, body: &str) -> Option<Message> {
+    pub fn call_control(&self, method: &str, path: &str, headers: &str, body: &str) -> Option<Message> {
         let mut stream = self.connect(CONTROL)?;
         let length = body.len();
         let head =
@@ -239,14 +239,14 @@
 
     /// What it says of itself; null while it doesn't.
     pub fn status(&self) -> Value {
-        let answer = self.control("GET", "/status", "", "");
+        let answer = self.call_control("GET", "/status", "", "");
         answer.and_then(|a| serde_json::from_slice(&a.body).ok()).unwrap_or(Value::Null)
     }
 
     /// Sends a whole configuration; the status of the answer, 0 for none.
-    pub fn put(&self, base: u64, configuration: &Value) -> u16 {
+    pub fn put_configuration(&self, base: u64, configuration: &Value) -> u16 {
         let headers = format!("If-Match: {base}\r\n");
-        self.control("PUT", "/config", &headers, &configuration.to_string()).map_or(0, |a| a.status())
+        self.call_control("PUT", "/config", &headers, &configuration.to_string()).map_or(0, |a| a.status())
     }
 
     /// Sends an endpoint's heartbeat; the status of the answer, 0 for none.
@@ -254,7 +254,7 @@
         let body = json!({ "backend": service, "address": address.to_string(), "zone": "here", "capacity": 8,
             "state": state, "sequence": sequence });
         let path = format!("/instances/{id}");
-        self.control("PUT", &path, "", &body.to_string()).map_or(0, |a| a.status())
+        self.call_control("PUT", &path, "", &body.to_string()).map_or(0, |a| a.status())
     }
 
     /// Whether clients may come.
@@ -265,8 +265,8 @@
     }
 
     /// Waits until clients may come.
-    pub fn until_ready(&self) {
-        until("it is ready", || self.is_ready());
+    pub fn wait_until_ready(&self) {
+        wait_until("it is ready", || self.is_ready());
     }
 
     /// Sends a signal by its name without SIG.
@@ -290,7 +290,7 @@
     /// Stops the process; returns once it stands still.
     pub fn pause(&self) {
         self.signal("STOP");
-        until_stopped(self.child.id());
+        wait_until_stopped(self.child.id());
     }
 
     /// Lets a paused process go on.
@@ -299,7 +299,7 @@
     }
 
     /// Waits for its end; true if it ended well.
-    pub fn ended_well(&mut self) -> bool {
+    pub fn wait_for_success(&mut self) -> bool {
         self.child.wait().is_ok_and(|status| status.success())
     }
 }
--- a/crates/testing/test-support/src/lib.rs
+++ b/crates/testing/test-support/src/lib.rs
@@ -9,11 +9,11 @@
 mod server;
 
 pub use caller::{request, Caller};
-pub use discovery::{node_line, Discovery};
+pub use discovery::{node_entry, Discovery};
 pub use message::Message;
-pub use process_state::is_dialed;
+pub use process_state::is_connecting;
 pub use relay::{config, config_file, free_address, settings, Relay};
-pub use server::{answer, full_listener, serve_by, Reply, Server};
+pub use server::{full_listener, response, serve_connections, Reply, Server};
 
 use std::thread;
 use std::time::{Duration, Instant};
@@ -22,7 +22,7 @@
 const PATIENCE: Duration = Duration::from_secs(20);
 
 /// Waits for a condition.
-pub fn until(what: &str, condition: impl Fn() -> bool) {
+pub fn wait_until(what: &str, condition: impl Fn() -> bool) {
     let began = Instant::now();
     while !condition() {
         assert!(began.elapsed() < PATIENCE, "waited in vain until {what}");
--- a/crates/testing/test-support/src/message.rs
+++ b/crates/testing/test-support/src/message.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Message {
     /// The first line.
-    pub line: String,
+    pub start_line: String,
     /// Names in lower case, with their values.
     pub headers: Vec<(String, String)>,
     /// The body.
@@ -24,7 +24,7 @@
 
     /// The status of an answer; 0 if it has none.
     pub fn status(&self) -> u16 {
-        self.line.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
+        self.start_line.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
     }
 
     /// Reads one message framed by a length; `None` at the end of the connection.
@@ -39,7 +39,7 @@
             }
             match line.trim_end() {
                 "" => break,
-                text if message.line.is_empty() => message.line = text.to_owned(),
+                text if message.start_line.is_empty() => message.start_line = text.to_owned(),
                 text => {
                     let (name, value) = text.split_once(':')?;
                     message.headers.push((name.to_ascii_lowercase(), value.trim().to_owned()));
--- a/crates/testing/test-support/src/process_state.rs
+++ b/crates/testing/test-support/src/process_state.rs
@@ -1,6 +1,6 @@
 //! What the system says of processes and sockets: whether something has happened that only the kernel knows of.
 
-use crate::until;
+use crate::wait_until;
 use std::net::SocketAddr;
 
 /// State of a socket in `/proc/net/tcp` whose connection has been asked for and not come up.
@@ -30,21 +30,21 @@
 }
 
 /// Whether the other side's system has acknowledged the end of the loopback connection from this address.
-pub fn is_end_acknowledged(own: SocketAddr) -> bool {
+pub fn is_fin_acknowledged(own: SocketAddr) -> bool {
     let own = listed_address(own);
     listed_sockets().iter().any(|socket| socket.local == own && socket.state == FIN_WAIT_2)
 }
 
 /// Whether some process waits for a connection to this loopback address to come up.
-pub fn is_dialed(address: SocketAddr) -> bool {
+pub fn is_connecting(address: SocketAddr) -> bool {
     let address = listed_address(address);
     listed_sockets().iter().any(|socket| socket.remote == address && socket.state == SYN_SENT)
 }
 
 /// Waits until a process that was sent SIGSTOP stands still, so that whatever happens next happens before its next turn.
-pub fn until_stopped(pid: u32) {
+pub fn wait_until_stopped(pid: u32) {
     let status = format!("/proc/{pid}/status");
-    until("it stands still", || {
+    wait_until("it stands still", || {
         std::fs::read_to_string(&status).is_ok_and(|text| text.contains("\nState:\tT"))
     });
 }
--- a/crates/testing/test-support/src/relay.rs
+++ b/crates/testing/test-support/src/relay.rs
@@ -1,7 +1,7 @@
 //! The sidecar in service as a process, with its configuration.
 
-use crate::process_state::until_stopped;
-use crate::{node_line, request, until, Caller, Discovery, Message, Server, PATIENCE};
+use crate::process_state::wait_until_stopped;
+use crate::{node_entry, request, wait_until, Caller, Discovery, Message, Server, PATIENCE};
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -68,11 +68,11 @@
 impl Relay {
     /// Starts the program and waits until it listens.
     pub fn start(program: &str, config: &Value) -> Relay {
-        Relay::start_limited(program, config, 1024)
+        Relay::start_with_fd_limit(program, config, 1024)
     }
 
     /// The same under a limit of the system on descriptors.
-    pub fn start_limited(program: &str, config: &Value, descriptors: u32) -> Relay {
+    pub fn start_with_fd_limit(program: &str, config: &Value, descriptors: u32) -> Relay {
         let path = config_file(config);
         let mut child = Command::new("/bin/sh")
             .args(["-c", &format!("ulimit -n {descriptors}; exec {program}")])
@@ -92,38 +92,38 @@
         let address = config["listen"].as_str().unwrap().parse().unwrap();
         let operator = config["operator"].as_str().map(|at| at.parse().unwrap());
         let relay = Relay { address, operator, child, file: path, log, log_ended };
-        relay.until_logged("event=started");
+        relay.wait_for_log("event=started");
         relay
     }
 
     /// Starts a sidecar with these nodes, all in service, and waits until it is ready.
-    pub fn before(program: &str, nodes: &[&Server]) -> (Relay, Discovery) {
+    pub fn start_with_nodes(program: &str, nodes: &[&Server]) -> (Relay, Discovery) {
         let addresses: Vec<_> = nodes.iter().map(|s| s.address).collect();
-        Relay::before_with(program, &addresses, |_| {})
+        Relay::start_configured(program, &addresses, |_| {})
     }
 
     /// The same before nodes at these addresses, with a change to its configuration.
-    pub fn before_with(
+    pub fn start_configured(
         program: &str,
         nodes: &[SocketAddr],
         change: impl Fn(&mut Value),
     ) -> (Relay, Discovery) {
-        let lines = nodes.iter().enumerate().map(|(n, at)| node_line(&format!("s-{n}"), *at, "in_service"));
+        let lines = nodes.iter().enumerate().map(|(n, at)| node_entry(&format!("s-{n}"), *at, "in_service"));
         let discovery = Discovery::start(lines.collect());
         let mut told = config(discovery.server.address);
         change(&mut told);
         let relay = Relay::start(program, &told);
-        relay.until_ready();
+        relay.wait_until_ready();
         (relay, discovery)
     }
 
     /// Waits until it says that it is ready.
-    pub fn until_ready(&self) {
-        until("it is ready", || self.caller().ask("GET /ready HTTP/1.1\r\n\r\n").status() == 200);
+    pub fn wait_until_ready(&self) {
+        wait_until("it is ready", || self.caller().exchange("GET /ready HTTP/1.1\r\n\r\n").status() == 200);
     }
 
     /// The first log line that holds this text.
-    pub fn logged(&self, text: &str) -> Option<String> {
+    pub fn find_log(&self, text: &str) -> Option<String> {
         self.log.lock().unwrap().iter().find(|l| l.contains(text)).cloned()
     }
 
@@ -133,13 +133,13 @@
     }
 
     /// Waits for a log line that holds this text.
-    pub fn until_logged(&self, text: &str) -> String {
-        until(&format!("'{text}' is logged"), || self.logged(text).is_some());
-        self.logged(text).unwrap()
+    pub fn wait_for_log(&self, text: &str) -> String {
+        wait_until(&format!("'{text}' is logged"), || self.find_log(text).is_some());
+        self.find_log(text).unwrap()
     }
 
     /// A call to its operators' address, which its configuration has to name, on a connection of its own.
-    pub fn operator_call(&self, text: &str) -> Message {
+    pub fn call_operator(&self, text: &str) -> Message {
         let mut sock = TcpStream::connect(self.operator.expect("an operators' address")).unwrap();
         sock.set_read_timeout(Some(PATIENCE)).unwrap();
         sock.write_all(text.as_bytes()).unwrap();
@@ -148,13 +148,13 @@
 
     /// What it says of itself there.
     pub fn status(&self) -> Value {
-        let reply = self.operator_call("GET /status HTTP/1.1\r\nHost: x\r\n\r\n");
+        let reply = self.call_operator("GET /status HTTP/1.1\r\nHost: x\r\n\r\n");
         serde_json::from_slice(&reply.body).unwrap()
     }
 
     /// Waits until it owes no answer and holds no client's connection.
-    pub fn until_nobody_is_there(&self) {
-        until("all clients have gone", || {
+    pub fn wait_until_idle(&self) {
+        wait_until("all clients have gone", || {
             let status = self.status();
             (status["owed"].as_u64(), status["clients"].as_u64()) == (Some(0), Some(0))
         });
@@ -169,7 +169,7 @@
 
     /// One request on a connection of its own.
     pub fn call(&self, class: &str, budget: f64) -> Message {
-        self.caller().ask(&request(class, budget, b""))
+        self.caller().exchange(&request(class, budget, b""))
     }
 
     /// Its process.
@@ -191,7 +191,7 @@
     /// Stops the process; returns once it stands still.
     pub fn pause(&self) {
         self.signal("STOP");
-        until_stopped(self.child.id());
+        wait_until_stopped(self.child.id());
     }
 
     /// Lets a paused process go on.
@@ -206,8 +206,8 @@
     }
 
     /// Waits for the end; true if the program ended well.
-    pub fn ended_well(&mut self) -> bool {
-        until("its log ends", || self.log_ended.load(Ordering::SeqCst));
+    pub fn wait_for_success(&mut self) -> bool {
+        wait_until("its log ends", || self.log_ended.load(Ordering::SeqCst));
         self.child.wait().unwrap().success()
     }
 
--- a/crates/testing/test-support/src/server.rs
+++ b/crates/testing/test-support/src/server.rs
@@ -14,15 +14,15 @@
     /// Writes this and keeps the connection.
     Bytes(Vec<u8>),
     /// Writes this, then closes.
-    Last(Vec<u8>),
+    BytesThenClose(Vec<u8>),
     /// Writes this, then resets the connection.
-    Reset(Vec<u8>),
+    BytesThenReset(Vec<u8>),
     /// Says nothing and keeps the connection.
-    Silence,
+    NoResponse,
 }
 
 /// An answer with a length.
-pub fn answer(status: u16, more: &str, body: &[u8]) -> Reply {
+pub fn response(status: u16, more: &str, body: &[u8]) -> Reply {
     let head = format!("HTTP/1.1 {status} X\r\nContent-Length: {}\r\n{more}\r\n", body.len());
     Reply::Bytes([head.as_bytes(), body].concat())
 }
@@ -38,31 +38,34 @@
 impl Server {
     /// A server on a free port of loopback.
     pub fn start(reply: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> Server {
-        Server::on(TcpListener::bind("127.0.0.1:0").unwrap(), reply)
+        Server::from_listener(TcpListener::bind("127.0.0.1:0").unwrap(), reply)
     }
 
     /// A server on this listener.
-    pub fn on(listener: TcpListener, reply: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> Server {
+    pub fn from_listener(
+        listener: TcpListener,
+        reply: impl Fn(&Message) -> Reply + Send + Sync + 'static,
+    ) -> Server {
         let (seen, ended) = (Arc::new(Mutex::new(Vec::new())), Arc::new(AtomicUsize::new(0)));
         let (coming, gone) = (seen.clone(), ended.clone());
-        let address = serve_by(listener, move |number, mut sock| {
+        let address = serve_connections(listener, move |number, mut sock| {
             let mut reader = BufReader::new(sock.try_clone().unwrap());
             while let Some(message) = Message::read(&mut reader) {
                 coming.lock().unwrap().push(Message { connection: number, ..message.clone() });
                 match reply(&message) {
                     Reply::Bytes(bytes) => drop(sock.write_all(&bytes)),
-                    Reply::Last(bytes) => {
+                    Reply::BytesThenClose(bytes) => {
                         let _ = sock.write_all(&bytes);
                         break;
                     }
-                    Reply::Reset(bytes) => {
+                    Reply::BytesThenReset(bytes) => {
                         let _ = sock.write_all(&bytes);
                         let _ = SockRef::from(&sock).set_linger(Some(Duration::ZERO));
                         drop((reader, sock));
                         gone.fetch_add(1, Ordering::SeqCst);
                         return;
                     }
-                    Reply::Silence => {}
+                    Reply::NoResponse => {}
                 }
             }
             // Counted only once the other side can see the end. A process that another test starts just
@@ -75,19 +78,19 @@
     }
 
     /// What has come in so far.
-    pub fn seen(&self) -> Vec<Message> {
+    pub fn requests(&self) -> Vec<Message> {
         self.seen.lock().unwrap().clone()
     }
 
     /// Connections that have ended.
-    pub fn ended(&self) -> usize {
+    pub fn closed_connections(&self) -> usize {
         self.ended.load(Ordering::SeqCst)
     }
 }
 
 /// Serves each connection to this listener by a script of the test's own, on a thread of its own; the script gets the
 /// connection's number.
-pub fn serve_by(
+pub fn serve_connections(
     listener: TcpListener,
     script: impl Fn(usize, TcpStream) + Send + Sync + 'static,
 ) -> SocketAddr {
