--- a/crates/router/control-plane/src/coordinator/operator_calls.rs
+++ b/crates/router/control-plane/src/coordinator/operator_calls.rs
@@ -1,23 +1,26 @@
-//! Operator calls: forwarded to the primary, adjudicated there, and answered once the answer is safe to give.
+//! Operator calls: they are forwarded to the primary, evaluated there, and answered once the answer is safe to give.
 //!
 //! A call is a state machine:
 //!
 //! ```text
-//! Open --adjudicated by the established primary--> AwaitCommit                  change applied, now or before
-//!  |                                               AwaitRejectionConfirmation  change does not apply
-//!  |                                               AwaitReadConfirmation       read
-//!  |                                               HistoryTruncated            undecidable: unavailable
+//! Open --evaluated by the established primary--> AwaitCommit                 change applied, now or before
+//!  |                                             AwaitRejectionConfirmation  change does not apply
+//!  |                                             AwaitReadConfirmation       read
+//!  |                                             AwaitMajority               rollout accepted, now or before
+//!  |                                             AwaitOrderRejection         rollout not accepted
+//!  |                                             AwaitRolloutRead            read of a rollout
+//!  |                                             HistoryTruncated            undecidable: unavailable
 //!  +--on any other process: forwarded to the primary, whose answer completes it
 //! ```
 //!
-//! Safety: a change is adjudicated against the primary's newest state, which may not be committed yet. An
-//! acknowledgement waits until that state is committed. A rejection waits for that too, and then until a quorum has
-//! confirmed, at or after the adjudication, that there is no later primary; a read waits for such a confirmation and
-//! serves the committed state. Without the confirmation a deposed primary could answer from an old state.
-//! If the term changes while a call waits, its adjudication is void and the operator has to retry.
+//! Safety: a change is evaluated against the primary's newest state, which may not be committed yet. An acknowledgement
+//! waits until that state is committed. A rejection waits for that too, and then until a quorum has confirmed, at or
+//! after the evaluation, that there is no later primary; a read waits for such a confirmation and serves the committed
+//! state. Without the confirmation, a deposed primary could answer from an old state. If the term changes while a call
+//! waits, its evaluation is void and the operator has to retry.
 //!
-//! Calls are retried at any step without harm: a change is recognised by its digest
-//! ([`ConfigurationChange::adjudicate`]). Nothing here is durable.
+//! Retrying a call is safe at any step: a change is recognised by its digest ([`ConfigurationChange::evaluate`]). Nothing
+//! here is durable.
 
 #[cfg(test)]
 mod tests;
@@ -34,30 +37,30 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// Timeout of a call; then 503, and the operator retries elsewhere. Operators are promised an answer within a second,
-/// so this stays below it.
+/// Timeout of a call. The operator then receives status 503 and retries at another process. Operators are guaranteed an
+/// answer within one second, so the timeout is below that.
 const CALL_TIMEOUT: Duration = Duration::from_millis(850);
-/// Interval at which a call is forwarded again to the same primary: messages may be lost. Two retries fit into
+/// Interval at which a call is forwarded again to the same primary, since messages may be lost. Two retries fit into
 /// [`CALL_TIMEOUT`].
 const FORWARD_RETRY_INTERVAL: Duration = Duration::from_millis(300);
 
-/// What operator calls see of the core.
-pub(super) struct Core<'a> {
-    /// The replica of this process, on voters.
+/// The parts of the coordinator that operator calls depend on.
+pub(super) struct CoreView<'a> {
+    /// The replica of this process; `None` unless it is a voter whose disk is open.
     replica: Option<&'a mut Replica>,
-    /// Address of the primary, as far as gossip knows it.
+    /// Address of the primary, if known through gossip.
     primary: Option<SocketAddrV4>,
-    /// The controller of roll-outs.
+    /// The rollout controller of this process.
     rollouts: &'a ControllerLifecycle,
 }
 
-impl<'a> Core<'a> {
+impl<'a> CoreView<'a> {
     pub(super) fn new(
         replica: Option<&'a mut Replica>,
         gossip: &Gossip,
         rollouts: &'a ControllerLifecycle,
     ) -> Self {
-        Core { replica, primary: gossip.core().map(|core| core.primary), rollouts }
+        CoreView { replica, primary: gossip.core().map(|core| core.primary), rollouts }
     }
 
     fn established_replica(&mut self) -> Option<&mut Replica> {
@@ -65,16 +68,16 @@
     }
 }
 
-/// Where a call came from. Identifies the call: a forwarded one that arrives twice is one call.
+/// The origin of a call. It identifies the call, so that a forwarded call that arrives twice counts once.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Caller {
     /// An operator connected to this process.
     Local(CallId),
-    /// Another process, which has the operator's connection.
+    /// Another process, to which the operator is connected.
     Forwarded { origin: Peer, call: CallId },
 }
 
-/// The calls of this process that are not answered yet.
+/// The pending calls of this process.
 #[derive(Default)]
 pub(super) struct OperatorCalls {
     /// In order of arrival, one per caller.
@@ -82,10 +85,10 @@
 }
 
 impl OperatorCalls {
-    /// Adds a call and advances all calls. A duplicate of a pending call is ignored.
+    /// Adds a call and advances all calls. Ignores a duplicate of a pending call.
     pub(super) fn submit(
         &mut self,
-        core: Core<'_>,
+        core: CoreView<'_>,
         caller: Caller,
         request: OperatorRequest,
         context: &mut Context<'_>,
@@ -98,7 +101,7 @@
         self.advance(core, context);
     }
 
-    /// The primary has answered a forwarded call. Later answers to the same call are ignored.
+    /// Handles the primary's answer to a call forwarded by this process. Ignores later answers to the same call.
     pub(super) fn complete_forwarded(
         &mut self,
         call: CallId,
@@ -112,8 +115,8 @@
         }
     }
 
-    /// Advances every call as far as possible, and answers those that are complete or timed out.
-    pub(super) fn advance(&mut self, mut core: Core<'_>, context: &mut Context<'_>) {
+    /// Advances every call as far as possible, and answers those that are complete or have timed out.
+    pub(super) fn advance(&mut self, mut core: CoreView<'_>, context: &mut Context<'_>) {
         for mut call in std::mem::take(&mut self.pending) {
             match call.advance(&mut core, context) {
                 Some(outcome) => call.answer(outcome, context),
@@ -124,7 +127,7 @@
     }
 }
 
-/// A call that is not answered yet.
+/// A call that has not been answered yet.
 struct Call {
     caller: Caller,
     request: OperatorRequest,
@@ -133,12 +136,12 @@
 }
 
 impl Call {
-    /// Takes the next transition, if it is possible now. Returns the outcome of a call that is complete.
-    fn advance(&mut self, core: &mut Core<'_>, context: &mut Context<'_>) -> Option<OperatorOutcome> {
+    /// Makes the next transition, if it is possible now. Returns the outcome if the call is complete.
+    fn advance(&mut self, core: &mut CoreView<'_>, context: &mut Context<'_>) -> Option<OperatorOutcome> {
         if matches!(self.state, CallState::Open { .. }) {
             let rollouts = core.rollouts;
             match core.established_replica() {
-                Some(replica) => self.state = adjudicate(&self.request, replica, rollouts, context)?,
+                Some(replica) => self.state = evaluate(&self.request, replica, rollouts, context)?,
                 None => {
                     self.forward(core.primary, context);
                     return None;
@@ -148,9 +151,9 @@
         self.state.outcome(core.replica.as_deref()?)
     }
 
-    /// Sends a local call to the primary, if another process is that: at once to a new primary, at intervals to the
-    /// same. Forwarded calls are not forwarded again: two processes that each regard the other as the primary
-    /// would loop.
+    /// Sends a local call to the primary, if that is another process: immediately to a new primary, at intervals to the
+    /// same one. Forwarded calls are not forwarded again, since two processes that each regard the other as the primary
+    /// would forward them in a loop.
     fn forward(&mut self, primary: Option<SocketAddrV4>, context: &mut Context<'_>) {
         let CallState::Open { forwarded } = &mut self.state else { return };
         let Caller::Local(call) = self.caller else { return };
@@ -159,7 +162,7 @@
         if forwarded.as_ref().is_some_and(|forwarded| forwarded.is_in_flight(now, primary)) {
             return;
         }
-        *forwarded = Some(Forwarded { to: primary, at: now });
+        *forwarded = Some(Forwarded { to: primary, sent_at: now });
         let message = OperatorMessage::Call { call, request: self.request.clone() };
         context.send(primary, Message::Operator(message));
     }
@@ -180,46 +183,47 @@
     }
 }
 
-/// The last forwarding of a call.
+/// The most recent forwarding of a call.
 struct Forwarded {
     to: SocketAddrV4,
-    at: Duration,
+    sent_at: Duration,
 }
 
 impl Forwarded {
-    /// Whether an answer of this primary may still be on its way.
+    /// Returns whether an answer of `primary` may still be in transit.
     fn is_in_flight(&self, now: Duration, primary: SocketAddrV4) -> bool {
-        self.to == primary && now.saturating_sub(self.at) < FORWARD_RETRY_INTERVAL
+        self.to == primary && now.saturating_sub(self.sent_at) < FORWARD_RETRY_INTERVAL
     }
 }
 
-/// How far a call has got. All states but `Open` are reached only on the primary of the term that they name, and are
+/// The state of a call. All states except `Open` are reached only on the primary of the term that they contain, and are
 /// void in any other term.
 enum CallState {
-    /// Not adjudicated: this process is not the established primary, or not yet.
+    /// Not evaluated: this process is not the established primary, or not yet.
     Open { forwarded: Option<Forwarded> },
     /// A change that is acknowledged once the state at `position` is committed.
     AwaitCommit { position: StateVersion, generation: u64 },
-    /// An order of a roll-out, acknowledged once the state at `position` is committed and on a majority of disks.
+    /// A rollout order that is acknowledged once the state at `position` is committed and on a majority of disks.
     AwaitMajority { position: StateVersion },
-    /// An order that is rejected once a quorum has confirmed the primary at or after `adjudicated_at`.
-    AwaitOrderRejection { position: StateVersion, adjudicated_at: Duration, rejection: OrderRejection },
-    /// A read of a roll-out, served once a quorum has confirmed the primary at or after `requested_at` and the state is on a majority
-    /// of disks.
+    /// A rollout order that is rejected once the state at `position` is committed and a quorum has confirmed the primary
+    /// at or after `evaluated_at`.
+    AwaitOrderRejection { position: StateVersion, evaluated_at: Duration, rejection: OrderRejection },
+    /// A read of a rollout that is served once a quorum has confirmed the primary at or after `requested_at` and the
+    /// committed state is on a majority of disks.
     AwaitRolloutRead { term: u64, requested_at: Duration, service: String },
-    /// A rejection, valid once the state at `position` is committed and a quorum has confirmed the primary at or after
-    /// `adjudicated_at`.
-    AwaitRejectionConfirmation { position: StateVersion, adjudicated_at: Duration, rejection: Rejection },
-    /// A read, served once a quorum has confirmed the primary at or after `requested_at`.
+    /// A change that is rejected once the state at `position` is committed and a quorum has confirmed the primary at or
+    /// after `evaluated_at`.
+    AwaitRejectionConfirmation { position: StateVersion, evaluated_at: Duration, rejection: Rejection },
+    /// A read that is served once a quorum has confirmed the primary at or after `requested_at`.
     AwaitReadConfirmation { term: u64, requested_at: Duration },
-    /// A change that may have been applied and dropped from the history since.
+    /// A change that may have been applied and since been dropped from the history.
     HistoryTruncated { term: u64 },
 }
 
 impl CallState {
-    /// The outcome, once it is safe to answer with.
+    /// Returns the outcome, once the call can safely be answered with it.
     fn outcome(&self, replica: &Replica) -> Option<OperatorOutcome> {
-        let term = self.adjudicated_term()?;
+        let term = self.evaluated_term()?;
         let committed = replica.committed().filter(|_| replica.is_established());
         let Some(committed) = committed.filter(|committed| committed.version.term == term) else {
             return Some(Err(OperatorError::PrimaryChanged));
@@ -228,9 +232,9 @@
             CallState::Open { .. } => None,
             CallState::AwaitCommit { position, generation } => (committed.version.index >= position.index)
                 .then_some(Ok(OperatorReply::Acknowledged { generation: *generation })),
-            CallState::AwaitRejectionConfirmation { position, adjudicated_at, rejection } => {
-                let confirmed = replica.confirmed_at() >= Some(*adjudicated_at)
-                    || replica.mutation().rejects_unconfirmed();
+            CallState::AwaitRejectionConfirmation { position, evaluated_at, rejection } => {
+                let confirmed =
+                    replica.confirmed_at() >= Some(*evaluated_at) || replica.mutation().rejects_unconfirmed();
                 (committed.version.index >= position.index && confirmed)
                     .then(|| Err(OperatorError::Rejected(rejection.clone())))
             }
@@ -240,26 +244,26 @@
                 confirmed.then(|| read(committed))
             }
             CallState::AwaitMajority { position } => {
-                let is_durable =
-                    committed.version.index >= position.index && replica.is_on_majority(position.index);
+                let is_durable = committed.version.index >= position.index
+                    && replica.is_durable_on_majority(position.index);
                 is_durable.then_some(Ok(OperatorReply::RolloutAccepted))
             }
-            CallState::AwaitOrderRejection { position, adjudicated_at, rejection } => {
-                let confirmed = replica.confirmed_at() >= Some(*adjudicated_at);
+            CallState::AwaitOrderRejection { position, evaluated_at, rejection } => {
+                let confirmed = replica.confirmed_at() >= Some(*evaluated_at);
                 (committed.version.index >= position.index && confirmed)
                     .then(|| Err(OperatorError::OrderRejected(rejection.clone())))
             }
             CallState::AwaitRolloutRead { requested_at, service, .. } => {
                 let confirmed = replica.confirmed_at() >= Some(*requested_at);
-                (confirmed && replica.is_on_majority(committed.version.index))
+                (confirmed && replica.is_durable_on_majority(committed.version.index))
                     .then(|| read_rollout(committed, service))
             }
             CallState::HistoryTruncated { .. } => Some(Err(OperatorError::HistoryTruncated)),
         }
     }
 
-    /// The term of the primary that adjudicated the call.
-    fn adjudicated_term(&self) -> Option<u64> {
+    /// Returns the term of the primary that evaluated the call; `None` for an open call.
+    fn evaluated_term(&self) -> Option<u64> {
         match self {
             CallState::Open { .. } => None,
             CallState::AwaitCommit { position, .. }
@@ -273,21 +277,22 @@
     }
 }
 
-/// A confirmed read of the committed state.
+/// Returns the outcome of a confirmed read of the configuration.
 fn read(committed: &ReplicatedState) -> OperatorOutcome {
     let document = committed.document.clone().ok_or(OperatorError::NotConfigured)?;
     Ok(OperatorReply::Document(document))
 }
 
-/// A confirmed read of a service's roll-out.
+/// Returns the outcome of a confirmed read of a service's rollout.
 fn read_rollout(committed: &ReplicatedState, service: &str) -> OperatorOutcome {
     let rollouts = committed.rollouts.get(service);
     let rollout = rollouts.and_then(|rollouts| rollouts.all().next()).ok_or(OperatorError::NoRollout)?;
     Ok(OperatorReply::Rollout(rollout.clone()))
 }
 
-/// Adjudicates a request on an established primary. `None` if a change cannot be proposed right now; the call stays open.
-fn adjudicate(
+/// Evaluates a request on an established primary. Returns `None` if a change cannot be proposed at the moment; the call
+/// then stays open.
+fn evaluate(
     request: &OperatorRequest,
     replica: &mut Replica,
     rollouts: &ControllerLifecycle,
@@ -299,8 +304,8 @@
             let term = replica.state().version.term;
             Some(CallState::AwaitReadConfirmation { term, requested_at: context.now() })
         }
-        OperatorRequest::Change(change) => adjudicate_change(change, replica, context),
-        OperatorRequest::OrderRollout(order) => adjudicate_order(order, replica, rollouts, context),
+        OperatorRequest::Change(change) => evaluate_change(change, replica, context),
+        OperatorRequest::OrderRollout(order) => evaluate_order(order, replica, rollouts, context),
         OperatorRequest::ReadRollout { service } => {
             replica.request_confirmation();
             let term = replica.state().version.term;
@@ -310,8 +315,8 @@
     }
 }
 
-/// Adjudicates an order of a roll-out against the newest state, committed or not.
-fn adjudicate_order(
+/// Evaluates a rollout order against the newest state, committed or not.
+fn evaluate_order(
     order: &RolloutOrder,
     replica: &mut Replica,
     rollouts: &ControllerLifecycle,
@@ -321,14 +326,14 @@
     let state = replica.state().clone();
     let position = state.version;
     if !rollouts.is_enabled() {
-        let rejection = OrderRejection::NotInContract;
-        return Some(CallState::AwaitOrderRejection { position, adjudicated_at: now, rejection });
+        let rejection = OrderRejection::RolloutsNotEnabled;
+        return Some(CallState::AwaitOrderRejection { position, evaluated_at: now, rejection });
     }
-    match rollout::adjudicate(order, &state, |id| rollouts.age(now, id)) {
+    match rollout::evaluate_order(order, &state, |id| rollouts.age(now, id)) {
         OrderVerdict::AlreadyAccepted => Some(CallState::AwaitMajority { position }),
         OrderVerdict::Reject(rejection) => {
             replica.request_confirmation();
-            Some(CallState::AwaitOrderRejection { position, adjudicated_at: now, rejection })
+            Some(CallState::AwaitOrderRejection { position, evaluated_at: now, rejection })
         }
         OrderVerdict::Accept(accepted) => {
             let versions = state.service_versions.clone();
@@ -340,9 +345,9 @@
     }
 }
 
-/// Adjudicates a change against the newest state, committed or not: changes are proposed one on the other without
-/// waiting for the commit of the one before.
-fn adjudicate_change(
+/// Evaluates a change against the newest state, committed or not: a change is proposed on top of its predecessor without
+/// waiting for that one to be committed.
+fn evaluate_change(
     change: &ConfigurationChange,
     replica: &mut Replica,
     context: &mut Context<'_>,
@@ -350,14 +355,14 @@
     let now = context.now();
     let state = replica.state().clone();
     let position = state.version;
-    let same_number = replica.mutation().is_applied_by_generation(change, &state);
-    let verdict = if same_number { Verdict::AlreadyApplied } else { change.adjudicate(&state) };
+    let is_applied_by_generation = replica.mutation().is_applied_by_generation(change, &state);
+    let verdict = if is_applied_by_generation { Verdict::AlreadyApplied } else { change.evaluate(&state) };
     match verdict {
         Verdict::HistoryTruncated => Some(CallState::HistoryTruncated { term: position.term }),
         Verdict::AlreadyApplied => Some(CallState::AwaitCommit { position, generation: state.generation }),
         Verdict::Reject(rejection) => {
             replica.request_confirmation();
-            Some(CallState::AwaitRejectionConfirmation { position, adjudicated_at: now, rejection })
+            Some(CallState::AwaitRejectionConfirmation { position, evaluated_at: now, rejection })
         }
         Verdict::Apply { generation, document, applied_change } => {
             let index = context.step_replica(replica, |replica, actions| {
--- a/crates/router/data-plane/src/balancer/outlier.rs
+++ b/crates/router/data-plane/src/balancer/outlier.rs
@@ -6,7 +6,7 @@
 //!   as long as the rate stays high. The caller decides whether outliers are skipped, since it knows all
 //!   endpoints of the service ([`may_eject`]).
 
-use passrelay_dissemination::{EndpointLoad, OutcomeCounts, Outcomes};
+use passrelay_dissemination::{DecayingOutcomes, EndpointLoad, OutcomeCounts};
 use std::time::Duration;
 
 /// Minimum number of recent failures, after decay, for an endpoint to be an outlier.
@@ -35,7 +35,7 @@
 #[derive(Debug, Default)]
 pub(super) struct OutlierDetector {
     /// Outcomes of this router's requests; older ones decay.
-    outcomes: Outcomes,
+    outcomes: DecayingOutcomes,
     /// Outcomes of this router's requests since the last load report to the fleet.
     unreported: UnreportedOutcomes,
     /// Number of failures since the last response.
@@ -71,10 +71,10 @@
     /// Returns whether the failure rate is high, either over this router's requests or over those that
     /// several routers reported.
     pub(super) fn is_outlier(&self, now: Duration, peers: Option<&EndpointLoad>) -> bool {
-        let OutcomeCounts { answered, failed } = self.outcomes.decayed(now);
-        has_high_failure_rate(answered, failed)
+        let OutcomeCounts { succeeded, failed } = self.outcomes.decayed(now);
+        has_high_failure_rate(succeeded, failed)
             || peers
-                .is_some_and(|load| has_high_failure_rate(f64::from(load.answered), f64::from(load.failed)))
+                .is_some_and(|load| has_high_failure_rate(f64::from(load.succeeded), f64::from(load.failed)))
     }
 
     /// Returns whether there are outcomes that are not in any load report yet.
--- a/crates/router/data-plane/tests/balancer.rs
+++ b/crates/router/data-plane/tests/balancer.rs
@@ -258,7 +258,7 @@
     let own_report = balancer.take_load_report();
     let totals_with_failing = |count: usize| -> HashMap<u64, EndpointLoad> {
         let endpoints = own_report.iter().take(count);
-        endpoints.map(|load| (load.endpoint, EndpointLoad { failed: 5, answered: 3, ..*load })).collect()
+        endpoints.map(|load| (load.endpoint, EndpointLoad { failed: 5, succeeded: 3, ..*load })).collect()
     };
     balancer.observe_fleet_load(ms(60), &own_report, &totals_with_failing(1));
     let used: HashSet<Arc<str>> = picked_ids(&mut balancer, ms(100), 40).into_iter().collect();
