--- a/crates/router/control-plane/src/configuration_change.rs
+++ b/crates/router/control-plane/src/configuration_change.rs
@@ -11,8 +11,8 @@
 //! - Bounded history: only a limited number of digests is kept. A change that does not apply and may be older than the
 //!   history is neither acknowledged nor rejected ([`Verdict::HistoryTruncated`]), since either could be wrong.
 //!
-//! A verdict does not imply commitment. It is based on a state that may not be committed, and on the assumption that this
-//! process is still the primary; `coordinator::operator_calls` waits until both are certain before it answers the
+//! A verdict does not imply commitment. It is based on a state that may not be committed, and on the assumption that
+//! this process is still the primary; `coordinator::operator_calls` waits until both are certain before it answers the
 //! operator.
 
 use crate::replication::{AppliedChange, ReplicatedState};
@@ -73,10 +73,11 @@
         /// Entry for the history of applied changes.
         applied_change: AppliedChange,
     },
-    /// The change does not apply. It is to be rejected once the state is committed and a quorum has confirmed the primary.
+    /// The change does not apply. It is to be rejected once the state is committed and a quorum has confirmed the
+    /// primary.
     Reject(Rejection),
-    /// The change is based on a generation before the history of applied changes, so it may have been applied and dropped
-    /// from the history. Neither an acknowledgement nor a rejection would be safe.
+    /// The change is based on a generation before the history of applied changes, so it may have been applied and
+    /// dropped from the history. Neither an acknowledgement nor a rejection would be safe.
     HistoryTruncated,
 }
 
@@ -117,8 +118,8 @@
         }
     }
 
-    /// Returns the configuration that results from this change. Parses the body before checking the generation, so that a
-    /// malformed body is rejected as such, however old its base is.
+    /// Returns the configuration that results from this change. Parses the body before checking the generation, so
+    /// that a malformed body is rejected as such, however old its base is.
     fn apply(&self, state: &ReplicatedState) -> Result<Applied, Rejection> {
         let body = parse_document(self.body.as_bytes()).map_err(Rejection::Invalid)?;
         if self.base != state.generation {
--- a/crates/router/control-plane/src/coordinator.rs
+++ b/crates/router/control-plane/src/coordinator.rs
@@ -56,9 +56,9 @@
     pub tolerated_losses: usize,
     /// How far the fleet may exceed a tenant's quota.
     pub quota_bounds: QuotaBounds,
-    /// Whether a version of a service receives requests only after it was recorded or ordered. Otherwise endpoints of all
-    /// versions are equivalent, unless the configuration sets a version. Operators can order rollouts only if this is
-    /// set.
+    /// Whether a version of a service receives requests only after it was recorded or ordered. Otherwise endpoints of
+    /// all versions are equivalent, unless the configuration sets a version. Operators can order rollouts only if this
+    /// is set.
     pub records_versions: bool,
     /// Requests that a new version may receive before it is judged, in rollouts.
     pub exposure_bound: ExposureBound,
@@ -274,8 +274,9 @@
         self.operator_calls.submit(core, caller, request, context);
     }
 
-    /// Advances everything that depends on the replica. Runs after every event that may have changed it. Publication goes
-    /// first, so that gossip and the grantor use the committed state before an operator receives its acknowledgement.
+    /// Advances everything that depends on the replica. Runs after every event that may have changed it. Publication
+    /// goes first, so that gossip and the grantor use the committed state before an operator receives its
+    /// acknowledgement.
     fn advance(&mut self, context: &mut Context<'_>) {
         self.publish(context);
         self.record_versions(context);
--- a/crates/router/control-plane/src/coordinator/bootstrap.rs
+++ b/crates/router/control-plane/src/coordinator/bootstrap.rs
@@ -1,8 +1,8 @@
 //! Routing of replication messages, and the bootstrap of a non-voting seed.
 //!
-//! A voter's replica handles all replication messages, including those of the bootstrap. A seed that is not a voter has
-//! no replica, but the other seeds wait until it announces this, and if no seed is a voter, the first of them proposes the
-//! first record. [`NonVotingSeed`](crate::replication::NonVotingSeed) does both until the core is known.
+//! A voter's replica handles all replication messages, including those of the bootstrap. A seed that is not a voter
+//! has no replica, but the other seeds wait until it announces this, and if no seed is a voter, the first of them
+//! proposes the first record. [`NonVotingSeed`](crate::replication::NonVotingSeed) does both until the core is known.
 
 use super::context::Context;
 use super::Coordinator;
@@ -45,8 +45,8 @@
         context.append_replica_actions(self.replication_sender(), replica_actions);
     }
 
-    /// Returns the member that this process sends replication messages for. Without a replica this is the placeholder for
-    /// an unknown member, so that no message of this process counts as a vote.
+    /// Returns the member that this process sends replication messages for. Without a replica this is the placeholder
+    /// for an unknown member, so that no message of this process counts as a vote.
     fn replication_sender(&self) -> Member {
         let unknown_member = Member { id: MemberId::UNKNOWN, address: self.own.address };
         self.replica.as_ref().map_or(unknown_member, Replica::own)
--- a/crates/router/control-plane/src/coordinator/operator_calls.rs
+++ b/crates/router/control-plane/src/coordinator/operator_calls.rs
@@ -19,8 +19,8 @@
 //! state. Without the confirmation, a deposed primary could answer from an old state. If the term changes while a call
 //! waits, its evaluation is void and the operator has to retry.
 //!
-//! Retrying a call is safe at any step: a change is recognised by its digest ([`ConfigurationChange::evaluate`]). Nothing
-//! here is durable.
+//! Retrying a call is safe at any step: a change is recognised by its digest ([`ConfigurationChange::evaluate`]).
+//! Nothing here is durable.
 
 #[cfg(test)]
 mod tests;
@@ -205,8 +205,8 @@
     AwaitCommit { position: StateVersion, generation: u64 },
     /// A rollout order that is acknowledged once the state at `position` is committed and on a majority of disks.
     AwaitMajority { position: StateVersion },
-    /// A rollout order that is rejected once the state at `position` is committed and a quorum has confirmed the primary
-    /// at or after `evaluated_at`.
+    /// A rollout order that is rejected once the state at `position` is committed and a quorum has confirmed the
+    /// primary at or after `evaluated_at`.
     AwaitOrderRejection { position: StateVersion, evaluated_at: Duration, rejection: OrderRejection },
     /// A read of a rollout that is served once a quorum has confirmed the primary at or after `requested_at` and the
     /// committed state is on a majority of disks.
@@ -345,8 +345,8 @@
     }
 }
 
-/// Evaluates a change against the newest state, committed or not: a change is proposed on top of its predecessor without
-/// waiting for that one to be committed.
+/// Evaluates a change against the newest state, committed or not: a change is proposed on top of its predecessor
+/// without waiting for that one to be committed.
 fn evaluate_change(
     change: &ConfigurationChange,
     replica: &mut Replica,
--- a/crates/router/control-plane/src/coordinator/publication.rs
+++ b/crates/router/control-plane/src/coordinator/publication.rs
@@ -13,9 +13,9 @@
 use std::sync::Arc;
 
 impl Coordinator {
-    /// Publishes the location of the core and the committed state if this process is the primary, and starts, configures
-    /// or stops the grantor, the version recorder and the rollout controller accordingly. Without a replica, there is
-    /// nothing to publish.
+    /// Publishes the location of the core and the committed state if this process is the primary, and starts,
+    /// configures or stops the grantor, the version recorder and the rollout controller accordingly. Without a
+    /// replica, there is nothing to publish.
     pub(super) fn publish(&mut self, context: &mut Context<'_>) {
         let Some(replica) = &self.replica else { return };
         let now = context.now();
--- a/crates/router/control-plane/src/coordinator/quota_grantor.rs
+++ b/crates/router/control-plane/src/coordinator/quota_grantor.rs
@@ -1,9 +1,9 @@
 //! Life cycle of the quota grantor: it starts when this process becomes the established primary of a term, reports its
 //! bucket levels to the members while it grants, and ends with the term.
 //!
-//! The next grantor resumes from the last reported levels, so that a change of primary neither refills spent buckets nor
-//! drops debts. Levels are reported as best effort and not replicated: a grantor without them starts with nearly empty
-//! buckets. The bucket arithmetic and the fencing between grantors are in [`quota`](crate::quota).
+//! The next grantor resumes from the last reported levels, so that a change of primary neither refills spent buckets
+//! nor drops debts. Levels are reported as best effort and not replicated: a grantor without them starts with nearly
+//! empty buckets. The bucket arithmetic and the fencing between grantors are in [`quota`](crate::quota).
 
 use super::context::Context;
 use super::Coordinator;
@@ -13,8 +13,8 @@
 use passrelay_dissemination::{CoreHint, Peer};
 use std::time::Duration;
 
-/// Interval between reports of the bucket levels to the other members. At a failover, the reported levels are older than
-/// the last grants by up to about this interval.
+/// Interval between reports of the bucket levels to the other members. At a failover, the reported levels are older
+/// than the last grants by up to about this interval.
 const LEVELS_REPORT_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The grantor of this process while it is the established primary, and the data for resuming from a predecessor.
@@ -33,16 +33,16 @@
         GrantorLifecycle { bounds, grantor: None, reported_levels: None, next_levels_report: Duration::ZERO }
     }
 
-    /// Stops granting. Keeps the final levels, unless those of a successor have already been received: if this process is
-    /// also the next grantor, it resumes from them.
+    /// Stops granting. Keeps the final levels, unless those of a successor have already been received: if this process
+    /// is also the next grantor, it resumes from them.
     pub(super) fn stop(&mut self, now: Duration) {
         let Some(mut grantor) = self.grantor.take() else { return };
         let levels = grantor.levels(now);
         self.observe_levels(now, levels);
     }
 
-    /// Starts a grantor unless there already is one of this term, and returns whether it did. `primary_since` is the time
-    /// after which no earlier primary is confirmed.
+    /// Starts a grantor unless there already is one of this term, and returns whether it did. `primary_since` is the
+    /// time after which no earlier primary is confirmed.
     pub(super) fn start_term(&mut self, now: Duration, term: u64, primary_since: Option<Duration>) -> bool {
         if self.grantor.as_ref().is_some_and(|grantor| grantor.term() == term) {
             return false;
@@ -111,8 +111,8 @@
         }
     }
 
-    /// Responds to a token request. A grantor that no quorum has confirmed recently does not respond, so that the sidecar
-    /// uses its reserve.
+    /// Responds to a token request. A grantor that no quorum has confirmed recently does not respond, so that the
+    /// sidecar uses its reserve.
     fn grant_tokens(&mut self, request: &TokenRequest, context: &mut Context<'_>) {
         let now = context.now();
         let confirmed_at = self
@@ -120,8 +120,8 @@
             .as_ref()
             .and_then(|replica| replica.mutation().grant_confirmation_time(now, replica.confirmed_at()));
         let Some(grantor) = &mut self.quota.grantor else { return };
-        // Sidecars that have not requested tokens yet are known from load reports, or from the gossip view, which does not
-        // include this process.
+        // Sidecars that have not requested tokens yet are known from load reports, or from the gossip view, which does
+        // not include this process.
         grantor.set_sidecar_count(self.load_totals.reporter_count().max(self.gossip.view().len() + 1));
         let TokenRequest { requester, request_id, wanted, overdrawn } = request;
         let Some(granted) = grantor.grant(now, confirmed_at, requester.address, wanted, overdrawn) else {
--- a/crates/router/control-plane/src/coordinator/rollouts.rs
+++ b/crates/router/control-plane/src/coordinator/rollouts.rs
@@ -1,7 +1,7 @@
 //! Life cycle of the rollout controller, which exists while this process is the established primary of a term.
 //!
-//! Its decisions are replicated like any change. It grants shares only while a quorum has confirmed the primary recently,
-//! so that a partitioned or deposed primary stops granting and the leases that it has granted expire.
+//! Its decisions are replicated like any change. It grants shares only while a quorum has confirmed the primary
+//! recently, so that a partitioned or deposed primary stops granting and the leases that it has granted expire.
 
 use super::context::Context;
 use super::version_recorder::is_newest_state_committed;
--- a/crates/router/control-plane/src/coordinator/version_recorder.rs
+++ b/crates/router/control-plane/src/coordinator/version_recorder.rs
@@ -1,10 +1,10 @@
-//! Records which version of each service is in service, so that endpoints of other versions receive no requests until an
-//! operator orders such a version.
+//! Records which version of each service is in service, so that endpoints of other versions receive no requests until
+//! an operator orders such a version.
 //!
 //! The established primary records a version as soon as it knows a ready endpoint of the service: the version of most
-//! ready endpoints. After that, only operators change it, by the service's `version` in the configuration or by a rollout.
-//! Recorded versions are replicated and committed like any change, so that neither a new primary nor a restart of all
-//! machines chooses a version again from the endpoints of that moment.
+//! ready endpoints. After that, only operators change it, by the service's `version` in the configuration or by a
+//! rollout. Recorded versions are replicated and committed like any change, so that neither a new primary nor a
+//! restart of all machines chooses a version again from the endpoints of that moment.
 
 use super::context::Context;
 use super::Coordinator;
@@ -19,8 +19,8 @@
     enabled: bool,
     /// The services of the committed configuration, each with the version that the configuration sets, if any.
     services: BTreeMap<String, Option<String>>,
-    /// Registry revision and state version of the last examination. It is not repeated for the same ones, since the result
-    /// would be the same.
+    /// Registry revision and state version of the last examination. It is not repeated for the same ones, since the
+    /// result would be the same.
     last_examined: Option<(u64, StateVersion)>,
 }
 
@@ -36,8 +36,8 @@
         self.last_examined = None;
     }
 
-    /// Returns the version that should be in service for each service: the one set by the configuration, else the recorded
-    /// one, else that of most ready endpoints.
+    /// Returns the version that should be in service for each service: the one set by the configuration, else the
+    /// recorded one, else that of most ready endpoints.
     fn desired_versions(&self, recorded: &ServiceVersions, registry: &Registry) -> ServiceVersions {
         let version = |(service, set): (&String, &Option<String>)| {
             let known = set.clone().or_else(|| recorded.get(service).map(str::to_owned));
@@ -61,8 +61,8 @@
 }
 
 impl Coordinator {
-    /// Proposes the versions that should be in service if they differ from the recorded ones, provided that this process
-    /// is the established primary and its newest state is committed.
+    /// Proposes the versions that should be in service if they differ from the recorded ones, provided that this
+    /// process is the established primary and its newest state is committed.
     pub(super) fn record_versions(&mut self, context: &mut Context<'_>) {
         let Some(replica) = &mut self.replica else { return };
         if !self.versions.enabled || !is_newest_state_committed(replica) {
--- a/crates/router/control-plane/src/load/endpoint_outcomes.rs
+++ b/crates/router/control-plane/src/load/endpoint_outcomes.rs
@@ -48,7 +48,8 @@
         RoundedOutcomes { answered: decayed.succeeded.round() as u32, failed: failed.round() as u32 }
     }
 
-    /// Returns whether any sidecar has reported failures recently. Such a report counts towards a quorum, reached or not.
+    /// Returns whether any sidecar has reported failures recently. Such a report counts towards a quorum, reached or
+    /// not.
     pub(super) fn has_failure_reporters(&self) -> bool {
         !self.failure_reporters.is_empty()
     }
--- a/crates/router/control-plane/src/load/totals.rs
+++ b/crates/router/control-plane/src/load/totals.rs
@@ -33,8 +33,8 @@
 }
 
 impl LoadTotals {
-    /// Handles a load report: replaces the load of the sidecar `from`, accumulates the reported outcomes, and returns the
-    /// response with the totals, which may be some milliseconds old.
+    /// Handles a load report: replaces the load of the sidecar `from`, accumulates the reported outcomes, and returns
+    /// the response with the totals, which may be some milliseconds old.
     pub fn handle_report(
         &mut self,
         now: Duration,
@@ -53,8 +53,8 @@
         LoadMessage::Totals { request_id, sidecars, loads: self.totals.clone() }
     }
 
-    /// Returns the number of sidecars with a recent report. Reports that have timed out are counted until the totals are
-    /// computed again.
+    /// Returns the number of sidecars with a recent report. Reports that have timed out are counted until the totals
+    /// are computed again.
     pub fn reporter_count(&self) -> usize {
         self.reports.len()
     }
--- a/crates/router/control-plane/src/messages.rs
+++ b/crates/router/control-plane/src/messages.rs
@@ -77,13 +77,14 @@
     Load(LoadMessage),
     /// Forwarded operator calls and their answers.
     Operator(OperatorMessage),
-    /// Reports of rollouts, and granted shares. Earlier builds do not know this variant and drop the message, so they do
-    /// not take part in rollouts.
+    /// Reports of rollouts, and granted shares. Earlier builds do not know this variant and drop the message, so they
+    /// do not take part in rollouts.
     Rollout(RolloutMessage),
 }
 
 impl Message {
-    /// Returns whether this message responds to a request, and so is valid only for the incarnation that sent the request.
+    /// Returns whether this message responds to a request, and so is valid only for the incarnation that sent the
+    /// request.
     pub fn is_response(&self) -> bool {
         match self {
             Message::Replication(envelope) => envelope.message.is_response(),
@@ -99,8 +100,8 @@
 /// A message with its sender and, for a response, the incarnation that it is addressed to.
 ///
 /// Several processes may listen at an address in succession, so a message in transit to one may reach its successor.
-/// Request ids restart with each process, so a successor could match the response to a request of its own. A response is
-/// therefore accepted only by the incarnation that sent the request.
+/// Request ids restart with each process, so a successor could match the response to a request of its own. A response
+/// is therefore accepted only by the incarnation that sent the request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
     /// Incarnation of the sending process.
@@ -112,8 +113,8 @@
 }
 
 impl Envelope {
-    /// Returns whether the process with this incarnation may handle the message. No process may handle a response without
-    /// an addressee.
+    /// Returns whether the process with this incarnation may handle the message. No process may handle a response
+    /// without an addressee.
     pub fn is_addressed_to(&self, incarnation: Incarnation) -> bool {
         match self.addressee {
             Some(addressee) => addressee == incarnation,
--- a/crates/router/control-plane/src/quota/grantor.rs
+++ b/crates/router/control-plane/src/quota/grantor.rs
@@ -7,8 +7,8 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// A grantor grants only if a quorum has confirmed it within this time. Its successor waits for the same time before its
-/// first grant, so that the two never grant at the same time.
+/// A grantor grants only if a quorum has confirmed it within this time. Its successor waits for the same time before
+/// its first grant, so that the two never grant at the same time.
 const MAX_CONFIRMATION_AGE: Duration = Duration::from_millis(400);
 /// Time for which a grant may be spent, measured from when the sidecar requested it.
 pub const GRANT_LIFETIME: Duration = Duration::from_millis(1_500);
@@ -22,8 +22,8 @@
 const RESERVE_AFTER_UNKNOWN_LEVELS_S: f64 = 0.5;
 /// Reported levels that are older than this when a new grantor starts are not used.
 const MAX_LEVELS_AGE: Duration = Duration::from_secs(3);
-/// Fraction of the permitted overshoot and slack that a bucket may accumulate beyond its burst; the rest covers reserves
-/// and changes of grantor.
+/// Fraction of the permitted overshoot and slack that a bucket may accumulate beyond its burst; the rest covers
+/// reserves and changes of grantor.
 const ACCUMULATED_SLACK_FRACTION: f64 = 0.3;
 /// A sidecar receives a share of the reserve until it has sent no request for this long.
 const REQUESTER_TIMEOUT: Duration = Duration::from_secs(8);
@@ -76,9 +76,9 @@
 }
 
 impl Grantor {
-    /// Creates the grantor of a term that started at `started_at`, in the time of this process. It resumes from the levels
-    /// in `reported`, if they are recent and from an earlier term. The predecessor may still grant for up to the maximum
-    /// confirmation age after `started_at`, so this grantor starts granting after that.
+    /// Creates the grantor of a term that started at `started_at`, in the time of this process. It resumes from the
+    /// levels in `reported`, if they are recent and from an earlier term. The predecessor may still grant for up to
+    /// the maximum confirmation age after `started_at`, so this grantor starts granting after that.
     pub fn new(
         started_at: Duration,
         term: u64,
@@ -153,9 +153,9 @@
     }
 
     /// Charges `overdrawn` to the buckets, then grants up to `wanted` tokens as far as the buckets contain them.
-    /// `confirmed_at` is the last time at which a quorum confirmed this grantor. Returns `None` if that is too long ago or
-    /// the predecessor may still grant; then nothing is charged either, and the sidecar reports the same overdrawn tokens
-    /// with its next request.
+    /// `confirmed_at` is the last time at which a quorum confirmed this grantor. Returns `None` if that is too long
+    /// ago or the predecessor may still grant; then nothing is charged either, and the sidecar reports the same
+    /// overdrawn tokens with its next request.
     pub fn grant(
         &mut self,
         now: Duration,
--- a/crates/router/control-plane/src/quota/messages.rs
+++ b/crates/router/control-plane/src/quota/messages.rs
@@ -8,8 +8,8 @@
 const NAME_TERMINATOR: u8 = 0xff;
 
 /// Identifies a tenant in messages: SipHash-1-3 of its name, with a zero key and a terminating byte. The algorithm is
-/// implemented explicitly instead of through the standard library's default hasher, so that processes of all builds agree
-/// on it. The values equal those sent by earlier builds.
+/// implemented explicitly instead of through the standard library's default hasher, so that processes of all builds
+/// agree on it. The values equal those sent by earlier builds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TenantKey(pub u64);
 
@@ -78,7 +78,8 @@
         request_id: u64,
         /// Tokens requested, by tenant.
         wanted: Vec<TenantTokens>,
-        /// Tokens spent from the reserve, by tenant, and not yet acknowledged by a grant. They are charged to the buckets.
+        /// Tokens spent from the reserve, by tenant, and not yet acknowledged by a grant. They are charged to the
+        /// buckets.
         overdrawn: Vec<TenantTokens>,
     },
     /// The grantor responds to a request, with fewer tokens than requested, or none, if the bucket is low.
--- a/crates/router/control-plane/src/quota/token_bucket.rs
+++ b/crates/router/control-plane/src/quota/token_bucket.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-/// Maximum debt, in seconds of the refill rate. This limits the time for which a tenant is granted nothing after spending
-/// from reserves.
+/// Maximum debt, in seconds of the refill rate. This limits the time for which a tenant is granted nothing after
+/// spending from reserves.
 const MAX_DEBT_S: f64 = 3.0;
 /// A bucket at or above this fraction of its capacity is nearly full.
 pub(super) const NEARLY_FULL_FRACTION: f64 = 0.9;
@@ -31,8 +31,8 @@
         self.rate_per_s
     }
 
-    /// Changes rate and capacity. The bucket is first refilled at the old rate up to `now`; tokens beyond the new capacity
-    /// are discarded.
+    /// Changes rate and capacity. The bucket is first refilled at the old rate up to `now`; tokens beyond the new
+    /// capacity are discarded.
     pub(super) fn set_limit(&mut self, now: Duration, rate_per_s: f64, capacity: f64) {
         self.refill(now);
         self.rate_per_s = rate_per_s;
--- a/crates/router/control-plane/src/replication/bootstrap_election.rs
+++ b/crates/router/control-plane/src/replication/bootstrap_election.rs
@@ -25,8 +25,9 @@
     seeds: Vec<SocketAddrV4>,
     tolerated_losses: usize,
     voter_discovery: VoterDiscovery,
-    /// Identities of the voting seeds, by address. Invariant: the first identity seen at an address is kept. A seed that
-    /// loses its disk during the bootstrap returns with a new identity, which must not vote in place of the first.
+    /// Identities of the voting seeds, by address. Invariant: the first identity seen at an address is kept. A seed
+    /// that loses its disk during the bootstrap returns with a new identity, which must not vote in place of the
+    /// first.
     seed_ids: BTreeMap<SocketAddrV4, MemberId>,
     /// Addresses of the seeds that have announced that they are not voters.
     non_voting_seeds: BTreeSet<SocketAddrV4>,
@@ -59,8 +60,8 @@
         self.non_voting_seeds.insert(address);
     }
 
-    /// Returns the electorate of the first record, as a record of term 0 that is never stored or sent. Returns `None` if
-    /// this member is not a seed.
+    /// Returns the electorate of the first record, as a record of term 0 that is never stored or sent. Returns `None`
+    /// if this member is not a seed.
     pub(super) fn electorate(&self, now: Duration) -> Option<EpochRecord> {
         let mutated = self.mutation.bootstrap_electorate(self.own, || self.voter_discovery.members(now));
         let members = mutated.or_else(|| self.voting_seeds())?;
--- a/crates/router/control-plane/src/replication/epoch.rs
+++ b/crates/router/control-plane/src/replication/epoch.rs
@@ -38,8 +38,8 @@
 /// The configuration of the core in one epoch. Members agree on it by vote; it determines who may commit states.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EpochRecord {
-    /// Term of its primary. Invariant: a term has at most one primary, since each voter promises a term to one candidate
-    /// only.
+    /// Term of its primary. Invariant: a term has at most one primary, since each voter promises a term to one
+    /// candidate only.
     pub term: u64,
     /// Number of the record within its term, from 0. Invariant: a primary proposes one record at a time, so two records
     /// of the same position are equal. Only a bootstrap without voting seeds cannot guarantee this.
--- a/crates/router/control-plane/src/replication/identity.rs
+++ b/crates/router/control-plane/src/replication/identity.rs
@@ -25,8 +25,8 @@
     pub address: SocketAddrV4,
 }
 
-/// The sender of a message. A reply is addressed to the incarnation that sent the request, not to a later process at the
-/// same address.
+/// The sender of a message. A reply is addressed to the incarnation that sent the request, not to a later process at
+/// the same address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Sender {
     /// The member for which the message was sent.
--- a/crates/router/control-plane/src/replication/leadership.rs
+++ b/crates/router/control-plane/src/replication/leadership.rs
@@ -1,7 +1,7 @@
 //! The primary of one term: heartbeats, replication of states, and changes of the epoch record.
 //!
-//! It handles neither elections nor its own disk; [`super::Replica`] reports what is durable locally, in the same way as
-//! other members report it.
+//! It handles neither elections nor its own disk; [`super::Replica`] reports what is durable locally, in the same way
+//! as other members report it.
 
 mod heartbeat;
 mod heartbeat_rounds;
@@ -41,8 +41,8 @@
     started_at: Duration,
     /// The newest record of this term that a quorum has accepted.
     in_force: Option<EpochRecord>,
-    /// The record awaiting acceptance. Invariant: at most one record is proposed at a time, and its sequence follows that
-    /// of the record in force.
+    /// The record awaiting acceptance. Invariant: at most one record is proposed at a time, and its sequence follows
+    /// that of the record in force.
     proposal: Option<Proposal>,
     rounds: HeartbeatRounds,
     next_heartbeat: Duration,
@@ -113,8 +113,8 @@
         self.rounds.confirmed_at()
     }
 
-    /// Advances the timers: pings peers, resends the proposal, sends the newest state to lagging members, and proposes the
-    /// next change of the record.
+    /// Advances the timers: pings peers, resends the proposal, sends the newest state to lagging members, and proposes
+    /// the next change of the record.
     pub(super) fn tick(&mut self, context: &mut Context) {
         self.tick_heartbeat(context);
         self.send_proposal(context);
--- a/crates/router/control-plane/src/replication/leadership/heartbeat.rs
+++ b/crates/router/control-plane/src/replication/leadership/heartbeat.rs
@@ -57,7 +57,8 @@
         }
     }
 
-    /// Handles a member's reply to a ping: records its progress, and sends the record in force to a member that lacks it.
+    /// Handles a member's reply to a ping: records its progress, and sends the record in force to a member that lacks
+    /// it.
     pub(in crate::replication) fn handle_pong(&mut self, context: &mut Context, pong: &PongReport) {
         if pong.term != self.term {
             return;
--- a/crates/router/control-plane/src/replication/leadership/heartbeat_rounds.rs
+++ b/crates/router/control-plane/src/replication/leadership/heartbeat_rounds.rs
@@ -1,7 +1,7 @@
 //! Heartbeat rounds, which determine the last time at which a quorum had promised no term above the primary's.
 //!
-//! A reply states that no higher term had been promised when the ping arrived, which was after its round started. So the
-//! replies of a quorum confirm the primary as of the start of the round, not as of their arrival: by then another
+//! A reply states that no higher term had been promised when the ping arrived, which was after its round started. So
+//! the replies of a quorum confirm the primary as of the start of the round, not as of their arrival: by then another
 //! primary may have been elected.
 
 use crate::replication::epoch::EpochRecord;
--- a/crates/router/control-plane/src/replication/leadership/membership.rs
+++ b/crates/router/control-plane/src/replication/leadership/membership.rs
@@ -1,7 +1,7 @@
 //! Changes of the epoch record: members that join or are replaced, and members that leave or rejoin the in-sync set.
 //!
-//! A primary proposes one change at a time. A replaced member remains a voter of the joint configuration until the change
-//! is in force; only then do the new members decide alone.
+//! A primary proposes one change at a time. A replaced member remains a voter of the joint configuration until the
+//! change is in force; only then do the new members decide alone.
 
 use super::proposal::Proposal;
 use super::Leadership;
@@ -75,8 +75,8 @@
         Some(next)
     }
 
-    /// Returns whether a member is silent or has not synced the newest state in time. The time is measured from when the
-    /// transfer to all members should have completed.
+    /// Returns whether a member is silent or has not synced the newest state in time. The time is measured from when
+    /// the transfer to all members should have completed.
     fn is_lagging(&self, now: Duration, id: MemberId, members: usize) -> bool {
         if id == self.own.id {
             return false;
@@ -108,9 +108,9 @@
         Some(next)
     }
 
-    /// Returns the record with the joiner of the lowest id as a member, in exchange for another one if [`Self::placement`]
-    /// requires it. The new member joins the in-sync set only later, when it has caught up. Returns `None` if no joiner
-    /// can be added now.
+    /// Returns the record with the joiner of the lowest id as a member, in exchange for another one if
+    /// [`Self::placement`] requires it. The new member joins the in-sync set only later, when it has caught up.
+    /// Returns `None` if no joiner can be added now.
     fn add_member(&mut self, now: Duration, record: &EpochRecord) -> Option<EpochRecord> {
         self.joiners.retain(|id, joiner| {
             now.saturating_sub(joiner.requested_at) < JOIN_REQUEST_TIMEOUT && record.member(*id).is_none()
@@ -134,8 +134,8 @@
         Some(next)
     }
 
-    /// Returns how a joiner can be added: in place of another member or in addition. Returns `None` if there is neither a
-    /// member to replace nor room for one more.
+    /// Returns how a joiner can be added: in place of another member or in addition. Returns `None` if there is
+    /// neither a member to replace nor room for one more.
     fn placement(&self, now: Duration, record: &EpochRecord, joiner: &Joiner) -> Option<Placement> {
         // A member at the joiner's address has lost its disk: two processes cannot listen at the same address.
         let predecessor = record.members.iter().find(|member| member.address == joiner.member.address);
@@ -163,7 +163,8 @@
         too_few && record.members.iter().all(|member| member.id == self.own.id || is_active(member))
     }
 
-    /// Returns the member that has been silent for the longest time, among those silent for at least [`REPLACE_TIMEOUT`].
+    /// Returns the member that has been silent for the longest time, among those silent for at least
+    /// [`REPLACE_TIMEOUT`].
     fn longest_silent_member(&self, now: Duration, record: &EpochRecord) -> Option<Member> {
         let others = record.members.iter().filter(|member| member.id != self.own.id);
         others
--- a/crates/router/control-plane/src/replication/leadership/proposal.rs
+++ b/crates/router/control-plane/src/replication/leadership/proposal.rs
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Records that the record at `position` is durable at a member, which may be this one. The proposal comes into force
-    /// once a quorum has accepted it.
+    /// Records that the record at `position` is durable at a member, which may be this one. The proposal comes into
+    /// force once a quorum has accepted it.
     pub(in crate::replication) fn handle_accepted(
         &mut self,
         context: &mut Context,
--- a/crates/router/control-plane/src/replication/leadership/state_transfer.rs
+++ b/crates/router/control-plane/src/replication/leadership/state_transfer.rs
@@ -70,10 +70,10 @@
         }
     }
 
-    /// Commits the newest state that every in-sync member has synced. While a record is proposed, both its in-sync set and
-    /// that of the record in force must have synced the state, since a later primary may be elected under either record.
-    /// A state of an earlier term is never committed by counting replicas; the primary replicates it again under its own
-    /// term.
+    /// Commits the newest state that every in-sync member has synced. While a record is proposed, both its in-sync set
+    /// and that of the record in force must have synced the state, since a later primary may be elected under either
+    /// record. A state of an earlier term is never committed by counting replicas; the primary replicates it again
+    /// under its own term.
     pub(super) fn advance_commit(&mut self) {
         let Some(record) = &self.in_force else { return };
         let proposed = self.proposal.iter().flat_map(|proposal| &proposal.record.in_sync);
@@ -87,8 +87,8 @@
         }
     }
 
-    /// Returns whether a majority of the members of the record in force has synced the state at `index`, or a later one,
-    /// of this term.
+    /// Returns whether a majority of the members of the record in force has synced the state at `index`, or a later
+    /// one, of this term.
     pub(in crate::replication) fn is_durable_on_majority(&self, index: u64) -> bool {
         let Some(record) = &self.in_force else { return false };
         let required = StateVersion { term: self.term, index };
@@ -123,8 +123,8 @@
     }
 }
 
-/// Returns how long a state may be in flight before it is resent, given that it is sent to `peers` members over the same
-/// slow link.
+/// Returns how long a state may be in flight before it is resent, given that it is sent to `peers` members over the
+/// same slow link.
 fn transfer_timeout(state: &ReplicatedState, peers: usize) -> Duration {
     RESEND_TIMEOUT + state.transfer_time() * u32::try_from(peers).unwrap_or(u32::MAX)
 }
--- a/crates/router/control-plane/src/replication/message.rs
+++ b/crates/router/control-plane/src/replication/message.rs
@@ -118,7 +118,8 @@
         /// Consecutive deltas: the base of each is the result of the preceding one.
         deltas: Vec<Arc<StateDelta>>,
     },
-    /// Reply to [`ReplicationMessage::ReplicateDeltas`]: the deltas cannot be applied, and the complete state is needed.
+    /// Reply to [`ReplicationMessage::ReplicateDeltas`]: the deltas cannot be applied, and the complete state is
+    /// needed.
     DeltasRejected {
         /// Term of the primary that sent the deltas.
         term: u64,
--- a/crates/router/control-plane/src/replication/mutation.rs
+++ b/crates/router/control-plane/src/replication/mutation.rs
@@ -2,9 +2,9 @@
 //!
 //! The simulation checks histories against the guarantees of the control plane. To test its checkers, it runs clusters
 //! whose members break one rule, and expects a violation to be found (mutation testing). The state machines consult
-//! [`Mutations`] at each decision that a [`ProtocolMutation`] alters. A decision can differ from the correct protocol only
-//! with the feature `mutations`, which only the cluster simulation enables; without it, the type is zero-sized and every
-//! method returns the result of the correct protocol.
+//! [`Mutations`] at each decision that a [`ProtocolMutation`] alters. A decision can differ from the correct protocol
+//! only with the feature `mutations`, which only the cluster simulation enables; without it, the type is zero-sized
+//! and every method returns the result of the correct protocol.
 
 use super::durable::WitnessState;
 use super::epoch::EpochRecord;
@@ -26,7 +26,7 @@
     ShrinksInSyncSetWithoutQuorum,
     /// A replaced member stays a voter.
     CountsReplacedMember,
-    /// Backups don't store the applied changes.
+    /// Backups do not store the applied changes.
     OmitsAppliedChanges,
     /// A read is answered without a quorum confirmation since the request.
     ReadsUnconfirmed,
@@ -130,7 +130,8 @@
         received
     }
 
-    /// Returns the state that a backup stores for a delta; in the correct protocol, the delta applied to its base state.
+    /// Returns the state that a backup stores for a delta; in the correct protocol, the delta applied to its base
+    /// state.
     pub(super) fn state_after_delta(
         self,
         state: &ReplicatedState,
@@ -264,8 +265,8 @@
         committed
     }
 
-    /// Returns whether a change is treated as applied because of its generation alone, regardless of its digest; never in
-    /// the correct protocol.
+    /// Returns whether a change is treated as applied because of its generation alone, regardless of its digest; never
+    /// in the correct protocol.
     pub(crate) fn is_applied_by_generation(
         self,
         change: &ConfigurationChange,
--- a/crates/router/control-plane/src/replication/non_voting_seed.rs
+++ b/crates/router/control-plane/src/replication/non_voting_seed.rs
@@ -1,9 +1,9 @@
 //! A seed that is not a voter. During the bootstrap it announces this to the others; if no seed is a voter, the first
 //! seed in the list proposes the first record.
 //!
-//! If any seed is a voter, the bootstrap is left to the voting seeds. If none is, no durable state can keep two sides of
-//! a partition from bootstrapping a cluster each; the backoff by seed rank and the discovery of voters only make this
-//! unlikely. `docs/design/consistency.md` describes this limitation.
+//! If any seed is a voter, the bootstrap is left to the voting seeds. If none is, no durable state can keep two sides
+//! of a partition from bootstrapping a cluster each; the backoff by seed rank and the discovery of voters only make
+//! this unlikely. `docs/design/consistency.md` describes this limitation.
 
 use super::action::ReplicaAction;
 use super::context::Context;
@@ -57,8 +57,8 @@
         self.non_voting_seeds.insert(address);
     }
 
-    /// Advances the timers: announces this seed to the others, and proposes the first record once this seed may do so. To
-    /// be called until a record in force is known.
+    /// Advances the timers: announces this seed to the others, and proposes the first record once this seed may do so.
+    /// To be called until a record in force is known.
     pub fn tick(&mut self, now: Duration, actions: &mut Vec<ReplicaAction>) {
         if now < self.next_announcement {
             return;
--- a/crates/router/control-plane/src/replication/replica.rs
+++ b/crates/router/control-plane/src/replication/replica.rs
@@ -202,8 +202,8 @@
         Some(self.replicate_next(now, state, actions))
     }
 
-    /// Replicates other rollouts and the versions in service that result from them. Returns the index at which they will
-    /// be committed, or `None` unless this member is an established primary.
+    /// Replicates other rollouts and the versions in service that result from them. Returns the index at which they
+    /// will be committed, or `None` unless this member is an established primary.
     pub fn propose_rollouts(
         &mut self,
         now: Duration,
--- a/crates/router/control-plane/src/replication/replica/bootstrap.rs
+++ b/crates/router/control-plane/src/replication/replica/bootstrap.rs
@@ -1,5 +1,5 @@
-//! A member's part in the bootstrap of the cluster. [`crate::replication::bootstrap_election`] determines the voters and
-//! when this member may campaign.
+//! A member's part in the bootstrap of the cluster. [`crate::replication::bootstrap_election`] determines the voters
+//! and when this member may campaign.
 
 use super::Replica;
 use crate::replication::context::Context;
@@ -14,8 +14,8 @@
         self.bootstrap_election.is_some() && self.witness.record.is_none()
     }
 
-    /// Returns whether this member may campaign for the first record. It must not if it knows of a record, its own or one
-    /// spread by gossip.
+    /// Returns whether this member may campaign for the first record. It must not if it knows of a record, its own or
+    /// one spread by gossip.
     pub(super) fn may_campaign_for_bootstrap(&self, now: Duration) -> bool {
         let knows_cluster = self.settings.mutation.knows_cluster(self.core_hint.is_some());
         let no_record = self.witness.record.is_none() && !knows_cluster;
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Becomes primary with the first record, if the members in `promised_by` are a quorum of the electorate. To be called
-    /// only if none of them has accepted a record.
+    /// Becomes primary with the first record, if the members in `promised_by` are a quorum of the electorate. To be
+    /// called only if none of them has accepted a record.
     pub(super) fn become_bootstrap_primary(
         &mut self,
         context: &mut Context,
--- a/crates/router/control-plane/src/replication/replica/durable_writes.rs
+++ b/crates/router/control-plane/src/replication/replica/durable_writes.rs
@@ -30,8 +30,8 @@
 }
 
 impl Replica {
-    /// Handles the end of a write. If it succeeded, sends the replies that depend on it, and a candidate or primary counts
-    /// what is now durable here. If it failed, the member steps down.
+    /// Handles the end of a write. If it succeeded, sends the replies that depend on it, and a candidate or primary
+    /// counts what is now durable here. If it failed, the member steps down.
     pub fn write_completed(
         &mut self,
         now: Duration,
@@ -103,9 +103,10 @@
         self.has_failed_write = true;
     }
 
-    /// Resets record and state in memory to the contents of the disk after a failed write, since nothing of that write was
-    /// acknowledged. The contents of the disk are known only once no other write is in flight, whether it succeeds or
-    /// fails, so this has no effect before. The promise is kept: keeping a promise is always safe, forgetting it is not.
+    /// Resets record and state in memory to the contents of the disk after a failed write, since nothing of that write
+    /// was acknowledged. The contents of the disk are known only once no other write is in flight, whether it succeeds
+    /// or fails, so this has no effect before. The promise is kept: keeping a promise is always safe, forgetting it is
+    /// not.
     fn roll_back_failed_writes(&mut self) {
         if !self.has_failed_write || !self.pending_writes.is_empty() {
             return;
--- a/crates/router/control-plane/src/replication/replica/election.rs
+++ b/crates/router/control-plane/src/replication/replica/election.rs
@@ -1,9 +1,9 @@
 //! Elections: pre-vote, collection of promises, and the start of a primary's term.
 //!
-//! A member whose election timer expires first asks whether it would be elected (pre-vote), so that a partitioned member
-//! does not raise the term and depose a working primary. Then it promises its own term to itself, collects promises from
-//! the voters, and continues from the newest record among them. Before there is a record, the voters are the seeds
-//! ([`super::bootstrap`]).
+//! A member whose election timer expires first asks whether it would be elected (pre-vote), so that a partitioned
+//! member does not raise the term and depose a working primary. Then it promises its own term to itself, collects
+//! promises from the voters, and continues from the newest record among them. Before there is a record, the voters are
+//! the seeds ([`super::bootstrap`]).
 
 use super::durable_writes::PendingReply;
 use super::role::{Candidacy, PreVoteRound};
@@ -29,8 +29,8 @@
 const PRE_VOTE_SILENCE_FRACTION: f64 = 0.8;
 
 impl Replica {
-    /// Sets the election timer for the first campaign, which comes earlier than later ones: after a power failure of all
-    /// machines there is no primary, and a running primary makes contact well before the timer expires.
+    /// Sets the election timer for the first campaign, which comes earlier than later ones: after a power failure of
+    /// all machines there is no primary, and a running primary makes contact well before the timer expires.
     pub(super) fn schedule_first_campaign(&mut self, now: Duration) {
         let delay = self.settings.election_timeout.mul_f64(self.rng.random_range(0.4..0.8));
         self.campaign_at = now + delay;
@@ -42,8 +42,8 @@
         self.campaign_at = now + timeout + timeout.mul_f64(self.rng.random_range(0.0..0.6));
     }
 
-    /// Becomes a follower that campaigns again after a short random backoff. Used after a failed pre-vote, which raised no
-    /// term that other candidates would have to exceed, and after a concurrent campaign of another member.
+    /// Becomes a follower that campaigns again after a short random backoff. Used after a failed pre-vote, which
+    /// raised no term that other candidates would have to exceed, and after a concurrent campaign of another member.
     pub(super) fn retry_campaign_after_backoff(&mut self, now: Duration) {
         self.role = Role::Follower;
         self.campaign_at = now + PRE_VOTE_TIMEOUT.mul_f64(self.rng.random_range(0.1..1.2));
@@ -61,8 +61,8 @@
         }
     }
 
-    /// Returns the record whose quorum decides an election in which this member campaigns: the newest one accepted here,
-    /// or, before the first record, the electorate of the bootstrap.
+    /// Returns the record whose quorum decides an election in which this member campaigns: the newest one accepted
+    /// here, or, before the first record, the electorate of the bootstrap.
     fn electorate(&self, now: Duration) -> Option<EpochRecord> {
         self.witness.record.clone().or_else(|| self.bootstrap_election.as_ref()?.electorate(now))
     }
@@ -91,8 +91,8 @@
         self.count_pre_votes(context);
     }
 
-    /// Grants a pre-vote for a term above the promised one, unless this member is primary or has been in contact with one
-    /// recently.
+    /// Grants a pre-vote for a term above the promised one, unless this member is primary or has been in contact with
+    /// one recently.
     pub(super) fn handle_pre_vote(&mut self, context: &mut Context, from: Sender, term: u64) {
         if term <= self.witness.promised {
             self.reject(context, from);
@@ -138,8 +138,8 @@
         self.send_to_voters(context, &record, &prepare);
     }
 
-    /// Promises a term to a candidate, and replies once the promise is durable. The same candidate may repeat its request,
-    /// since the reply may have been lost.
+    /// Promises a term to a candidate, and replies once the promise is durable. The same candidate may repeat its
+    /// request, since the reply may have been lost.
     pub(super) fn handle_prepare(
         &mut self,
         context: &mut Context,
--- a/crates/router/control-plane/src/replication/replica/follower.rs
+++ b/crates/router/control-plane/src/replication/replica/follower.rs
@@ -1,5 +1,5 @@
-//! The follower's part of a member: accepts records, syncs states, replies to pings, and rejects messages of a lower term
-//! than the promised one.
+//! The follower's part of a member: accepts records, syncs states, replies to pings, and rejects messages of a lower
+//! term than the promised one.
 
 use super::durable_writes::PendingReply;
 use super::{Replica, Role};
--- a/crates/router/control-plane/src/replication/replica/primary.rs
+++ b/crates/router/control-plane/src/replication/replica/primary.rs
@@ -32,8 +32,8 @@
         leadership.handle_join(now, member, bootstrapping);
     }
 
-    /// Handles a member's acceptance of a record. If the record comes into force, what is durable here is counted under it
-    /// immediately.
+    /// Handles a member's acceptance of a record. If the record comes into force, what is durable here is counted
+    /// under it immediately.
     pub(super) fn handle_accepted(
         &mut self,
         context: &mut Context,
--- a/crates/router/control-plane/src/replication/settings.rs
+++ b/crates/router/control-plane/src/replication/settings.rs
@@ -23,8 +23,8 @@
     pub bootstrap_seeds: Vec<SocketAddrV4>,
     /// Minimum time without contact to a primary before an election starts.
     pub election_timeout: Duration,
-    /// Whether this member accepts states as deltas. Only the cluster simulation disables it, for members that stand for
-    /// an earlier build.
+    /// Whether this member accepts states as deltas. Only the cluster simulation disables it, for members that stand
+    /// for an earlier build.
     pub accepts_deltas: bool,
     /// Seed of this member's random number generator. It differs between members, so that their election timers differ.
     pub random_seed: u64,
--- a/crates/router/control-plane/src/replication/state.rs
+++ b/crates/router/control-plane/src/replication/state.rs
@@ -51,21 +51,22 @@
     /// builds.
     #[serde(default, skip_serializing_if = "ServiceVersions::is_empty")]
     pub service_versions: ServiceVersions,
-    /// Waiting, running and recently ended rollouts. Invariant: replicated with the versions in service that result from
-    /// them. Not written if empty, and dropped by members of earlier builds.
+    /// Waiting, running and recently ended rollouts. Invariant: replicated with the versions in service that result
+    /// from them. Not written if empty, and dropped by members of earlier builds.
     #[serde(default, skip_serializing_if = "Rollouts::is_empty")]
     pub rollouts: Rollouts,
 }
 
 impl ReplicatedState {
-    /// Returns the time allowed for transferring this state to one member over a slow link, on top of the usual timeouts.
+    /// Returns the time allowed for transferring this state to one member over a slow link, on top of the usual
+    /// timeouts.
     pub fn transfer_time(&self) -> Duration {
         let bytes = self.document.as_ref().map_or(0, |document| document.len());
         Duration::from_micros(u64::try_from(bytes).unwrap_or(u64::MAX) * TRANSFER_MICROS_PER_KIB / 1_024)
     }
 
-    /// Returns whether a change based on generation `base` may have been applied and since been dropped from the history
-    /// of applied changes.
+    /// Returns whether a change based on generation `base` may have been applied and since been dropped from the
+    /// history of applied changes.
     pub fn may_have_truncated(&self, base: u64) -> bool {
         let oldest = self.applied_changes.front().map_or(0, |change| change.generation);
         self.applied_changes.len() >= MAX_APPLIED_CHANGES && base < oldest
@@ -90,8 +91,8 @@
         }
     }
 
-    /// Returns the state with other versions in service, with a version assigned by the primary of `term`. This is not a
-    /// change of an operator: generation, document and history stay the same.
+    /// Returns the state with other versions in service, with a version assigned by the primary of `term`. This is not
+    /// a change of an operator: generation, document and history stay the same.
     pub fn with_service_versions(&self, term: u64, service_versions: ServiceVersions) -> Self {
         let version = StateVersion { term, index: self.version.index + 1 };
         ReplicatedState { version, service_versions, ..self.clone() }
--- a/crates/router/control-plane/src/replication/state_delta.rs
+++ b/crates/router/control-plane/src/replication/state_delta.rs
@@ -1,9 +1,9 @@
 //! Deltas between consecutive replicated states, so that the size of a message depends on the change and not on the
 //! document.
 //!
-//! A delta is only applied to the state of its base version. Two states of the same version are equal, so the base needs
-//! no further check; the digest in the document's delta guards against corruption. A member that holds another base
-//! rejects the delta and receives the complete state.
+//! A delta is only applied to the state of its base version. Two states of the same version are equal, so the base
+//! needs no further check; the digest in the document's delta guards against corruption. A member that holds another
+//! base rejects the delta and receives the complete state.
 
 use super::state::{AppliedChange, ReplicatedState, StateVersion};
 use passrelay_configuration::{Delta, DeltaError, DocumentDelta};
@@ -34,8 +34,8 @@
 }
 
 impl ReplicatedState {
-    /// Returns the delta from `base`, the preceding state, to this one. Returns `None` if the two differ by more than one
-    /// change of the document, or if the delta would be nearly as long as the document itself.
+    /// Returns the delta from `base`, the preceding state, to this one. Returns `None` if the two differ by more than
+    /// one change of the document, or if the delta would be nearly as long as the document itself.
     pub fn delta_from(&self, base: &ReplicatedState) -> Option<StateDelta> {
         let (base_document, document) = (base.document.as_ref()?, self.document.as_ref()?);
         let same_versions = self.service_versions == base.service_versions && self.rollouts == base.rollouts;
--- a/crates/router/control-plane/src/replication/voter_discovery.rs
+++ b/crates/router/control-plane/src/replication/voter_discovery.rs
@@ -13,8 +13,8 @@
 /// After this time, discovery no longer waits for the `2 * tolerated_losses + 1` voters that survive the tolerated
 /// losses: any number suffices that would leave at least one voter after these losses.
 const FULL_SET_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Additional delay of each seed relative to its predecessor in the list of seeds, so that the first available one leads
-/// the bootstrap without competition.
+/// Additional delay of each seed relative to its predecessor in the list of seeds, so that the first available one
+/// leads the bootstrap without competition.
 const SEED_RANK_BACKOFF: Duration = Duration::from_millis(1_500);
 /// A voter counts as available for this long after its last announcement. Voters announce themselves every 300 ms.
 const PRESENCE_TIMEOUT: Duration = Duration::from_millis(1_200);
--- a/crates/router/control-plane/src/rollout.rs
+++ b/crates/router/control-plane/src/rollout.rs
@@ -1,9 +1,9 @@
 //! Rollouts: shifting a service's requests to another version, and back if that version is bad.
 //!
-//! The established primary is the controller of every rollout: a singleton role that is filled by election and fenced by
-//! the term. A record of each rollout is replicated, and acknowledged or shown to operators only once it is on a majority
-//! of the members' disks. Sidecars report the outcomes of their requests at both versions, and receive in response a lease
-//! on a share of requests for the new version. A sidecar without a lease sends no requests to it.
+//! The established primary is the controller of every rollout: a singleton role that is filled by election and fenced
+//! by the term. A record of each rollout is replicated, and acknowledged or shown to operators only once it is on a
+//! majority of the members' disks. Sidecars report the outcomes of their requests at both versions, and receive in
+//! response a lease on a share of requests for the new version. A sidecar without a lease sends no requests to it.
 //!
 //! | module | responsibility |
 //! | --- | --- |
--- a/crates/router/control-plane/src/rollout/controller.rs
+++ b/crates/router/control-plane/src/rollout/controller.rs
@@ -1,8 +1,9 @@
 //! The controller of all rollouts, on the established primary of one term.
 //!
 //! It holds no state that a successor could not rebuild: records are replicated, and evidence and ages arrive with the
-//! sidecars' next reports. Each decision is a new record that takes effect once it is committed, so that a controller that
-//! fails in between leaves either the old record or the new one. Shares are granted only according to committed records.
+//! sidecars' next reports. Each decision is a new record that takes effect once it is committed, so that a controller
+//! that fails in between leaves either the old record or the new one. Shares are granted only according to committed
+//! records.
 
 use super::evidence::{Comparisons, Evidence};
 use super::judge::{judge, Judgement};
@@ -48,8 +49,8 @@
 #[derive(Debug)]
 struct LoadTest {
     started_at: Duration,
-    /// Routers that take part, at most as many as there are requests. Requests of all routers could be too many for a small
-    /// endpoint, at which both versions would be slow.
+    /// Routers that take part, at most as many as there are requests. Requests of all routers could be too many for a
+    /// small endpoint, at which both versions would be slow.
     routers: BTreeSet<SocketAddrV4>,
     /// Number of requests that each of these routers sends.
     requests_per_router: u16,
@@ -194,7 +195,8 @@
         None
     }
 
-    /// Starts the load test of each canary that is due for it, has enough endpoints and requests, and was not judged bad.
+    /// Starts the load test of each canary that is due for it, has enough endpoints and requests, and was not judged
+    /// bad.
     fn start_load_tests(
         &mut self,
         now: Duration,
@@ -269,7 +271,8 @@
         Some(())
     }
 
-    /// Returns the next phase of a running rollout with the reason for operators, or `None` if the phase stays the same.
+    /// Returns the next phase of a running rollout with the reason for operators, or `None` if the phase stays the
+    /// same.
     fn next_phase(
         &self,
         now: Duration,
--- a/crates/router/control-plane/src/rollout/evidence.rs
+++ b/crates/router/control-plane/src/rollout/evidence.rs
@@ -50,8 +50,8 @@
         self.age + now.saturating_sub(self.age_observed_at)
     }
 
-    /// Records a sidecar's report, unless a later one has already arrived. Raises the age of the rollout if the sidecar has
-    /// known it for longer.
+    /// Records a sidecar's report, unless a later one has already arrived. Raises the age of the rollout if the
+    /// sidecar has known it for longer.
     pub fn observe(&mut self, now: Duration, from: Peer, request_id: u64, report: RolloutReport) {
         let key = (from.address, from.incarnation.0);
         if self.reports.get(&key).is_some_and(|known| known.request_id > request_id) {
@@ -81,8 +81,8 @@
         recent.map(|((address, _), _)| *address).collect()
     }
 
-    /// Returns whether all sidecars that have reported at or after `since` send requests only to the new version and have
-    /// no requests in flight at others. Returns false if there is no such report.
+    /// Returns whether all sidecars that have reported at or after `since` send requests only to the new version and
+    /// have no requests in flight at others. Returns false if there is no such report.
     pub fn is_base_drained(&self, since: Duration) -> bool {
         let mut recent = self.reports.values().filter(|received| received.at >= since).peekable();
         recent.peek().is_some()
--- a/crates/router/control-plane/src/rollout/judge.rs
+++ b/crates/router/control-plane/src/rollout/judge.rs
@@ -1,11 +1,12 @@
-//! Canary judgement: whether a new version is worse than the one in service, measured on comparable requests in the same
-//! period.
+//! Canary judgement: whether a new version is worse than the one in service, measured on comparable requests in the
+//! same period.
 //!
-//! A request counts as failed or not, and as slow or not: it is slow if it takes several times as long as the median of its
-//! class at the base version. Each rate at the new version is compared with that at the base by a mixture sequential
-//! probability ratio test: if the true rate is at most `tolerated`, the ratio of the likelihood under a uniformly
-//! distributed rate to that under `tolerated` ever exceeds `1 / FALSE_POSITIVE_PROBABILITY` with a probability below
-//! `FALSE_POSITIVE_PROBABILITY` (Ville's inequality). So the test may be repeated after every report.
+//! A request counts as failed or not, and as slow or not: it is slow if it takes several times as long as the median
+//! of its class at the base version. Each rate at the new version is compared with that at the base by a mixture
+//! sequential probability ratio test: if the true rate is at most `tolerated`, the ratio of the likelihood under a
+//! uniformly distributed rate to that under `tolerated` ever exceeds `1 / FALSE_POSITIVE_PROBABILITY` with a
+//! probability below `FALSE_POSITIVE_PROBABILITY` (Ville's inequality). So the test may be repeated after every
+//! report.
 
 use super::evidence::{Comparison, Comparisons};
 use passrelay_dissemination::{LatencyMeasure, RequestClass, RequestTally, LOAD_TEST_SIZE_CLASS};
@@ -44,8 +45,8 @@
     Unknown,
 }
 
-/// Judges the new version by the outcomes of all sidecars. Each route is tested separately, and on each route the requests
-/// of the load test separately from the others.
+/// Judges the new version by the outcomes of all sidecars. Each route is tested separately, and on each route the
+/// requests of the load test separately from the others.
 pub fn judge(comparisons: &Comparisons) -> Judgement {
     let routes: BTreeSet<&str> = comparisons.keys().map(|class| class.route.as_str()).collect();
     for route in &routes {
@@ -71,7 +72,8 @@
     class.size_class == LOAD_TEST_SIZE_CLASS
 }
 
-/// Returns the reason why the new version is worse on these request classes, or `None` if there is no evidence for that.
+/// Returns the reason why the new version is worse on these request classes, or `None` if there is no evidence for
+/// that.
 fn regression(classes: &Classes) -> Option<String> {
     let complete_latency_regression = || {
         latency_regression(classes, LatencyMeasure::Complete)
--- a/crates/router/control-plane/src/rollout/order.rs
+++ b/crates/router/control-plane/src/rollout/order.rs
@@ -1,9 +1,9 @@
 //! Rollout orders of operators: how a primary evaluates an order against its newest state.
 //!
-//! Operators resend an order for some seconds if its answer was lost. So an identical order is acknowledged again while its
-//! rollout waits or runs, and after the end of the rollout until its deadline has passed. A different order for the same
-//! service waits for the running rollout: that version is judged first, since an operator may not have seen the end of the
-//! rollout.
+//! Operators resend an order for some seconds if its answer was lost. So an identical order is acknowledged again
+//! while its rollout waits or runs, and after the end of the rollout until its deadline has passed. A different order
+//! for the same service waits for the running rollout: that version is judged first, since an operator may not have
+//! seen the end of the rollout.
 
 use crate::replication::ReplicatedState;
 use passrelay_configuration::{
@@ -34,8 +34,8 @@
 pub enum OrderVerdict {
     /// The state contains the order. It is to be acknowledged once the state is on a majority of disks.
     AlreadyAccepted,
-    /// The order is acceptable. The contained rollouts are to be replicated, and the order is to be acknowledged once they
-    /// are on a majority of disks.
+    /// The order is acceptable. The contained rollouts are to be replicated, and the order is to be acknowledged once
+    /// they are on a majority of disks.
     Accept(Rollouts),
     /// The order is not acceptable. It is to be rejected once the state is committed and a quorum has confirmed the
     /// primary.
--- a/crates/router/control-plane/src/rollout/schedule.rs
+++ b/crates/router/control-plane/src/rollout/schedule.rs
@@ -11,8 +11,8 @@
 use passrelay_configuration::Rollout;
 use std::time::Duration;
 
-/// The end must be known at least this long before the deadline, because the operator's own clock started with the first
-/// attempt to send the order.
+/// The end must be known at least this long before the deadline, because the operator's own clock started with the
+/// first attempt to send the order.
 const MAX_END_MARGIN: Duration = Duration::from_millis(1_500);
 /// For short deadlines, the margin is the deadline divided by this instead.
 const END_MARGIN_DIVISOR: u32 = 8;
@@ -20,16 +20,16 @@
 const MAX_SWITCHOVER_TIME: Duration = Duration::from_millis(5_000);
 /// For short deadlines, the switchover time is this percentage of the time from the order to the end instead.
 const SWITCHOVER_TIME_PERCENT: u32 = 45;
-/// A version that has not been judged good is no longer promoted once the time left until the latest end is less than this
-/// percentage of the time from the order to the latest end.
+/// A version that has not been judged good is no longer promoted once the time left until the latest end is less than
+/// this percentage of the time from the order to the latest end.
 const MIN_SWITCHOVER_TIME_PERCENT: u32 = 20;
 /// Fraction of the share allowed by the exposure bound that a canary receives. The rest allows for sidecars that count
 /// only their own requests, and round.
 const CANARY_SHARE_OF_BOUND: f64 = 0.55;
 /// Until this many requests have ended, a canary receives half of its share and is not load-tested.
 pub(super) const MIN_REQUESTS_FOR_FULL_SHARE: u32 = 8;
-/// Share of endpoints relative to the share of requests of a canary. Being below 1, it gives each endpoint somewhat more
-/// requests than in normal service, so that faults under load show.
+/// Share of endpoints relative to the share of requests of a canary. Being below 1, it gives each endpoint somewhat
+/// more requests than in normal service, so that faults under load show.
 const CANARY_ENDPOINT_FRACTION: f64 = 0.75;
 /// A load test starts at most this long before the earliest promotion, and must have started this long before the
 /// promotion.
@@ -40,18 +40,20 @@
 const LOAD_TEST_FILL: f64 = 0.95;
 /// Fraction of the slack in the exposure bound that a load test may use.
 const LOAD_TEST_SLACK_FRACTION: f64 = 0.9;
-/// Fraction of the requests allowed by the ratio in the exposure bound, for the requests so far, that a load test may use.
+/// Fraction of the requests allowed by the ratio in the exposure bound, for the requests so far, that a load test may
+/// use.
 const LOAD_TEST_SHARE_OF_BOUND: f64 = 0.3;
 /// Shares of requests during promotion, each for [`PROMOTION_STEP`]. The steps let caches fill gradually, so that the
 /// endpoints do not read everything at the same moment.
 const PROMOTION_SHARES: [f64; 2] = [0.3, 0.65];
+/// Duration of each step of a promotion.
 const PROMOTION_STEP: Duration = Duration::from_millis(700);
-/// Minimum time from the switch to the end of a rollout. Without faults, the version in service is known everywhere after
-/// this time.
+/// Minimum time from the switch to the end of a rollout. Without faults, the version in service is known everywhere
+/// after this time.
 const MIN_SWITCH_TIME: Duration = Duration::from_millis(1_000);
 
-/// Times of a rollout's phase changes, as ages of the rollout. A load test of one endpoint reveals faults that show only
-/// under load.
+/// Times of a rollout's phase changes, as ages of the rollout. A load test of one endpoint reveals faults that show
+/// only under load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Schedule {
     /// Earliest start of the load test of a version that was not judged bad.
@@ -104,7 +106,8 @@
     pub slack: f64,
 }
 
-/// Returns the number of requests of a load test, over all routers, for an endpoint with `capacity` concurrent requests.
+/// Returns the number of requests of a load test, over all routers, for an endpoint with `capacity` concurrent
+/// requests.
 pub(super) fn load_test_requests(bound: ExposureBound, capacity: u32, requests_so_far: u32) -> f64 {
     let of_requests = bound.ratio * LOAD_TEST_SHARE_OF_BOUND * f64::from(requests_so_far);
     let permitted = bound.slack * LOAD_TEST_SLACK_FRACTION + of_requests;
--- a/crates/router/control-plane/tests/configuration_change.rs
+++ b/crates/router/control-plane/tests/configuration_change.rs
@@ -8,7 +8,8 @@
 /// More changes than the history keeps.
 const CHANGES_BEYOND_HISTORY: u64 = 1_500;
 
-/// Returns a change that replaces the configuration of generation `base` with one of `generation` with a single service.
+/// Returns a change that replaces the configuration of generation `base` with one of `generation` with a single
+/// service.
 fn replacement(base: u64, generation: u64, service: &str) -> ConfigurationChange {
     let body = format!(r#"{{"generation":{generation},"routes":[],"services":[{{"name":"{service}"}}]}}"#);
     ConfigurationChange { kind: ChangeKind::Replace, base, body: body.into() }
--- a/crates/router/control-plane/tests/rollout.rs
+++ b/crates/router/control-plane/tests/rollout.rs
@@ -195,7 +195,10 @@
 
 #[rstest]
 #[case::unknown_service(json!({ "name": "other" }), OrderRejection::UnknownService("s".to_owned()))]
-#[case::version_set_by_the_configuration(json!({ "name": "s", "version": "v1" }), OrderRejection::VersionSetByConfiguration("s".to_owned()))]
+#[case::version_set_by_the_configuration(
+    json!({ "name": "s", "version": "v1" }),
+    OrderRejection::VersionSetByConfiguration("s".to_owned())
+)]
 fn an_order_that_does_not_fit_the_configuration_is_rejected(
     #[case] service: serde_json::Value,
     #[case] rejection: OrderRejection,
--- a/crates/router/control-plane/tests/sample_data.rs
+++ b/crates/router/control-plane/tests/sample_data.rs
@@ -2,9 +2,9 @@
 //! processes and of every value on a member's disk, one per line as `name hex`. Samples were written by version 0.2.0
 //! before types were renamed, or, for messages added later, by the build that added them.
 //!
-//! Each sample is read, and must be identical byte for byte when it is written again. The sample names are the names on
-//! the wire. The list of required samples is derived from the types at run time, so that this test does not depend on the
-//! names of variants in the source.
+//! Each sample is read, and must be identical byte for byte when it is written again. The sample names are the names
+//! on the wire. The list of required samples is derived from the types at run time, so that this test does not depend
+//! on the names of variants in the source.
 
 use ciborium::Value;
 use passrelay_control_plane::configuration_change::ChangeKind;
@@ -83,8 +83,8 @@
     }
 }
 
-/// Returns the name of a message: its subsystem and variant on the wire, and for an operator call also the variant of the
-/// request, and the kind of a configuration change.
+/// Returns the name of a message: its subsystem and variant on the wire, and for an operator call also the variant of
+/// the request, and the kind of a configuration change.
 fn wire_name(bytes: &[u8]) -> String {
     let envelope: Value = ciborium::from_reader(bytes).expect("the sample is CBOR");
     let (subsystem, content) = variant(field(&envelope, "message"));
--- a/crates/router/control-plane/tests/state_delta.rs
+++ b/crates/router/control-plane/tests/state_delta.rs
@@ -115,8 +115,8 @@
     );
 }
 
-// Guards against a member that never catches up because it cannot apply the deltas that it receives, and against one that
-// applies them to another state than their base: it must request the complete state, and keep its own unchanged.
+// Guards against a member that never catches up because it cannot apply the deltas that it receives, and against one
+// that applies them to another state than their base: it must request the complete state, and keep its own unchanged.
 #[rstest]
 #[case::missed_a_change(state(1))]
 #[case::without_a_state(ReplicatedState::default())]
