--- a/crates/lease/consensus/src/expiry.rs
+++ b/crates/lease/consensus/src/expiry.rs
@@ -10,37 +10,37 @@
 use std::time::Duration;
 
 /// A proposal that nothing came of is made again after so long.
-const AGAIN: Duration = Duration::from_millis(500);
+const REPROPOSE_INTERVAL: Duration = Duration::from_millis(500);
 /// Most proposals in one look, so that ten thousand leases that end in one second don't stop the renewals
 /// behind them.
-const MOST_AT_ONCE: usize = 2048;
+const MAX_ENTRIES_PER_CHECK: usize = 2048;
 /// How often it looks.
-const LOOK: Duration = Duration::from_millis(50);
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// When each session was last heard, and when each lease was granted or locked, on this voter's clock.
+/// When each session was last last_renewal, and when each lease was granted or locked, on this voter's clock.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct ExpiryWatch {
+pub struct ExpiryTracker {
     lock_delay: Duration,
-    heard: BTreeMap<SessionId, Duration>,
-    since: BTreeMap<String, (Token, Duration)>,
-    next_look: Duration,
+    last_renewal: BTreeMap<SessionId, Duration>,
+    granted_at: BTreeMap<String, (Token, Duration)>,
+    next_check: Duration,
 }
 
-impl ExpiryWatch {
+impl ExpiryTracker {
     /// A watch that knows nothing yet. A lease whose holder vanished is locked for `lock_delay`.
-    pub fn new(lock_delay: Duration) -> ExpiryWatch {
-        ExpiryWatch { lock_delay, ..ExpiryWatch::default() }
+    pub fn new(lock_delay: Duration) -> ExpiryTracker {
+        ExpiryTracker { lock_delay, ..ExpiryTracker::default() }
     }
 
-    /// Starts all over with this table, as at a start or when a snapshot came: everyone was heard just now.
+    /// Starts all over with this table, as at a start or when a snapshot came: everyone was last_renewal just now.
     pub fn reset(&mut self, table: &LeaseTable, now: Duration) {
-        self.heard = table.sessions().keys().map(|s| (*s, now)).collect();
-        self.since = table
+        self.last_renewal = table.sessions().keys().map(|s| (*s, now)).collect();
+        self.granted_at = table
             .leases()
             .iter()
             .filter_map(|(name, lease)| match lease.holder {
                 Holder::Free => None,
-                Holder::Held { token, .. } | Holder::Leaving { token, .. } | Holder::Locked { token } => {
+                Holder::Held { token, .. } | Holder::Evicted { token, .. } | Holder::Locked { token } => {
                     Some((name.clone(), (token, now)))
                 }
             })
@@ -48,65 +48,66 @@
     }
 
     /// Takes in what an entry brought about.
-    pub fn note(&mut self, event: &Event, now: Duration) {
+    pub fn record(&mut self, event: &Event, now: Duration) {
         match event {
             Event::Opened(session) | Event::Renewed(session) => {
-                self.heard.insert(*session, now);
+                self.last_renewal.insert(*session, now);
             }
             Event::Ended(session) => {
-                self.heard.remove(session);
+                self.last_renewal.remove(session);
             }
             Event::Granted { grant, .. } => {
-                self.since.insert(grant.lease.clone(), (grant.token, now));
+                self.granted_at.insert(grant.lease.clone(), (grant.token, now));
             }
             Event::Evicted { lease, token } | Event::Locked { lease, token } => {
-                self.since.insert(lease.clone(), (*token, now));
+                self.granted_at.insert(lease.clone(), (*token, now));
             }
             Event::Freed(lease) => {
-                self.since.remove(lease);
+                self.granted_at.remove(lease);
             }
         }
     }
 
     /// What is due by now. Only the leader proposes it, to save messages; it would be safe from any voter.
-    pub fn due(&mut self, table: &LeaseTable, now: Duration) -> Vec<Entry> {
-        if now < self.next_look {
+    pub fn due_entries(&mut self, table: &LeaseTable, now: Duration) -> Vec<Entry> {
+        if now < self.next_check {
             return Vec::new();
         }
-        let over = |since: Duration, ms: u64| now >= since + Duration::from_millis(ms);
+        let over = |granted_at: Duration, ms: u64| now >= granted_at + Duration::from_millis(ms);
         let mut due = Vec::new();
-        for (session, heard) in &self.heard {
+        for (session, last_renewal) in &self.last_renewal {
             let Some(known) = table.sessions().get(session) else { continue };
-            if over(*heard, known.ttl_ms) {
-                due.push(Entry::Expire { session: *session, renewals: known.renewals });
+            if over(*last_renewal, known.ttl_ms) {
+                due.push(Entry::ExpireSession { session: *session, renewals: known.renewals });
             }
         }
-        for (lease, (token, since)) in &self.since {
+        for (lease, (token, granted_at)) in &self.granted_at {
             match table.leases().get(lease).map(|l| l.holder) {
                 Some(Holder::Held { session, token: held, ttl_ms }) if held == *token => {
                     let Some(known) = table.sessions().get(&session) else { continue };
-                    let heard = self.heard.get(&session).copied().unwrap_or(now).max(*since);
-                    if over(heard, ttl_ms) && !over(heard, known.ttl_ms) {
+                    let last_renewal =
+                        self.last_renewal.get(&session).copied().unwrap_or(now).max(*granted_at);
+                    if over(last_renewal, ttl_ms) && !over(last_renewal, known.ttl_ms) {
                         let lease = lease.clone();
-                        due.push(Entry::Lapse { lease, token: held, renewals: known.renewals });
+                        due.push(Entry::ExpireLease { lease, token: held, renewals: known.renewals });
                     }
                 }
                 // Counted from the eviction: every renewal that named this grant had left before it.
-                Some(Holder::Leaving { token: held, ttl_ms, .. })
-                    if held == *token && over(*since, ttl_ms) =>
+                Some(Holder::Evicted { token: held, ttl_ms, .. })
+                    if held == *token && over(*granted_at, ttl_ms) =>
                 {
-                    due.push(Entry::Lapse { lease: lease.clone(), token: held, renewals: 0 });
+                    due.push(Entry::ExpireLease { lease: lease.clone(), token: held, renewals: 0 });
                 }
                 Some(Holder::Locked { token: locked })
-                    if locked == *token && now >= *since + self.lock_delay =>
+                    if locked == *token && now >= *granted_at + self.lock_delay =>
                 {
                     due.push(Entry::Unlock { lease: lease.clone(), token: locked });
                 }
                 _ => {}
             }
         }
-        due.truncate(MOST_AT_ONCE);
-        self.next_look = now + if due.is_empty() { LOOK } else { AGAIN };
+        due.truncate(MAX_ENTRIES_PER_CHECK);
+        self.next_check = now + if due.is_empty() { CHECK_INTERVAL } else { REPROPOSE_INTERVAL };
         due
     }
 }
--- a/crates/lease/consensus/src/lease_table.rs
+++ b/crates/lease/consensus/src/lease_table.rs
@@ -1,25 +1,25 @@
 //! Sessions, leases and tokens: what the voters agree on.
 //!
-//! The table reads no clock. That time has passed comes in as an entry like any other ([`Entry::Expire`],
-//! [`Entry::Lapse`], [`Entry::Unlock`]), and each of them names what its proposer had seen: if anything
+//! The table reads no clock. That time has passed comes in as an entry like any other ([`Entry::ExpireSession`],
+//! [`Entry::ExpireLease`], [`Entry::Unlock`]), and each of them names what its proposer had seen: if anything
 //! happened since, a renewal above all, the entry changes nothing. So it doesn't matter who proposes it, how
 //! late it comes, or how often.
 
-use crate::mutant::{is, Mutant};
+use crate::mutant::{is_active, Mutant};
 use crate::{SessionId, Token, VoterId};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Most bytes of a name, of a lease or a session.
-pub const MOST_NAME: usize = 128;
+pub const MAX_NAME_BYTES: usize = 128;
 /// Most bytes of an effect's note.
-pub const MOST_NOTE: usize = 1024;
+pub const MAX_NOTE_BYTES: usize = 1024;
 /// Most sessions at a time.
-pub const MOST_SESSIONS: usize = 4096;
+pub const MAX_SESSIONS: usize = 4096;
 /// Most leases that are held, waited for, locked or remembered for their last effect.
-pub const MOST_LEASES: usize = 65_536;
+pub const MAX_LEASES: usize = 65_536;
 /// Most that wait for one lease.
-pub const MOST_WAITING: usize = 1024;
+pub const MAX_WAITERS: usize = 1024;
 /// The shortest and the longest time to live, in ms.
 pub const TTL_MS: std::ops::RangeInclusive<u64> = 500..=3_600_000;
 
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Entry {
     /// A process begins a session under a name. `nonce` tells one process from another.
-    Open {
+    OpenSession {
         /// The process's name.
         name: String,
         /// Drawn by the process at its start.
@@ -36,7 +36,7 @@
         ttl_ms: u64,
     },
     /// The session is alive, with all of its leases. `count` grows by one with each renewal.
-    Renew {
+    RenewSession {
         /// Whose.
         session: SessionId,
         /// The renewal's number.
@@ -44,7 +44,7 @@
     },
     /// A session wants something. `seq` grows by one with each new wish; the same again is answered as the
     /// first time.
-    Ask {
+    Operation {
         /// Whose.
         session: SessionId,
         /// The wish's number.
@@ -53,19 +53,19 @@
         op: Op,
     },
     /// The session ends of its own will: its leases are free at once.
-    Close {
+    CloseSession {
         /// Whose.
         session: SessionId,
     },
     /// The session has not renewed for its time to live since this renewal was seen.
-    Expire {
+    ExpireSession {
         /// Whose.
         session: SessionId,
         /// Its last renewal that the proposer had seen.
         renewals: u64,
     },
     /// The holder of a lease has not renewed for the lease's time to live.
-    Lapse {
+    ExpireLease {
         /// The lease.
         lease: String,
         /// The grant that is to end.
@@ -82,11 +82,11 @@
     },
     /// Nothing but a mark in the order of things: a voter that wants to read what is true now proposes it
     /// and reads when it comes by.
-    Mark {
+    ReadMarker {
         /// The voter that reads.
-        by: VoterId,
+        voter: VoterId,
         /// Its number for this read.
-        ticket: u64,
+        request_id: u64,
     },
 }
 
@@ -152,14 +152,14 @@
     /// The asker does not hold the lease, or no longer under this token.
     NotHeld,
     /// No session of this name is alive.
-    NoSuchName,
+    UnknownSession,
     /// A name is empty, too long or holds control characters, a time to live or a note is out of bounds.
-    BadWish {
+    Invalid {
         /// What is wrong.
         problem: String,
     },
     /// A bound of the table is reached.
-    TooMany,
+    LimitReached,
     /// An older wish than one already answered.
     Stale,
 }
@@ -177,9 +177,9 @@
         /// The renewal's number.
         count: u64,
         /// Leases that the session holds, with token and time to live.
-        holds: Vec<Grant>,
+        held: Vec<Grant>,
         /// Leases that it stands in line for.
-        waits: Vec<String>,
+        waiting: Vec<String>,
     },
     /// The lease is the asker's.
     Granted(Grant),
@@ -212,7 +212,7 @@
     pub ttl_ms: u64,
     /// Its last renewal.
     pub renewals: u64,
-    last: Option<(u64, Reply)>,
+    last_reply: Option<(u64, Reply)>,
     /// The leases that it holds, is to lose or stands in line for.
     leases: BTreeSet<String>,
 }
@@ -232,7 +232,7 @@
         ttl_ms: u64,
     },
     /// A session that is to lose it: it no longer renews, and may believe until its time to live is over.
-    Leaving {
+    Evicted {
         /// Whose.
         session: SessionId,
         /// The grant's number.
@@ -253,23 +253,23 @@
     /// Who has it.
     pub holder: Holder,
     /// Who stands in line, with the time to live each asked for, in order of asking.
-    pub line: VecDeque<(SessionId, u64)>,
+    pub queue: VecDeque<(SessionId, u64)>,
     /// The token of the last effect that was noted.
-    pub effect: Token,
+    pub last_effect: Token,
     /// What was noted last.
     pub note: String,
 }
 
 impl Default for Lease {
     fn default() -> Self {
-        Lease { holder: Holder::Free, line: VecDeque::new(), effect: 0, note: String::new() }
+        Lease { holder: Holder::Free, queue: VecDeque::new(), last_effect: 0, note: String::new() }
     }
 }
 
 impl Lease {
     /// Nothing worth remembering.
-    fn idle(&self) -> bool {
-        self.holder == Holder::Free && self.line.is_empty() && self.effect == 0
+    fn is_idle(&self) -> bool {
+        self.holder == Holder::Free && self.queue.is_empty() && self.last_effect == 0
     }
 }
 
@@ -289,7 +289,7 @@
         /// What.
         grant: Grant,
         /// By an entry of another session, so that nobody's answer says it.
-        unasked: bool,
+        unsolicited: bool,
     },
     /// A lease was taken from its holder, who may believe in it for its time to live.
     Evicted {
@@ -318,19 +318,19 @@
     last_token: Token,
 }
 
-fn name_problem(what: &str, name: &str) -> Option<Refusal> {
+fn check_name(what: &str, name: &str) -> Option<Refusal> {
     let problem = match name {
         "" => "is empty",
-        _ if name.len() > MOST_NAME => "is longer than 128 bytes",
+        _ if name.len() > MAX_NAME_BYTES => "is longer than 128 bytes",
         _ if name.chars().any(char::is_control) => "holds a control character",
         _ => return None,
     };
-    Some(Refusal::BadWish { problem: format!("the {what}'s name {problem}") })
+    Some(Refusal::Invalid { problem: format!("the {what}'s name {problem}") })
 }
 
-fn ttl_problem(ttl_ms: u64) -> Option<Refusal> {
+fn check_ttl(ttl_ms: u64) -> Option<Refusal> {
     let problem = format!("a time to live of {ttl_ms} ms is not between 0.5 s and an hour");
-    (!TTL_MS.contains(&ttl_ms)).then_some(Refusal::BadWish { problem })
+    (!TTL_MS.contains(&ttl_ms)).then_some(Refusal::Invalid { problem })
 }
 
 impl LeaseTable {
@@ -348,30 +348,32 @@
     pub fn apply(&mut self, entry: &Entry) -> (Option<Reply>, Vec<Event>) {
         let mut events = Vec::new();
         let reply = match entry {
-            Entry::Open { name, nonce, ttl_ms } => Some(self.open(name, *nonce, *ttl_ms, &mut events)),
-            Entry::Renew { session, count } => Some(self.renew(*session, *count, &mut events)),
-            Entry::Ask { session, seq, op } => Some(self.ask(*session, *seq, op, &mut events)),
-            Entry::Close { session } => {
-                self.end(*session, false, &mut events);
+            Entry::OpenSession { name, nonce, ttl_ms } => {
+                Some(self.open_session(name, *nonce, *ttl_ms, &mut events))
+            }
+            Entry::RenewSession { session, count } => Some(self.renew_session(*session, *count, &mut events)),
+            Entry::Operation { session, seq, op } => Some(self.operation(*session, *seq, op, &mut events)),
+            Entry::CloseSession { session } => {
+                self.end_session(*session, false, &mut events);
                 None
             }
-            Entry::Expire { session, renewals } => {
+            Entry::ExpireSession { session, renewals } => {
                 let seen = |s: &Session| s.renewals == *renewals;
                 if self.sessions.get(session).is_some_and(seen) {
-                    self.end(*session, true, &mut events);
+                    self.end_session(*session, true, &mut events);
                 }
                 None
             }
-            Entry::Lapse { lease, token, renewals } => {
+            Entry::ExpireLease { lease, token, renewals } => {
                 let over = match self.leases.get(lease).map(|l| l.holder) {
                     Some(Holder::Held { session, token: held, .. }) => {
                         held == *token && self.sessions.get(&session).is_some_and(|s| s.renewals == *renewals)
                     }
-                    Some(Holder::Leaving { token: held, .. }) => held == *token,
+                    Some(Holder::Evicted { token: held, .. }) => held == *token,
                     _ => false,
                 };
                 if over {
-                    self.vacate(lease, true, &mut events);
+                    self.end_grant(lease, true, &mut events);
                 }
                 None
             }
@@ -379,17 +381,17 @@
                 let locked = Holder::Locked { token: *token };
                 if let Some(known) = self.leases.get_mut(lease).filter(|l| l.holder == locked) {
                     known.holder = Holder::Free;
-                    self.next_in_line(lease, &mut events);
+                    self.grant_to_next(lease, &mut events);
                 }
                 None
             }
-            Entry::Mark { .. } => None,
+            Entry::ReadMarker { .. } => None,
         };
         (reply, events)
     }
 
-    fn open(&mut self, name: &str, nonce: u64, ttl_ms: u64, events: &mut Vec<Event>) -> Reply {
-        if let Some(refusal) = name_problem("session", name).or_else(|| ttl_problem(ttl_ms)) {
+    fn open_session(&mut self, name: &str, nonce: u64, ttl_ms: u64, events: &mut Vec<Event>) -> Reply {
+        if let Some(refusal) = check_name("session", name).or_else(|| check_ttl(ttl_ms)) {
             return Reply::Refused(refusal);
         }
         if let Some((&session, known)) = self.sessions.iter().find(|(_, s)| s.name == name) {
@@ -400,8 +402,8 @@
                 false => Reply::Refused(Refusal::NameTaken),
             };
         }
-        if self.sessions.len() >= MOST_SESSIONS {
-            return Reply::Refused(Refusal::TooMany);
+        if self.sessions.len() >= MAX_SESSIONS {
+            return Reply::Refused(Refusal::LimitReached);
         }
         self.last_session += 1;
         let session = Session {
@@ -409,7 +411,7 @@
             nonce,
             ttl_ms,
             renewals: 0,
-            last: None,
+            last_reply: None,
             leases: BTreeSet::new(),
         };
         self.sessions.insert(self.last_session, session);
@@ -417,7 +419,7 @@
         Reply::Opened { session: self.last_session }
     }
 
-    fn renew(&mut self, session: SessionId, count: u64, events: &mut Vec<Event>) -> Reply {
+    fn renew_session(&mut self, session: SessionId, count: u64, events: &mut Vec<Event>) -> Reply {
         let Some(known) = self.sessions.get_mut(&session) else {
             return Reply::Refused(Refusal::NoSession);
         };
@@ -426,20 +428,20 @@
         }
         known.renewals = count;
         events.push(Event::Renewed(session));
-        Reply::Renewed { count, holds: self.holds(session), waits: self.waits(session) }
+        Reply::Renewed { count, held: self.held_by(session), waiting: self.awaited_by(session) }
     }
 
     /// The leases that a session stands in line for.
-    fn waits(&self, session: SessionId) -> Vec<String> {
+    fn awaited_by(&self, session: SessionId) -> Vec<String> {
         let Some(known) = self.sessions.get(&session) else { return Vec::new() };
         let waits = |name: &&String| {
-            self.leases.get(*name).is_some_and(|l| l.line.iter().any(|(s, _)| *s == session))
+            self.leases.get(*name).is_some_and(|l| l.queue.iter().any(|(s, _)| *s == session))
         };
         known.leases.iter().filter(waits).cloned().collect()
     }
 
     /// The leases that a session holds.
-    pub fn holds(&self, session: SessionId) -> Vec<Grant> {
+    pub fn held_by(&self, session: SessionId) -> Vec<Grant> {
         let held = |name: &String| match self.leases.get(name)?.holder {
             Holder::Held { session: by, token, ttl_ms } if by == session => {
                 Some(Grant { lease: name.clone(), token, ttl_ms })
@@ -449,39 +451,39 @@
         self.sessions.get(&session).map(|s| s.leases.iter().filter_map(held).collect()).unwrap_or_default()
     }
 
-    fn ask(&mut self, session: SessionId, seq: u64, op: &Op, events: &mut Vec<Event>) -> Reply {
+    fn operation(&mut self, session: SessionId, seq: u64, op: &Op, events: &mut Vec<Event>) -> Reply {
         let Some(known) = self.sessions.get(&session) else { return Reply::Refused(Refusal::NoSession) };
         // Guards against a wish that was held up on its way and arrives again behind its own undoing.
-        match &known.last {
+        match &known.last_reply {
             Some((last, reply)) if *last == seq => return reply.clone(),
             Some((last, _)) if *last > seq => return Reply::Refused(Refusal::Stale),
             _ => {}
         }
-        let reply = self.grant_wish(session, op, events).unwrap_or_else(Reply::Refused);
+        let reply = self.execute(session, op, events).unwrap_or_else(Reply::Refused);
         if let Some(known) = self.sessions.get_mut(&session) {
-            known.last = Some((seq, reply.clone()));
+            known.last_reply = Some((seq, reply.clone()));
         }
         reply
     }
 
-    fn grant_wish(&mut self, session: SessionId, op: &Op, events: &mut Vec<Event>) -> Result<Reply, Refusal> {
+    fn execute(&mut self, session: SessionId, op: &Op, events: &mut Vec<Event>) -> Result<Reply, Refusal> {
         match op {
             Op::Acquire { lease, ttl_ms, wait } => self.acquire(session, lease, *ttl_ms, *wait, events),
             Op::Release { lease } | Op::Abandon { lease } => {
                 let known = self.leases.get_mut(lease).ok_or(Refusal::NotHeld)?;
-                let waiting = known.line.len();
-                known.line.retain(|(s, _)| *s != session);
-                let left = known.line.len() < waiting;
+                let waiting = known.queue.len();
+                known.queue.retain(|(s, _)| *s != session);
+                let left = known.queue.len() < waiting;
                 match known.holder {
-                    Holder::Held { session: by, .. } | Holder::Leaving { session: by, .. }
+                    Holder::Held { session: by, .. } | Holder::Evicted { session: by, .. }
                         if by == session =>
                     {
-                        self.vacate(lease, matches!(op, Op::Abandon { .. }), events);
+                        self.end_grant(lease, matches!(op, Op::Abandon { .. }), events);
                     }
-                    _ if left => self.forget(lease),
+                    _ if left => self.remove_if_idle(lease),
                     _ => return Err(Refusal::NotHeld),
                 }
-                self.unbind(session, lease);
+                self.remove_lease(session, lease);
                 Ok(Reply::Done)
             }
             Op::Transfer { lease, to } => {
@@ -490,12 +492,12 @@
                     Some(Holder::Held { session: by, ttl_ms, .. }) if by == session => ttl_ms,
                     _ => return Err(Refusal::NotHeld),
                 };
-                let other = other.ok_or(Refusal::NoSuchName)?;
+                let other = other.ok_or(Refusal::UnknownSession)?;
                 if let Some(known) = self.leases.get_mut(lease) {
-                    known.line.retain(|(s, _)| *s != other);
+                    known.queue.retain(|(s, _)| *s != other);
                 }
-                self.unbind(session, lease);
-                self.give(lease, other, ttl_ms, true, events);
+                self.remove_lease(session, lease);
+                self.grant(lease, other, ttl_ms, true, events);
                 Ok(Reply::Done)
             }
             Op::Evict { lease } => {
@@ -503,22 +505,22 @@
                 let Holder::Held { session, token, ttl_ms } = known.holder else {
                     return Err(Refusal::NotHeld);
                 };
-                known.holder = Holder::Leaving { session, token, ttl_ms };
+                known.holder = Holder::Evicted { session, token, ttl_ms };
                 events.push(Event::Evicted { lease: lease.clone(), token });
                 Ok(Reply::Done)
             }
             Op::Effect { lease, token, note } => {
-                if note.len() > MOST_NOTE {
-                    return Err(Refusal::BadWish {
+                if note.len() > MAX_NOTE_BYTES {
+                    return Err(Refusal::Invalid {
                         problem: "the note is longer than 1024 bytes".to_owned(),
                     });
                 }
                 let known = self.leases.get_mut(lease).ok_or(Refusal::NotHeld)?;
                 match known.holder {
                     Holder::Held { session: by, token: held, .. }
-                        if (by == session && held == *token) || is(Mutant::TokenUnchecked) =>
+                        if (by == session && held == *token) || is_active(Mutant::TokenUnchecked) =>
                     {
-                        (known.effect, known.note) = (*token, note.clone());
+                        (known.last_effect, known.note) = (*token, note.clone());
                         Ok(Reply::Done)
                     }
                     _ => Err(Refusal::NotHeld),
@@ -535,26 +537,26 @@
         wait: bool,
         events: &mut Vec<Event>,
     ) -> Result<Reply, Refusal> {
-        if let Some(refusal) = name_problem("lease", lease).or_else(|| ttl_problem(ttl_ms)) {
+        if let Some(refusal) = check_name("lease", lease).or_else(|| check_ttl(ttl_ms)) {
             return Err(refusal);
         }
-        if self.leases.len() >= MOST_LEASES && !self.leases.contains_key(lease) {
-            return Err(Refusal::TooMany);
+        if self.leases.len() >= MAX_LEASES && !self.leases.contains_key(lease) {
+            return Err(Refusal::LimitReached);
         }
         let known = self.leases.entry(lease.to_owned()).or_default();
         match known.holder {
-            Holder::Free => Ok(Reply::Granted(self.give(lease, session, ttl_ms, false, events))),
+            Holder::Free => Ok(Reply::Granted(self.grant(lease, session, ttl_ms, false, events))),
             Holder::Held { session: by, token, ttl_ms } if by == session => {
                 Ok(Reply::Granted(Grant { lease: lease.to_owned(), token, ttl_ms }))
             }
-            _ if wait && known.line.iter().any(|(s, _)| *s == session) => Ok(Reply::Waiting),
-            _ if wait && known.line.len() >= MOST_WAITING => Err(Refusal::TooMany),
+            _ if wait && known.queue.iter().any(|(s, _)| *s == session) => Ok(Reply::Waiting),
+            _ if wait && known.queue.len() >= MAX_WAITERS => Err(Refusal::LimitReached),
             _ if wait => {
-                known.line.push_back((session, ttl_ms));
-                self.bind(session, lease);
+                known.queue.push_back((session, ttl_ms));
+                self.add_lease(session, lease);
                 Ok(Reply::Waiting)
             }
-            Holder::Held { session: by, .. } | Holder::Leaving { session: by, .. } => {
+            Holder::Held { session: by, .. } | Holder::Evicted { session: by, .. } => {
                 Err(Refusal::Held { by: self.sessions.get(&by).map(|s| s.name.clone()) })
             }
             Holder::Locked { .. } => Err(Refusal::Held { by: None }),
@@ -562,92 +564,92 @@
     }
 
     /// Makes a session the holder, under a new token.
-    fn give(
+    fn grant(
         &mut self,
         lease: &str,
         session: SessionId,
         ttl_ms: u64,
-        unasked: bool,
+        unsolicited: bool,
         events: &mut Vec<Event>,
     ) -> Grant {
         self.last_token += 1;
         let token = self.last_token;
         let known = self.leases.entry(lease.to_owned()).or_default();
         known.holder = Holder::Held { session, token, ttl_ms };
-        self.bind(session, lease);
+        self.add_lease(session, lease);
         let grant = Grant { lease: lease.to_owned(), token, ttl_ms };
-        events.push(Event::Granted { session, grant: grant.clone(), unasked });
+        events.push(Event::Granted { session, grant: grant.clone(), unsolicited });
         grant
     }
 
-    fn bind(&mut self, session: SessionId, lease: &str) {
+    fn add_lease(&mut self, session: SessionId, lease: &str) {
         if let Some(known) = self.sessions.get_mut(&session) {
             known.leases.insert(lease.to_owned());
         }
     }
 
-    fn unbind(&mut self, session: SessionId, lease: &str) {
+    fn remove_lease(&mut self, session: SessionId, lease: &str) {
         if let Some(known) = self.sessions.get_mut(&session) {
             known.leases.remove(lease);
         }
     }
 
     /// Takes a lease from its holder: locked where the holder vanished, else to the next in line.
-    fn vacate(&mut self, lease: &str, vanished: bool, events: &mut Vec<Event>) {
+    fn end_grant(&mut self, lease: &str, vanished: bool, events: &mut Vec<Event>) {
         let Some(known) = self.leases.get_mut(lease) else { return };
-        let (Holder::Held { token, session, .. } | Holder::Leaving { token, session, .. }) = known.holder
+        let (Holder::Held { token, session, .. } | Holder::Evicted { token, session, .. }) = known.holder
         else {
             return;
         };
-        let waits = known.line.iter().any(|(s, _)| *s == session);
+        let waits = known.queue.iter().any(|(s, _)| *s == session);
         if !waits {
-            self.unbind(session, lease);
+            self.remove_lease(session, lease);
         }
         let Some(known) = self.leases.get_mut(lease) else { return };
-        if vanished && !is(Mutant::NoLockDelay) {
+        if vanished && !is_active(Mutant::NoLockDelay) {
             known.holder = Holder::Locked { token };
             events.push(Event::Locked { lease: lease.to_owned(), token });
         } else {
             known.holder = Holder::Free;
-            self.next_in_line(lease, events);
+            self.grant_to_next(lease, events);
         }
     }
 
-    fn next_in_line(&mut self, lease: &str, events: &mut Vec<Event>) {
+    fn grant_to_next(&mut self, lease: &str, events: &mut Vec<Event>) {
         let Some(known) = self.leases.get_mut(lease) else { return };
-        match known.line.pop_front() {
+        match known.queue.pop_front() {
             Some((session, ttl_ms)) => {
-                self.give(lease, session, ttl_ms, true, events);
+                self.grant(lease, session, ttl_ms, true, events);
             }
             None => {
                 events.push(Event::Freed(lease.to_owned()));
-                self.forget(lease);
+                self.remove_if_idle(lease);
             }
         }
     }
 
     /// Drops a lease of which nothing is worth remembering.
-    fn forget(&mut self, lease: &str) {
-        if self.leases.get(lease).is_some_and(Lease::idle) {
+    fn remove_if_idle(&mut self, lease: &str) {
+        if self.leases.get(lease).is_some_and(Lease::is_idle) {
             self.leases.remove(lease);
         }
     }
 
     /// Ends a session: it leaves every line, and every lease it holds goes on.
-    fn end(&mut self, session: SessionId, vanished: bool, events: &mut Vec<Event>) {
+    fn end_session(&mut self, session: SessionId, vanished: bool, events: &mut Vec<Event>) {
         let Some(ended) = self.sessions.remove(&session) else { return };
         events.push(Event::Ended(session));
         for name in &ended.leases {
             let Some(lease) = self.leases.get_mut(name) else { continue };
-            lease.line.retain(|(s, _)| *s != session);
+            lease.queue.retain(|(s, _)| *s != session);
             match lease.holder {
-                Holder::Held { session: by, .. } | Holder::Leaving { session: by, .. } if by == session => {
-                    if is(Mutant::ExpiryForgets) && vanished {
+                Holder::Held { session: by, .. } | Holder::Evicted { session: by, .. } if by == session => {
+                    if is_active(Mutant::ExpiryForgets) && vanished {
                         continue;
                     }
-                    self.vacate(name, vanished, events);
+                    self.end_grant(name, vanished, events);
                 }
-                _ => self.forget(name),
+                _ => self.remove_if_idle(name),
             }
         }
     }
--- a/crates/lease/consensus/src/membership.rs
+++ b/crates/lease/consensus/src/membership.rs
@@ -8,26 +8,26 @@
 use std::net::SocketAddr;
 
 /// Most voters.
-pub const MOST_VOTERS: usize = 7;
+pub const MAX_VOTERS: usize = 7;
 
 /// What is known of a voter that was added. Those of the fleet's beginning stand in its file.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Place {
+pub struct VoterInfo {
     /// Where it listens, for all who don't find it in their own file.
     pub address: String,
     /// Its disk's identity: under this number no other is ever heard.
-    pub disk: u64,
+    pub disk_id: u64,
 }
 
 /// A change of the membership.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Change {
+pub enum MembershipChange {
     /// A voter more.
     Add {
         /// Its number, higher than all before it.
         voter: VoterId,
         /// Where it listens, and its disk.
-        place: Place,
+        info: VoterInfo,
     },
     /// A voter less.
     Remove {
@@ -38,32 +38,34 @@
 
 /// Why a change of the membership was refused.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum NoChange {
+pub enum MembershipError {
     /// The number was given to another voter before.
-    Used {
+    IdUsed {
         /// The lowest that is free.
-        free: VoterId,
+        next_free: VoterId,
     },
     /// There are as many voters as there can be.
-    Full,
+    TooManyVoters,
     /// Nobody has this number.
-    Unknown,
+    UnknownVoter,
     /// The last voter stays.
-    Last,
+    LastVoter,
     /// Not an address with a port.
-    BadAddress,
+    InvalidAddress,
 }
 
-impl fmt::Display for NoChange {
+impl fmt::Display for MembershipError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            NoChange::Used { free } => {
-                write!(f, "the number was given to another voter before; take {free} or higher")
+            MembershipError::IdUsed { next_free } => {
+                write!(f, "the number was given to another voter before; take {next_free} or higher")
             }
-            NoChange::Full => write!(f, "there are {MOST_VOTERS} voters already; remove one first"),
-            NoChange::Unknown => write!(f, "no voter has this number"),
-            NoChange::Last => write!(f, "it is the last voter"),
-            NoChange::BadAddress => write!(f, "the address should be address:port"),
+            MembershipError::TooManyVoters => {
+                write!(f, "there are {MAX_VOTERS} voters already; remove one first")
+            }
+            MembershipError::UnknownVoter => write!(f, "no voter has this number"),
+            MembershipError::LastVoter => write!(f, "it is the last voter"),
+            MembershipError::InvalidAddress => write!(f, "the address should be address:port"),
         }
     }
 }
@@ -71,35 +73,35 @@
 /// Who votes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Membership {
-    voters: BTreeMap<VoterId, Option<Place>>,
+    voters: BTreeMap<VoterId, Option<VoterInfo>>,
     highest: VoterId,
 }
 
 impl Membership {
     /// The membership that a fleet begins with. An empty one is that of a voter which waits to be added.
-    pub fn founded(voters: &[VoterId]) -> Membership {
+    pub fn initial(voters: &[VoterId]) -> Membership {
         let highest = voters.iter().copied().max().unwrap_or(0);
         Membership { voters: voters.iter().map(|v| (*v, None)).collect(), highest }
     }
 
     /// The voters' numbers.
-    pub fn voters(&self) -> Vec<VoterId> {
+    pub fn voter_ids(&self) -> Vec<VoterId> {
         self.voters.keys().copied().collect()
     }
 
     /// The voters, with the place of each that was added.
-    pub fn places(&self) -> &BTreeMap<VoterId, Option<Place>> {
+    pub fn members(&self) -> &BTreeMap<VoterId, Option<VoterInfo>> {
         &self.voters
     }
 
     /// Whether this is a voter.
-    pub fn has(&self, voter: VoterId) -> bool {
+    pub fn contains(&self, voter: VoterId) -> bool {
         self.voters.contains_key(&voter)
     }
 
     /// Whether this was a voter and is none any more.
-    pub fn removed(&self, voter: VoterId) -> bool {
-        voter <= self.highest && !self.has(voter)
+    pub fn was_removed(&self, voter: VoterId) -> bool {
+        voter <= self.highest && !self.contains(voter)
     }
 
     /// Takes in a change. `false` where everything is as the change wants it: it was asked for twice.
@@ -107,24 +109,26 @@
     /// # Errors
     ///
     /// Says why not; nothing has changed then.
-    pub fn take(&mut self, change: &Change) -> Result<bool, NoChange> {
+    pub fn apply(&mut self, change: &MembershipChange) -> Result<bool, MembershipError> {
         match change {
-            Change::Add { voter, place } => match self.voters.get(voter) {
-                Some(Some(known)) if known == place => Ok(false),
+            MembershipChange::Add { voter, info } => match self.voters.get(voter) {
+                Some(Some(known)) if known == info => Ok(false),
                 // Guards against a voter that lost its disk and comes back under the number that it voted with.
-                _ if *voter <= self.highest => Err(NoChange::Used { free: self.highest + 1 }),
-                _ if self.voters.len() >= MOST_VOTERS => Err(NoChange::Full),
-                _ if place.address.parse::<SocketAddr>().is_err() => Err(NoChange::BadAddress),
+                _ if *voter <= self.highest => Err(MembershipError::IdUsed { next_free: self.highest + 1 }),
+                _ if self.voters.len() >= MAX_VOTERS => Err(MembershipError::TooManyVoters),
+                _ if info.address.parse::<SocketAddr>().is_err() => Err(MembershipError::InvalidAddress),
                 _ => {
-                    self.voters.insert(*voter, Some(place.clone()));
+                    self.voters.insert(*voter, Some(info.clone()));
                     self.highest = *voter;
                     Ok(true)
                 }
             },
-            Change::Remove { voter } if self.removed(*voter) => Ok(false),
-            Change::Remove { voter } if !self.has(*voter) => Err(NoChange::Unknown),
-            Change::Remove { .. } if self.voters.len() == 1 => Err(NoChange::Last),
-            Change::Remove { voter } => {
+            MembershipChange::Remove { voter } if self.was_removed(*voter) => Ok(false),
+            MembershipChange::Remove { voter } if !self.contains(*voter) => {
+                Err(MembershipError::UnknownVoter)
+            }
+            MembershipChange::Remove { .. } if self.voters.len() == 1 => Err(MembershipError::LastVoter),
+            MembershipChange::Remove { voter } => {
                 self.voters.remove(voter);
                 Ok(true)
             }
--- a/crates/lease/consensus/src/mutant.rs
+++ b/crates/lease/consensus/src/mutant.rs
@@ -47,23 +47,23 @@
 
 #[cfg(feature = "mutants")]
 thread_local! {
-    static ON: std::cell::Cell<Option<Mutant>> = const { std::cell::Cell::new(None) };
+    static ACTIVE: std::cell::Cell<Option<Mutant>> = const { std::cell::Cell::new(None) };
 }
 
 /// Turns a mutant on for this thread, or all off.
 #[cfg(feature = "mutants")]
-pub fn turn_on(mutant: Option<Mutant>) {
-    ON.with(|on| on.set(mutant));
+pub fn set_active(mutant: Option<Mutant>) {
+    ACTIVE.with(|active| active.set(mutant));
 }
 
 /// Whether a mutant is on.
 #[cfg(feature = "mutants")]
-pub fn is(mutant: Mutant) -> bool {
-    ON.with(|on| on.get() == Some(mutant))
+pub fn is_active(mutant: Mutant) -> bool {
+    ACTIVE.with(|active| active.get() == Some(mutant))
 }
 
 /// Whether a mutant is on: none is.
 #[cfg(not(feature = "mutants"))]
-pub const fn is(_: Mutant) -> bool {
+pub const fn is_active(_: Mutant) -> bool {
     false
 }
--- a/crates/lease/consensus/src/replica.rs
+++ b/crates/lease/consensus/src/replica.rs
@@ -1,12 +1,12 @@
 //! The table kept the same on all voters, by the consensus library `raft`.
 //!
-//! The library reads a [`Mirror`], which is no disk: what it wants kept becomes [`Write`]s that the driver
+//! The library reads a [`RaftStore`], which is no disk: what it wants kept becomes [`Write`]s that the driver
 //! brings to the disk before anything of the same turn leaves. If the disk says no, the driver drops the
-//! whole replica with its messages and builds it anew from what is lasting. So nothing that left was ever
+//! to_writes replica with its messages and builds it anew from what is lasting. So nothing that left was ever
 //! promised by a disk that failed half way.
 
 use crate::lease_table::{Entry, LeaseTable};
-use crate::membership::{Change, Membership, NoChange, MOST_VOTERS};
+use crate::membership::{Membership, MembershipChange, MembershipError, MAX_VOTERS};
 use crate::VoterId;
 use protobuf::Message as _;
 use raft::eraftpb::{
@@ -20,9 +20,9 @@
 
 /// One change of what a voter has to remember.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum Write {
+pub enum StorageWrite {
     /// The term, the vote in it, and up to where the log is agreed on.
-    Hard {
+    HardState {
         /// The term.
         term: u64,
         /// Whom it voted for; 0 for nobody.
@@ -33,7 +33,7 @@
     /// Entries, in the library's own form, in the place of all from the first one's index on.
     Append(Vec<Vec<u8>>),
     /// The table as of an entry. Older entries may be forgotten.
-    LeaseTable {
+    Snapshot {
         /// The entry's index.
         index: u64,
         /// The entry's term.
@@ -44,7 +44,7 @@
         table: Box<LeaseTable>,
     },
     /// Entries up to this index are forgotten.
-    Forget {
+    Compact {
         /// The index.
         index: u64,
         /// That entry's term.
@@ -53,44 +53,44 @@
 }
 
 /// Index and term of the entry that a fleet begins with.
-const FIRST: (u64, u64) = (1, 1);
+const BOOTSTRAP_ENTRY: (u64, u64) = (1, 1);
 
 /// What a voter remembers, and what of it is not on its disk yet.
 #[derive(Clone, Debug, Default)]
-pub struct Mirror {
+pub struct RaftStore {
     hard: HardState,
     /// Index and term of the last entry that is forgotten.
     base: (u64, u64),
     log: Vec<LogEntry>,
     /// Index, term, voters and table of the last snapshot.
     snapshot: (u64, u64, Membership, LeaseTable),
-    fresh: Vec<Write>,
+    unsynced: Vec<StorageWrite>,
 }
 
-impl Mirror {
+impl RaftStore {
     /// What a voter of a new fleet remembers: the first entry, that these vote. A voter that is added later
     /// remembers nothing, so that it gets this, or what became of it, as a snapshot.
-    pub fn founded(voters: &[VoterId]) -> Mirror {
-        let (index, term) = FIRST;
+    pub fn bootstrap(voters: &[VoterId]) -> RaftStore {
+        let (index, term) = BOOTSTRAP_ENTRY;
         let hard = HardState { term, commit: index, ..HardState::default() };
-        let snapshot = (index, term, Membership::founded(voters), LeaseTable::default());
-        Mirror { hard, base: FIRST, snapshot, ..Mirror::default() }
+        let snapshot = (index, term, Membership::initial(voters), LeaseTable::default());
+        RaftStore { hard, base: BOOTSTRAP_ENTRY, snapshot, ..RaftStore::default() }
     }
 
     /// Takes in a write, at the start from the disk.
-    pub fn take(&mut self, write: Write) {
+    pub fn apply(&mut self, write: StorageWrite) {
         match write {
-            Write::Hard { term, vote, commit } => {
+            StorageWrite::HardState { term, vote, commit } => {
                 (self.hard.term, self.hard.vote, self.hard.commit) = (term, vote, commit);
             }
-            Write::Append(entries) => {
+            StorageWrite::Append(entries) => {
                 let read = |bytes: &Vec<u8>| LogEntry::parse_from_bytes(bytes).ok();
                 let entries: Vec<LogEntry> = entries.iter().filter_map(read).collect();
                 let Some(first) = entries.first() else { return };
                 self.log.truncate(first.index.saturating_sub(self.base.0 + 1) as usize);
                 self.log.extend(entries);
             }
-            Write::LeaseTable { index, term, membership, table } => {
+            StorageWrite::Snapshot { index, term, membership, table } => {
                 if self.term_of(index) != Some(term) {
                     // What is there of the log doesn't lead to the table: it is of no use behind it either.
                     self.log.clear();
@@ -99,7 +99,7 @@
                 self.hard.commit = self.hard.commit.max(index);
                 self.snapshot = (index, term, membership, *table);
             }
-            Write::Forget { index, term } => {
+            StorageWrite::Compact { index, term } => {
                 if index > self.base.0 {
                     self.log.drain(..((index - self.base.0) as usize).min(self.log.len()));
                     self.base = (index, term);
@@ -109,25 +109,25 @@
     }
 
     /// All of it as the fewest writes.
-    pub fn whole(&self) -> Vec<Write> {
+    pub fn to_writes(&self) -> Vec<StorageWrite> {
         let (index, term, membership, table) = self.snapshot.clone();
         let (term_now, vote, commit) = (self.hard.term, self.hard.vote, self.hard.commit);
         vec![
-            Write::LeaseTable {
+            StorageWrite::Snapshot {
                 index: self.base.0,
                 term: self.base.1,
                 membership: membership.clone(),
                 table: Box::default(),
             },
-            Write::Append(self.log.iter().map(bytes_of).collect()),
-            Write::LeaseTable { index, term, membership, table: Box::new(table) },
-            Write::Hard { term: term_now, vote, commit },
+            StorageWrite::Append(self.log.iter().map(encode_entry).collect()),
+            StorageWrite::Snapshot { index, term, membership, table: Box::new(table) },
+            StorageWrite::HardState { term: term_now, vote, commit },
         ]
     }
 
-    fn write(&mut self, write: Write) {
-        self.fresh.push(write.clone());
-        self.take(write);
+    fn write(&mut self, write: StorageWrite) {
+        self.unsynced.push(write.clone());
+        self.apply(write);
     }
 
     fn last(&self) -> u64 {
@@ -142,20 +142,20 @@
     }
 }
 
-fn bytes_of(entry: &LogEntry) -> Vec<u8> {
+fn encode_entry(entry: &LogEntry) -> Vec<u8> {
     entry.write_to_bytes().expect("an entry is plain data")
 }
 
 /// The mirror as the library gets it.
 #[derive(Clone)]
-struct Shared(Rc<RefCell<Mirror>>);
+struct SharedStore(Rc<RefCell<RaftStore>>);
 
-impl Storage for Shared {
+impl Storage for SharedStore {
     fn initial_state(&self) -> raft::Result<RaftState> {
-        let mirror = self.0.borrow();
+        let store = self.0.borrow();
         Ok(RaftState {
-            hard_state: mirror.hard.clone(),
-            conf_state: ConfState::from((mirror.snapshot.2.voters(), vec![])),
+            hard_state: store.hard.clone(),
+            conf_state: ConfState::from((store.snapshot.2.voter_ids(), vec![])),
         })
     }
 
@@ -166,23 +166,23 @@
         most: impl Into<Option<u64>>,
         _: GetEntriesContext,
     ) -> raft::Result<Vec<LogEntry>> {
-        let mirror = self.0.borrow();
-        if low <= mirror.base.0 {
+        let store = self.0.borrow();
+        if low <= store.base.0 {
             return Err(StorageError::Compacted.into());
         }
-        let from = (low - mirror.base.0 - 1) as usize;
-        let to = (high - mirror.base.0 - 1) as usize;
-        let mut entries = mirror.log.get(from..to).ok_or(StorageError::Unavailable)?.to_vec();
+        let from = (low - store.base.0 - 1) as usize;
+        let to = (high - store.base.0 - 1) as usize;
+        let mut entries = store.log.get(from..to).ok_or(StorageError::Unavailable)?.to_vec();
         raft::util::limit_size(&mut entries, most.into());
         Ok(entries)
     }
 
     fn term(&self, index: u64) -> raft::Result<u64> {
-        let mirror = self.0.borrow();
-        if index < mirror.base.0 {
+        let store = self.0.borrow();
+        if index < store.base.0 {
             return Err(StorageError::Compacted.into());
         }
-        mirror.term_of(index).ok_or_else(|| StorageError::Unavailable.into())
+        store.term_of(index).ok_or_else(|| StorageError::Unavailable.into())
     }
 
     fn first_index(&self) -> raft::Result<u64> {
@@ -194,8 +194,8 @@
     }
 
     fn snapshot(&self, wanted: u64, _: u64) -> raft::Result<Snapshot> {
-        let mirror = self.0.borrow();
-        let (index, term, membership, table) = &mirror.snapshot;
+        let store = self.0.borrow();
+        let (index, term, membership, table) = &store.snapshot;
         if *index < wanted {
             return Err(StorageError::SnapshotTemporarilyUnavailable.into());
         }
@@ -203,7 +203,7 @@
         let mut snapshot = Snapshot { data, ..Snapshot::default() };
         let meta = snapshot.mut_metadata();
         (meta.index, meta.term) = (*index, *term);
-        meta.set_conf_state(ConfState::from((membership.voters(), vec![])));
+        meta.set_conf_state(ConfState::from((membership.voter_ids(), vec![])));
         Ok(snapshot)
     }
 }
@@ -214,36 +214,36 @@
 /// [`STAGGER_TICKS`]. Fixed instead of drawn, so that the same seed gives the same history.
 const ELECTION_TICKS: usize = 15;
 const STAGGER_TICKS: usize = 4;
-/// Entries taken in since the last snapshot until the next is made.
-const SNAPSHOT_EVERY: u64 = 2048;
+/// Entries applied in since the last snapshot until the next is made.
+const SNAPSHOT_INTERVAL: u64 = 2048;
 /// Entries kept behind a snapshot, for voters that lag a little.
-const KEPT: u64 = 256;
+const ENTRIES_BEHIND_SNAPSHOT: u64 = 256;
 /// Bytes of proposals that wait for agreement; more are dropped, and asked for again.
-const MOST_WAITING: u64 = 4 << 20;
+const MAX_UNCOMMITTED_BYTES: u64 = 4 << 20;
 
 /// One step of the agreed order.
-pub enum Step {
+pub enum CommittedStep {
     /// The table as of a snapshot: whatever was known before is part of it.
-    LeaseTable(LeaseTable),
+    Snapshot(LeaseTable),
     /// An entry.
     Entry(Entry),
     /// A change of the membership came by; [`Replica::membership`] has it.
-    Changed {
+    MembershipChanged {
         /// The voter that it was asked of.
-        by: VoterId,
+        voter: VoterId,
         /// That voter's number for it.
-        ticket: u64,
+        request_id: u64,
         /// Refused, and why.
-        outcome: Result<(), NoChange>,
+        outcome: Result<(), MembershipError>,
     },
 }
 
 /// The agreed order of entries, as one voter has it.
 pub struct Replica {
-    node: RawNode<Shared>,
-    mirror: Rc<RefCell<Mirror>>,
+    node: RawNode<SharedStore>,
+    store: Rc<RefCell<RaftStore>>,
     membership: Membership,
-    taken: u64,
+    applied: u64,
     messages: Vec<Message>,
 }
 
@@ -253,34 +253,33 @@
     /// # Errors
     ///
     /// Says what the library finds wrong.
-    pub fn new(voter: VoterId, mirror: Mirror) -> Result<Replica, String> {
-        let (place, round) =
-            ((voter as usize).wrapping_sub(1) % MOST_VOTERS, voter as usize / MOST_VOTERS % 2);
-        let wait = ELECTION_TICKS + STAGGER_TICKS * place + STAGGER_TICKS / 2 * round;
-        let (taken, membership) = (mirror.snapshot.0, mirror.snapshot.2.clone());
+    pub fn new(voter: VoterId, store: RaftStore) -> Result<Replica, String> {
+        let (info, round) = ((voter as usize).wrapping_sub(1) % MAX_VOTERS, voter as usize / MAX_VOTERS % 2);
+        let wait = ELECTION_TICKS + STAGGER_TICKS * info + STAGGER_TICKS / 2 * round;
+        let (applied, membership) = (store.snapshot.0, store.snapshot.2.clone());
         let config = Config {
             id: voter,
             election_tick: ELECTION_TICKS,
             heartbeat_tick: HEARTBEAT_TICKS,
             min_election_tick: wait,
             max_election_tick: wait + 1,
-            applied: taken,
+            applied,
             max_size_per_msg: 1 << 20,
             max_inflight_msgs: 64,
-            max_uncommitted_size: MOST_WAITING,
+            max_uncommitted_size: MAX_UNCOMMITTED_BYTES,
             check_quorum: true,
             pre_vote: true,
             ..Config::default()
         };
-        let mirror = Rc::new(RefCell::new(mirror));
+        let store = Rc::new(RefCell::new(store));
         let silent = slog::Logger::root(slog::Discard, slog::o!());
-        let node = RawNode::new(&config, Shared(mirror.clone()), &silent).map_err(|e| e.to_string())?;
-        Ok(Replica { node, mirror, membership, taken, messages: Vec::new() })
+        let node = RawNode::new(&config, SharedStore(store.clone()), &silent).map_err(|e| e.to_string())?;
+        Ok(Replica { node, store, membership, applied, messages: Vec::new() })
     }
 
     /// The table as of the last snapshot: where the steps begin.
-    pub fn first(&self) -> LeaseTable {
-        self.mirror.borrow().snapshot.3.clone()
+    pub fn snapshot_table(&self) -> LeaseTable {
+        self.store.borrow().snapshot.3.clone()
     }
 
     /// One turn of the library's clock.
@@ -295,7 +294,7 @@
     }
 
     /// The link to a voter is down: nothing of what is under way to it counts as sent.
-    pub fn unreachable(&mut self, voter: VoterId) {
+    pub fn report_unreachable(&mut self, voter: VoterId) {
         self.node.report_unreachable(voter);
     }
 
@@ -305,7 +304,7 @@
     }
 
     /// Whether this voter leads.
-    pub fn leads(&self) -> bool {
+    pub fn is_leader(&self) -> bool {
         self.node.raft.state == raft::StateRole::Leader
     }
 
@@ -317,11 +316,11 @@
 
     /// Puts a change of the membership forward. The library lets one at a time through; whoever asked hears nothing of
     /// one that it dropped, and asks again.
-    pub fn propose_change(&mut self, by: VoterId, ticket: u64, change: &Change) -> bool {
-        let context = postcard::to_stdvec(&(by, ticket, change)).expect("a change is plain data");
+    pub fn propose_change(&mut self, voter: VoterId, request_id: u64, change: &MembershipChange) -> bool {
+        let context = postcard::to_stdvec(&(voter, request_id, change)).expect("a change is plain data");
         let (change_type, node_id) = match change {
-            Change::Add { voter, .. } => (ConfChangeType::AddNode, *voter),
-            Change::Remove { voter } => (ConfChangeType::RemoveNode, *voter),
+            MembershipChange::Add { voter, .. } => (ConfChangeType::AddNode, *voter),
+            MembershipChange::Remove { voter } => (ConfChangeType::RemoveNode, *voter),
         };
         let change = ConfChange { change_type, node_id, ..ConfChange::default() };
         self.leader().is_some() && self.node.propose_conf_change(context, change).is_ok()
@@ -333,46 +332,50 @@
     }
 
     /// What was agreed on since the last call, in order.
-    pub fn agreed(&mut self) -> Vec<Step> {
+    pub fn take_committed(&mut self) -> Vec<CommittedStep> {
         let mut steps = Vec::new();
         while self.node.has_ready() {
             let mut ready = self.node.ready();
-            let write = |write| self.mirror.borrow_mut().write(write);
+            let write = |write| self.store.borrow_mut().write(write);
             if *ready.snapshot() != Snapshot::default() {
                 let snapshot = ready.snapshot().clone();
                 let (index, term) = (snapshot.get_metadata().index, snapshot.get_metadata().term);
                 if let Ok((membership, table)) =
                     postcard::from_bytes::<(Membership, LeaseTable)>(&snapshot.data)
                 {
-                    write(Write::LeaseTable {
+                    write(StorageWrite::Snapshot {
                         index,
                         term,
                         membership: membership.clone(),
                         table: Box::new(table.clone()),
                     });
-                    (self.taken, self.membership) = (index, membership);
-                    steps.push(Step::LeaseTable(table));
+                    (self.applied, self.membership) = (index, membership);
+                    steps.push(CommittedStep::Snapshot(table));
                 }
             }
             if !ready.entries().is_empty() {
-                write(Write::Append(ready.entries().iter().map(bytes_of).collect()));
+                write(StorageWrite::Append(ready.entries().iter().map(encode_entry).collect()));
             }
             if let Some(hard) = ready.hs() {
-                write(Write::Hard { term: hard.term, vote: hard.vote, commit: hard.commit });
+                write(StorageWrite::HardState { term: hard.term, vote: hard.vote, commit: hard.commit });
             }
             let mut messages = ready.take_messages();
             messages.extend(ready.take_persisted_messages());
             let committed = ready.take_committed_entries();
-            self.take(committed, &mut steps);
+            self.apply_committed(committed, &mut steps);
             // The library may go on: nothing of this turn leaves before all of its writes are lasting.
             let mut light = self.node.advance(ready);
             if let Some(commit) = light.commit_index() {
-                let hard = self.mirror.borrow().hard.clone();
-                self.mirror.borrow_mut().write(Write::Hard { term: hard.term, vote: hard.vote, commit });
+                let hard = self.store.borrow().hard.clone();
+                self.store.borrow_mut().write(StorageWrite::HardState {
+                    term: hard.term,
+                    vote: hard.vote,
+                    commit,
+                });
             }
             messages.extend(light.take_messages());
             let committed = light.take_committed_entries();
-            self.take(committed, &mut steps);
+            self.apply_committed(committed, &mut steps);
             self.node.advance_apply();
             for message in &messages {
                 if message.get_msg_type() == MessageType::MsgSnapshot {
@@ -385,77 +388,78 @@
         steps
     }
 
-    fn take(&mut self, committed: Vec<LogEntry>, steps: &mut Vec<Step>) {
+    fn apply_committed(&mut self, committed: Vec<LogEntry>, steps: &mut Vec<CommittedStep>) {
         for entry in committed {
-            self.taken = entry.index;
+            self.applied = entry.index;
             if entry.get_entry_type() == EntryType::EntryConfChange {
-                steps.extend(self.change(&entry));
+                steps.extend(self.apply_membership_change(&entry));
                 continue;
             }
             if entry.get_entry_type() == EntryType::EntryNormal && !entry.data.is_empty() {
                 // An entry that this version can't read changes nothing, on any voter of this version.
                 if let Ok(entry) = postcard::from_bytes(&entry.data) {
-                    steps.push(Step::Entry(entry));
+                    steps.push(CommittedStep::Entry(entry));
                 }
             }
         }
     }
 
     /// A change of the membership was agreed on. Each voter finds by itself, from the membership alone, whether it is refused.
-    fn change(&mut self, entry: &LogEntry) -> Option<Step> {
-        let (by, ticket, change) = postcard::from_bytes::<(VoterId, u64, Change)>(&entry.context).ok()?;
-        let outcome = self.membership.take(&change);
+    fn apply_membership_change(&mut self, entry: &LogEntry) -> Option<CommittedStep> {
+        let (voter, request_id, change) =
+            postcard::from_bytes::<(VoterId, u64, MembershipChange)>(&entry.context).ok()?;
+        let outcome = self.membership.apply(&change);
         if outcome == Ok(true) {
             let change = ConfChange::parse_from_bytes(&entry.data).ok()?;
             self.node.apply_conf_change(&change).expect("the membership keeps at least one voter");
             let raft = &mut self.node.raft;
-            if raft.state == raft::StateRole::Leader && !self.membership.has(raft.id) {
+            if raft.state == raft::StateRole::Leader && !self.membership.contains(raft.id) {
                 // Guards against a leader that counts itself though it no longer votes, which ends the library.
                 raft.become_follower(raft.term, raft::INVALID_ID);
             }
         }
-        Some(Step::Changed { by, ticket, outcome: outcome.map(drop) })
+        Some(CommittedStep::MembershipChanged { voter, request_id, outcome: outcome.map(drop) })
     }
 
     /// The table as of now, for a snapshot, if one is due.
     pub fn snapshot_due(&self) -> bool {
-        self.taken >= self.mirror.borrow().snapshot.0 + SNAPSHOT_EVERY
+        self.applied >= self.store.borrow().snapshot.0 + SNAPSHOT_INTERVAL
     }
 
     /// Takes a snapshot and forgets what lies well before it.
-    pub fn snapshot(&mut self, table: &LeaseTable) {
-        let mut mirror = self.mirror.borrow_mut();
-        let Some(term) = mirror.term_of(self.taken) else { return };
+    pub fn take_snapshot(&mut self, table: &LeaseTable) {
+        let mut store = self.store.borrow_mut();
+        let Some(term) = store.term_of(self.applied) else { return };
         let membership = self.membership.clone();
-        mirror.write(Write::LeaseTable {
-            index: self.taken,
+        store.write(StorageWrite::Snapshot {
+            index: self.applied,
             term,
             membership,
             table: Box::new(table.clone()),
         });
-        let index = self.taken.saturating_sub(KEPT);
-        if let Some(term) = mirror.term_of(index) {
-            mirror.write(Write::Forget { index, term });
+        let index = self.applied.saturating_sub(ENTRIES_BEHIND_SNAPSHOT);
+        if let Some(term) = store.term_of(index) {
+            store.write(StorageWrite::Compact { index, term });
         }
     }
 
-    /// Entries taken in.
-    pub fn taken(&self) -> u64 {
-        self.taken
+    /// Entries applied in.
+    pub fn applied(&self) -> u64 {
+        self.applied
     }
 
     /// What has to be lasting before any of the messages of [`Replica::messages`] leaves.
-    pub fn writes(&mut self) -> Vec<Write> {
-        std::mem::take(&mut self.mirror.borrow_mut().fresh)
+    pub fn take_writes(&mut self) -> Vec<StorageWrite> {
+        std::mem::take(&mut self.store.borrow_mut().unsynced)
     }
 
     /// All that has to be remembered, as the fewest writes.
-    pub fn whole(&self) -> Vec<Write> {
-        self.mirror.borrow().whole()
+    pub fn to_writes(&self) -> Vec<StorageWrite> {
+        self.store.borrow().to_writes()
     }
 
     /// Messages for other voters.
-    pub fn messages(&mut self) -> Vec<(VoterId, Vec<u8>)> {
+    pub fn take_messages(&mut self) -> Vec<(VoterId, Vec<u8>)> {
         let write = |m: Message| (m.to, m.write_to_bytes().expect("a message is plain data"));
         std::mem::take(&mut self.messages).into_iter().map(write).collect()
     }
--- a/crates/lease/consensus/src/wire.rs
+++ b/crates/lease/consensus/src/wire.rs
@@ -3,16 +3,16 @@
 //! name, so that it can be counted; none of them changes anything.
 
 use crate::lease_table::{Event, Holder, Op, Refusal, Reply};
-use crate::membership::{Change, NoChange};
+use crate::membership::{MembershipChange, MembershipError};
 use crate::{SessionId, Token, VoterId};
 use serde::{Deserialize, Serialize};
 
 /// The version of the frames.
-pub const VERSION: u8 = 2;
+pub const PROTOCOL_VERSION: u8 = 2;
 /// No frame is longer.
-pub const MOST_FRAME: usize = 16 << 20;
+pub const MAX_FRAME_BYTES: usize = 16 << 20;
 /// Length, checksum, version, fleet.
-pub const FRAME_HEAD: usize = 4 + 4 + 1 + 8;
+pub const FRAME_HEADER_BYTES: usize = 4 + 4 + 1 + 8;
 
 /// What a process of the fleet says to another.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -22,43 +22,43 @@
         /// Its number.
         voter: VoterId,
         /// Its disk's identity.
-        disk: u64,
+        disk_id: u64,
         /// How many writes its disk has taken.
-        mark: u64,
+        write_count: u64,
         /// Drawn at its start.
-        life: u64,
+        incarnation: u64,
         /// It knows of no voters yet.
-        joins: bool,
+        joining: bool,
         /// Where it listens, if it was added.
         address: Option<String>,
     },
     /// The voter that was called knows the caller, or takes it in.
-    Welcome,
+    HelloAccepted,
     /// The voter that was called doesn't let the caller vote, and why.
-    Unwelcome {
+    HelloRejected {
         /// The reason, for people.
         reason: String,
     },
     /// Of other voters: how many writes their disks had taken, in which life.
-    Marks(Vec<(VoterId, u64, u64)>),
+    WriteCounts(Vec<(VoterId, u64, u64)>),
     /// A voter's message of the consensus, sent when this many writes were lasting on its disk.
-    Vote {
+    Consensus {
         /// Writes that the sender's disk had taken.
-        mark: u64,
+        write_count: u64,
         /// The message, in the library's own form.
         message: Vec<u8>,
     },
     /// A client says something.
-    Client(Say),
+    Request(ClientRequest),
     /// A voter answers a client.
-    Answer(Answer),
+    Response(ClientResponse),
 }
 
 /// What a client says.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Say {
+pub enum ClientRequest {
     /// It wants a session.
-    Open {
+    OpenSession {
         /// The process's name.
         name: String,
         /// Drawn at its start.
@@ -67,14 +67,14 @@
         ttl_ms: u64,
     },
     /// It is alive.
-    Renew {
+    RenewSession {
         /// Its session.
         session: SessionId,
         /// The renewal's number.
         count: u64,
     },
     /// It wants something.
-    Ask {
+    Operation {
         /// Its session.
         session: SessionId,
         /// The wish's number.
@@ -83,43 +83,43 @@
         op: Op,
     },
     /// It goes.
-    Close {
+    CloseSession {
         /// Its session.
         session: SessionId,
     },
     /// It wants to know all leases and sessions.
     List {
         /// Its number for the question.
-        ticket: u64,
+        request_id: u64,
     },
     /// It wants to know how this voter is.
     Status {
         /// Its number for the question.
-        ticket: u64,
+        request_id: u64,
     },
     /// It wants to hear of every change of a lease from now on.
     Watch,
     /// It wants another voter, or one less.
-    Change {
+    ChangeMembership {
         /// Its number for the wish.
-        ticket: u64,
+        request_id: u64,
         /// The wish.
-        change: Change,
+        change: MembershipChange,
     },
 }
 
 /// What a voter says to a client.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Answer {
+pub enum ClientResponse {
     /// To `Open`.
-    Open {
+    SessionOpened {
         /// As asked.
         nonce: u64,
         /// The answer.
         reply: Reply,
     },
     /// To `Renew`.
-    Renew {
+    SessionRenewed {
         /// As asked.
         session: SessionId,
         /// As asked.
@@ -128,7 +128,7 @@
         reply: Reply,
     },
     /// To `Ask`.
-    Ask {
+    Operation {
         /// As asked.
         session: SessionId,
         /// As asked.
@@ -137,47 +137,47 @@
         reply: Reply,
     },
     /// A lease came to a session that stood in line, or was handed to it.
-    Hint {
+    RenewHint {
         /// Whose.
         session: SessionId,
     },
     /// To `List`.
     List {
         /// As asked.
-        ticket: u64,
+        request_id: u64,
         /// Of each lease: name, state, holder's name, token, how many wait, last effect's token.
-        leases: Vec<LeaseRow>,
+        leases: Vec<LeaseInfo>,
         /// Of each session: number, name, leases held.
         sessions: Vec<(SessionId, String, usize)>,
     },
     /// To `Status`.
     Status {
         /// As asked.
-        ticket: u64,
+        request_id: u64,
         /// The voter's figures.
-        status: Status,
+        status: VoterStatus,
     },
     /// After `Watch`: a lease changed.
-    Change {
+    LeaseChanged {
         /// How it is now; `free` where the voters have nothing more to remember of it.
-        lease: LeaseRow,
+        lease: LeaseInfo,
     },
     /// The voters, with the address of each that was added: at the start of a session, and after each change.
     Voters(Vec<(VoterId, Option<String>)>),
     /// To `Change`.
-    Changed {
+    MembershipChanged {
         /// As asked.
-        ticket: u64,
+        request_id: u64,
         /// Refused, and why.
-        outcome: Result<(), NoChange>,
+        outcome: Result<(), MembershipError>,
     },
     /// The voter cannot serve now; another may.
-    NotNow,
+    Unavailable,
 }
 
 /// A lease as people see it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct LeaseRow {
+pub struct LeaseInfo {
     /// The lease.
     pub lease: String,
     /// `held`, `leaving`, `locked` or `free`.
@@ -191,12 +191,12 @@
     /// How many stand in line.
     pub waiting: usize,
     /// Token of the last effect noted.
-    pub effect: Token,
+    pub last_effect_token: Token,
 }
 
 /// A voter as people see it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Status {
+pub struct VoterStatus {
     /// Its number.
     pub voter: VoterId,
     /// `voting`, `not admitted` with a reason, or `no disk` with a reason.
@@ -204,11 +204,11 @@
     /// Whom it takes for the leader.
     pub leader: Option<VoterId>,
     /// Its disk's identity.
-    pub disk: u64,
+    pub disk_id: u64,
     /// The voters that it knows, with the address of each that was added.
     pub voters: Vec<(VoterId, Option<String>)>,
     /// Voters that it has a link to now.
-    pub linked: Vec<VoterId>,
+    pub connected: Vec<VoterId>,
     /// Entries agreed on that it took in.
     pub applied: u64,
     /// Sessions.
@@ -218,43 +218,43 @@
     /// Clients connected to it.
     pub clients: usize,
     /// Links that it closed for what came on them, by what was wrong: `too long`, `garbled`, `version`, `foreign`.
-    pub refused: Vec<(String, u64)>,
+    pub rejected_links: Vec<(String, u64)>,
 }
 
 /// What is wrong with bytes that came in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Bad {
-    /// The length is over [`MOST_FRAME`].
+pub enum FrameError {
+    /// The length is over [`MAX_FRAME_BYTES`].
     TooLong,
     /// The checksum doesn't fit, or the message can't be read.
-    Garbled,
+    Corrupt,
     /// Another version.
-    Version,
+    WrongVersion,
     /// Another fleet.
-    Foreign,
+    WrongFleet,
 }
 
-impl std::fmt::Display for Bad {
+impl std::fmt::Display for FrameError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
-            Bad::TooLong => "too long",
-            Bad::Garbled => "garbled",
-            Bad::Version => "version",
-            Bad::Foreign => "foreign",
+            FrameError::TooLong => "too long",
+            FrameError::Corrupt => "garbled",
+            FrameError::WrongVersion => "version",
+            FrameError::WrongFleet => "foreign",
         })
     }
 }
 
 /// The number that a fleet's name stands for in frames.
-pub fn fleet_number(name: &str) -> u64 {
+pub fn fleet_id(name: &str) -> u64 {
     u64::from(crc32fast::hash(name.as_bytes())) << 32 | name.len() as u64
 }
 
 /// A frame as bytes.
 pub fn encode(fleet: u64, frame: &Frame) -> Vec<u8> {
-    let mut bytes = vec![0; FRAME_HEAD];
-    bytes[8] = VERSION;
-    bytes[9..FRAME_HEAD].copy_from_slice(&fleet.to_le_bytes());
+    let mut bytes = vec![0; FRAME_HEADER_BYTES];
+    bytes[8] = PROTOCOL_VERSION;
+    bytes[9..FRAME_HEADER_BYTES].copy_from_slice(&fleet.to_le_bytes());
     let mut bytes = postcard::to_extend(frame, bytes).expect("a frame is plain data");
     let length = (bytes.len() - 8) as u32;
     bytes[..4].copy_from_slice(&length.to_le_bytes());
@@ -268,45 +268,45 @@
 /// # Errors
 ///
 /// Says what is wrong; the connection is of no further use, since nobody knows where the next frame begins.
-pub fn decode(fleet: u64, bytes: &[u8]) -> Result<Option<(Frame, usize)>, Bad> {
+pub fn decode(fleet: u64, bytes: &[u8]) -> Result<Option<(Frame, usize)>, FrameError> {
     let Some(head) = bytes.get(..8) else { return Ok(None) };
     let number = |at: usize| u32::from_le_bytes(head[at..at + 4].try_into().expect("four bytes"));
     let (length, sum) = (number(0) as usize, number(4));
-    if length > MOST_FRAME {
-        return Err(Bad::TooLong);
+    if length > MAX_FRAME_BYTES {
+        return Err(FrameError::TooLong);
     }
     let Some(body) = bytes.get(8..8 + length) else { return Ok(None) };
-    if length < FRAME_HEAD - 8 || crc32fast::hash(body) != sum {
-        return Err(Bad::Garbled);
+    if length < FRAME_HEADER_BYTES - 8 || crc32fast::hash(body) != sum {
+        return Err(FrameError::Corrupt);
     }
-    if body[0] != VERSION {
-        return Err(Bad::Version);
+    if body[0] != PROTOCOL_VERSION {
+        return Err(FrameError::WrongVersion);
     }
     if body[1..9] != fleet.to_le_bytes() {
-        return Err(Bad::Foreign);
+        return Err(FrameError::WrongFleet);
     }
-    let frame = postcard::from_bytes(&body[9..]).map_err(|_| Bad::Garbled)?;
+    let frame = postcard::from_bytes(&body[9..]).map_err(|_| FrameError::Corrupt)?;
     Ok(Some((frame, 8 + length)))
 }
 
-impl LeaseRow {
+impl LeaseInfo {
     /// A lease as people see it.
-    pub fn of(table: &crate::lease_table::LeaseTable, name: &str) -> LeaseRow {
+    pub fn of(table: &crate::lease_table::LeaseTable, name: &str) -> LeaseInfo {
         let lease = table.leases().get(name).cloned().unwrap_or_default();
         let (state, holder, token, ttl_ms) = match lease.holder {
             Holder::Free => ("free", None, 0, 0),
             Holder::Held { session, token, ttl_ms } => ("held", Some(session), token, ttl_ms),
-            Holder::Leaving { session, token, ttl_ms } => ("leaving", Some(session), token, ttl_ms),
+            Holder::Evicted { session, token, ttl_ms } => ("leaving", Some(session), token, ttl_ms),
             Holder::Locked { token } => ("locked", None, token, 0),
         };
-        LeaseRow {
+        LeaseInfo {
             lease: name.to_owned(),
             state: state.to_owned(),
             holder: holder.and_then(|s| table.sessions().get(&s)).map(|s| s.name.clone()),
             token,
             ttl_ms,
-            waiting: lease.line.len(),
-            effect: lease.effect,
+            waiting: lease.queue.len(),
+            last_effect_token: lease.last_effect,
         }
     }
 
@@ -329,9 +329,9 @@
             Refusal::Held { by: Some(name) } => write!(f, "held by {name}"),
             Refusal::Held { by: None } => write!(f, "locked: its holder vanished a moment ago"),
             Refusal::NotHeld => write!(f, "not held"),
-            Refusal::NoSuchName => write!(f, "no session of this name"),
-            Refusal::BadWish { problem } => write!(f, "{problem}"),
-            Refusal::TooMany => write!(f, "the fleet holds as many as it can"),
+            Refusal::UnknownSession => write!(f, "no session of this name"),
+            Refusal::Invalid { problem } => write!(f, "{problem}"),
+            Refusal::LimitReached => write!(f, "the fleet holds as many as it can"),
             Refusal::Stale => write!(f, "overtaken by a later one"),
         }
     }
--- a/crates/lease/consensus/tests/lease_table.rs
+++ b/crates/lease/consensus/tests/lease_table.rs
@@ -4,7 +4,7 @@
 use passrelay_lease_consensus::SessionId;
 
 fn open(table: &mut LeaseTable, name: &str) -> SessionId {
-    let entry = Entry::Open { name: name.to_owned(), nonce: 1, ttl_ms: 1000 };
+    let entry = Entry::OpenSession { name: name.to_owned(), nonce: 1, ttl_ms: 1000 };
     match table.apply(&entry).0 {
         Some(Reply::Opened { session }) => session,
         reply => panic!("{reply:?}"),
@@ -12,7 +12,7 @@
 }
 
 fn ask(table: &mut LeaseTable, session: SessionId, seq: u64, op: Op) -> Option<Reply> {
-    table.apply(&Entry::Ask { session, seq, op }).0
+    table.apply(&Entry::Operation { session, seq, op }).0
 }
 
 fn acquire() -> Op {
@@ -27,15 +27,15 @@
     let (a, b) = (open(&mut table, "a"), open(&mut table, "b"));
     assert!(matches!(ask(&mut table, a, 1, acquire()), Some(Reply::Granted(Grant { token: 1, .. }))));
     assert_eq!(ask(&mut table, b, 1, acquire()), Some(Reply::Waiting));
-    table.apply(&Entry::Renew { session: a, count: 1 });
-    table.apply(&Entry::Expire { session: a, renewals: 0 });
-    table.apply(&Entry::Lapse { lease: "l".to_owned(), token: 1, renewals: 0 });
-    assert_eq!(table.holds(a).len(), 1);
-    table.apply(&Entry::Expire { session: a, renewals: 1 });
+    table.apply(&Entry::RenewSession { session: a, count: 1 });
+    table.apply(&Entry::ExpireSession { session: a, renewals: 0 });
+    table.apply(&Entry::ExpireLease { lease: "l".to_owned(), token: 1, renewals: 0 });
+    assert_eq!(table.held_by(a).len(), 1);
+    table.apply(&Entry::ExpireSession { session: a, renewals: 1 });
     assert!(table.sessions().get(&a).is_none());
     assert_eq!(table.leases()["l"].holder, Holder::Locked { token: 1 });
     table.apply(&Entry::Unlock { lease: "l".to_owned(), token: 1 });
-    assert_eq!(table.holds(b)[0].token, 2);
+    assert_eq!(table.held_by(b)[0].token, 2);
 }
 
 // Guards against a killed command's last effects that meet the next holder's: only a clean release is at once.
@@ -52,5 +52,5 @@
     table.apply(&Entry::Unlock { lease: lease(), token: 1 });
     assert_eq!(ask(&mut table, a, 3, acquire()), Some(Reply::Waiting));
     assert_eq!(ask(&mut table, b, 2, Op::Release { lease: lease() }), Some(Reply::Done));
-    assert_eq!(table.holds(a)[0].token, 3);
+    assert_eq!(table.held_by(a)[0].token, 3);
 }
--- a/crates/lease/consensus/tests/model.rs
+++ b/crates/lease/consensus/tests/model.rs
@@ -6,9 +6,9 @@
 //! allows. One voter may crash and begin to count anew, one process may be stopped between its check and its act.
 
 use passrelay_lease_consensus::client::{Client, DRIFT_PERCENT};
-use passrelay_lease_consensus::expiry::ExpiryWatch;
+use passrelay_lease_consensus::expiry::ExpiryTracker;
 use passrelay_lease_consensus::lease_table::{Entry, LeaseTable, Op};
-use passrelay_lease_consensus::wire::{Answer, Say};
+use passrelay_lease_consensus::wire::{ClientRequest, ClientResponse};
 use passrelay_lease_consensus::{SessionId, Token};
 use stateright::{Checker, Expectation, HasDiscoveries, Model, Property};
 use std::collections::VecDeque;
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Voter {
     table: LeaseTable,
-    expiry: ExpiryWatch,
+    expiry: ExpiryTracker,
     applied: usize,
     /// Runs fast, as far as the bound allows; else slow.
     fast: bool,
@@ -32,8 +32,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Process {
     client: Client,
-    says: VecDeque<Say>,
-    answers: VecDeque<Answer>,
+    requests: VecDeque<ClientRequest>,
+    answers: VecDeque<ClientResponse>,
     fast: bool,
     /// The token that it found to be good, and has not acted with yet.
     hand: Option<Token>,
@@ -111,16 +111,16 @@
     /// What a process says goes on its link.
     fn speak(&mut self, process: usize) {
         let p = &mut self.processes[process];
-        p.client.news();
-        p.says.extend(p.client.says());
-        p.says.truncate(WAITING);
+        p.client.take_events();
+        p.requests.extend(p.client.take_requests());
+        p.requests.truncate(WAITING);
     }
 
-    fn propose(&mut self, say: Say) {
+    fn propose(&mut self, say: ClientRequest) {
         self.log.push(match say {
-            Say::Renew { session, count } => Entry::Renew { session, count },
-            Say::Ask { session, seq, op } => Entry::Ask { session, seq, op },
-            Say::Open { name, nonce, ttl_ms } => Entry::Open { name, nonce, ttl_ms },
+            ClientRequest::RenewSession { session, count } => Entry::RenewSession { session, count },
+            ClientRequest::Operation { session, seq, op } => Entry::Operation { session, seq, op },
+            ClientRequest::OpenSession { name, nonce, ttl_ms } => Entry::OpenSession { name, nonce, ttl_ms },
             say => panic!("not in this model: {say:?}"),
         });
     }
@@ -132,13 +132,19 @@
         let entry = self.log[v.applied].clone();
         v.applied += 1;
         let (reply, events) = v.table.apply(&entry);
-        events.iter().for_each(|e| v.expiry.note(e, now));
+        events.iter().for_each(|e| v.expiry.record(e, now));
         let (Some(p), Some(reply)) = (self.processes.get_mut(voter), reply) else { return };
         let mine = |session: SessionId| p.client.session() == Some(session);
         let answer = match entry {
-            Entry::Renew { session, count } if mine(session) => Answer::Renew { session, count, reply },
-            Entry::Ask { session, seq, .. } if mine(session) => Answer::Ask { session, seq, reply },
-            Entry::Open { nonce, .. } if nonce == voter as u64 => Answer::Open { nonce, reply },
+            Entry::RenewSession { session, count } if mine(session) => {
+                ClientResponse::SessionRenewed { session, count, reply }
+            }
+            Entry::Operation { session, seq, .. } if mine(session) => {
+                ClientResponse::Operation { session, seq, reply }
+            }
+            Entry::OpenSession { nonce, .. } if nonce == voter as u64 => {
+                ClientResponse::SessionOpened { nonce, reply }
+            }
             _ => return,
         };
         p.answers.push_back(answer);
@@ -149,7 +155,7 @@
     fn settle(&mut self) {
         loop {
             for process in 0..self.processes.len() {
-                while let Some(say) = self.processes[process].says.pop_front() {
+                while let Some(say) = self.processes[process].requests.pop_front() {
                     self.propose(say);
                 }
             }
@@ -179,13 +185,13 @@
         let begin = |clocks: u8| {
             let voter = |_| Voter {
                 table: LeaseTable::default(),
-                expiry: ExpiryWatch::new(Duration::ZERO),
+                expiry: ExpiryTracker::new(Duration::ZERO),
                 applied: 0,
                 fast: clocks & 1 > 0,
             };
             let process = |at: u64| Process {
                 client: Client::new(&format!("p{at}"), at, Duration::from_millis(TTL_MS)),
-                says: VecDeque::new(),
+                requests: VecDeque::new(),
                 answers: VecDeque::new(),
                 fast: clocks & (2 << at) > 0,
                 hand: None,
@@ -204,11 +210,11 @@
                 extra_drift: self.extra_drift,
             };
             for at in 0..2 {
-                state.processes[at].client.up(Duration::ZERO);
+                state.processes[at].client.connected(Duration::ZERO);
                 state.speak(at);
                 state.settle();
                 let op = Op::Acquire { lease: "l".to_owned(), ttl_ms: TTL_MS, wait: true };
-                state.processes[at].client.ask(op, Duration::ZERO);
+                state.processes[at].client.request(op, Duration::ZERO);
                 state.speak(at);
                 state.settle();
             }
@@ -239,7 +245,7 @@
         }
         for at in 0..state.processes.len() {
             let p = &state.processes[at];
-            if !p.says.is_empty() && state.log.len() < self.entries {
+            if !p.requests.is_empty() && state.log.len() < self.entries {
                 actions.push(Action::Hear(at));
             }
             if p.stopped {
@@ -274,7 +280,7 @@
                 }
             }
             Action::Hear(at) => {
-                let say = state.processes[at].says.pop_front()?;
+                let say = state.processes[at].requests.pop_front()?;
                 state.propose(say);
             }
             Action::Apply(voter) => {
@@ -285,7 +291,7 @@
             Action::Due(voter) => {
                 let now = clock(state.time, state.voters[voter].fast, state.extra_drift);
                 let v = &mut state.voters[voter];
-                let due = v.expiry.due(&v.table, now);
+                let due = v.expiry.due_entries(&v.table, now);
                 if due.is_empty() {
                     return None;
                 }
@@ -319,7 +325,7 @@
             Action::Crash(voter) => {
                 let now = clock(state.time, state.voters[voter].fast, state.extra_drift);
                 let v = &mut state.voters[voter];
-                v.expiry = ExpiryWatch::new(Duration::ZERO);
+                v.expiry = ExpiryTracker::new(Duration::ZERO);
                 v.expiry.reset(&v.table, now);
                 if let Some(p) = state.processes.get_mut(voter) {
                     p.answers.clear();
--- a/crates/lease/consensus/tests/sample_data.rs
+++ b/crates/lease/consensus/tests/sample_data.rs
@@ -5,9 +5,11 @@
 //! that all are there is checked against the number of variants that each type says it has.
 
 use passrelay_lease_consensus::lease_table::{Entry, Op, Refusal, Reply};
-use passrelay_lease_consensus::membership::{Change, NoChange};
-use passrelay_lease_consensus::replica::Write;
-use passrelay_lease_consensus::wire::{decode, encode, fleet_number, Answer, Frame, Say, FRAME_HEAD};
+use passrelay_lease_consensus::membership::{MembershipChange, MembershipError};
+use passrelay_lease_consensus::replica::StorageWrite;
+use passrelay_lease_consensus::wire::{
+    decode, encode, fleet_id, ClientRequest, ClientResponse, Frame, FRAME_HEADER_BYTES,
+};
 use serde::de::value::{Error, StrDeserializer};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -50,22 +52,22 @@
 
 #[test]
 fn frames_are_read_and_written_as_before() {
-    assert_eq!(fleet_number(FLEET), FLEET_NUMBER);
-    let (mut all, mut says, mut answers) = (BTreeSet::new(), BTreeSet::new(), BTreeSet::new());
+    assert_eq!(fleet_id(FLEET), FLEET_NUMBER);
+    let (mut all, mut requests, mut answers) = (BTreeSet::new(), BTreeSet::new(), BTreeSet::new());
     for (name, bytes) in samples("frame/") {
         let (frame, length) = decode(FLEET_NUMBER, &bytes).expect("it can be read").expect("it is whole");
         assert_eq!(length, bytes.len(), "{name}");
         assert_eq!(encode(FLEET_NUMBER, &frame), bytes, "{name}");
-        all.insert(bytes[FRAME_HEAD]);
+        all.insert(bytes[FRAME_HEADER_BYTES]);
         match frame {
-            Frame::Client(_) => drop(says.insert(bytes[FRAME_HEAD + 1])),
-            Frame::Answer(_) => drop(answers.insert(bytes[FRAME_HEAD + 1])),
+            Frame::Request(_) => drop(requests.insert(bytes[FRAME_HEADER_BYTES + 1])),
+            Frame::Response(_) => drop(answers.insert(bytes[FRAME_HEADER_BYTES + 1])),
             _ => {}
         }
     }
     assert_eq!(all, (0..variants::<Frame>()).collect());
-    assert_eq!(says, (0..variants::<Say>()).collect());
-    assert_eq!(answers, (0..variants::<Answer>()).collect());
+    assert_eq!(requests, (0..variants::<ClientRequest>()).collect());
+    assert_eq!(answers, (0..variants::<ClientResponse>()).collect());
 }
 
 /// Reads and writes the samples of a kind; each variant has to be there.
@@ -84,8 +86,8 @@
     same::<Op>("op");
     same::<Reply>("reply");
     same::<Refusal>("refusal");
-    same::<Change>("change");
-    same::<NoChange>("no-change");
+    same::<MembershipChange>("change");
+    same::<MembershipError>("no-change");
     same::<Entry>("entry");
-    same::<Write>("write");
+    same::<StorageWrite>("write");
 }
--- a/crates/lease/journal/src/disk.rs
+++ b/crates/lease/journal/src/disk.rs
@@ -4,14 +4,14 @@
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
 
-/// The files of one folder. Nothing is lasting before `sync` (bytes) or `sync_names` (names) returned well.
+/// The files of one folder. Nothing is lasting before `sync` (bytes) or `sync_directory` (names) returned well.
 pub trait Disk {
     /// The names of all files.
     ///
     /// # Errors
     ///
     /// As the system says.
-    fn names(&self) -> io::Result<Vec<String>>;
+    fn list(&self) -> io::Result<Vec<String>>;
     /// All bytes of a file.
     ///
     /// # Errors
@@ -48,11 +48,11 @@
     /// # Errors
     ///
     /// As the system says.
-    fn sync_names(&mut self) -> io::Result<()>;
+    fn sync_directory(&mut self) -> io::Result<()>;
 }
 
 /// A folder of the system's file system, held by a lock so that no second process opens it.
-pub struct RealDisk {
+pub struct DirectoryDisk {
     folder: PathBuf,
     /// Files open for appending, by name: two at the most, the journal and the one that takes its place.
     open: Vec<(String, File)>,
@@ -62,13 +62,13 @@
 /// The file whose lock keeps a second process out.
 const LOCK: &str = "lock";
 
-impl RealDisk {
+impl DirectoryDisk {
     /// Opens a folder, which is made if it isn't there.
     ///
     /// # Errors
     ///
     /// Fails where the folder cannot be made or another process holds it.
-    pub fn open(folder: &Path) -> io::Result<RealDisk> {
+    pub fn open(folder: &Path) -> io::Result<DirectoryDisk> {
         let named = |e: io::Error| io::Error::new(e.kind(), format!("{}: {e}", folder.display()));
         fs::create_dir_all(folder).map_err(named)?;
         let lock = OpenOptions::new()
@@ -79,7 +79,7 @@
             .map_err(named)?;
         rustix::fs::flock(&lock, rustix::fs::FlockOperation::NonBlockingLockExclusive)
             .map_err(|_| named(io::Error::new(io::ErrorKind::WouldBlock, "held by another process")))?;
-        Ok(RealDisk { folder: folder.to_owned(), open: Vec::new(), _lock: lock })
+        Ok(DirectoryDisk { folder: folder.to_owned(), open: Vec::new(), _lock: lock })
     }
 
     fn file(&mut self, name: &str) -> io::Result<&mut File> {
@@ -96,8 +96,8 @@
     }
 }
 
-impl Disk for RealDisk {
-    fn names(&self) -> io::Result<Vec<String>> {
+impl Disk for DirectoryDisk {
+    fn list(&self) -> io::Result<Vec<String>> {
         let mut names = Vec::new();
         for entry in fs::read_dir(&self.folder)? {
             let name = entry?.file_name().to_string_lossy().into_owned();
@@ -134,7 +134,7 @@
         fs::remove_file(self.folder.join(name))
     }
 
-    fn sync_names(&mut self) -> io::Result<()> {
+    fn sync_directory(&mut self) -> io::Result<()> {
         File::open(&self.folder)?.sync_all()
     }
 }
--- a/crates/lease/journal/src/journal.rs
+++ b/crates/lease/journal/src/journal.rs
@@ -10,11 +10,11 @@
 use std::io;
 
 /// The first bytes of each file: what it is, and the version of the format.
-const HEAD: &[u8; 8] = b"prjrnl\x00\x01";
+const FILE_HEADER: &[u8; 8] = b"prjrnl\x00\x01";
 /// Length and checksum before each record.
-const RECORD_HEAD: usize = 8;
+const RECORD_HEADER_BYTES: usize = 8;
 /// No record is longer.
-const MOST_BYTES: usize = 64 << 20;
+const MAX_RECORD_BYTES: usize = 64 << 20;
 
 /// Why a journal cannot be used.
 #[derive(Debug)]
@@ -22,7 +22,7 @@
     /// The system said no.
     Io(io::Error),
     /// The file is no journal of this version.
-    Foreign {
+    UnknownFormat {
         /// The file.
         file: String,
     },
@@ -34,16 +34,16 @@
         offset: usize,
     },
     /// An earlier error left the medium in a state that nobody knows.
-    Spoilt,
+    Poisoned,
 }
 
 impl fmt::Display for JournalError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             JournalError::Io(e) => write!(f, "{e}"),
-            JournalError::Foreign { file } => write!(f, "{file} is no journal of this version"),
+            JournalError::UnknownFormat { file } => write!(f, "{file} is no journal of this version"),
             JournalError::Damaged { file, offset } => write!(f, "{file} is damaged at byte {offset}"),
-            JournalError::Spoilt => write!(f, "not used on after an earlier error; open it anew"),
+            JournalError::Poisoned => write!(f, "not used on after an earlier error; open it anew"),
         }
     }
 }
@@ -62,7 +62,7 @@
     name: String,
     number: u64,
     length: u64,
-    spoilt: bool,
+    poisoned: bool,
 }
 
 impl<D: Disk> Journal<D> {
@@ -74,10 +74,10 @@
     pub fn open(mut disk: D, name: &str) -> Result<(Journal<D>, Vec<Vec<u8>>), JournalError> {
         let prefix = format!("{name}.");
         let mut numbers: Vec<u64> =
-            disk.names()?.iter().filter_map(|n| n.strip_prefix(&prefix)?.parse().ok()).collect();
+            disk.list()?.iter().filter_map(|n| n.strip_prefix(&prefix)?.parse().ok()).collect();
         numbers.sort_unstable();
         let Some(number) = numbers.pop() else {
-            let mut journal = Journal { disk, name: name.to_owned(), number: 0, length: 0, spoilt: false };
+            let mut journal = Journal { disk, name: name.to_owned(), number: 0, length: 0, poisoned: false };
             journal.rewrite(&[])?;
             return Ok((journal, Vec::new()));
         };
@@ -87,7 +87,7 @@
         for old in numbers {
             disk.remove(&format!("{name}.{old}"))?;
         }
-        let mut journal = Journal { disk, name: name.to_owned(), number, length: 0, spoilt: false };
+        let mut journal = Journal { disk, name: name.to_owned(), number, length: 0, poisoned: false };
         // Guards against bytes that can be read but never reached the medium, as after a failed `sync`: a new
         // `sync` of the same file would answer well for them. Written anew, they are what they look like.
         journal.rewrite(&records)?;
@@ -106,14 +106,14 @@
     /// After an error the journal is spoilt: what of the records is there is known only when it is opened
     /// anew. Guards against a second `sync` that answers well for bytes that the first one lost.
     pub fn append(&mut self, records: &[Vec<u8>]) -> Result<(), JournalError> {
-        if self.spoilt {
-            return Err(JournalError::Spoilt);
+        if self.poisoned {
+            return Err(JournalError::Poisoned);
         }
         let mut bytes = Vec::new();
         records.iter().for_each(|r| frame(r, &mut bytes));
         let file = format!("{}.{}", self.name, self.number);
         let written = self.disk.append(&file, &bytes).and_then(|()| self.disk.sync(&file));
-        self.spoilt = written.is_err();
+        self.poisoned = written.is_err();
         written?;
         self.length += bytes.len() as u64;
         Ok(())
@@ -125,24 +125,24 @@
     ///
     /// After an error the journal is spoilt, as with `append`; the old file is still there.
     pub fn rewrite(&mut self, records: &[Vec<u8>]) -> Result<(), JournalError> {
-        if self.spoilt {
-            return Err(JournalError::Spoilt);
+        if self.poisoned {
+            return Err(JournalError::Poisoned);
         }
-        self.spoilt = true;
-        let (fresh, next) = (format!("{}.tmp", self.name), format!("{}.{}", self.name, self.number + 1));
-        let mut bytes = HEAD.to_vec();
+        self.poisoned = true;
+        let (temporary, next) = (format!("{}.tmp", self.name), format!("{}.{}", self.name, self.number + 1));
+        let mut bytes = FILE_HEADER.to_vec();
         records.iter().for_each(|r| frame(r, &mut bytes));
-        if self.disk.names()?.contains(&fresh) {
-            self.disk.remove(&fresh)?;
+        if self.disk.list()?.contains(&temporary) {
+            self.disk.remove(&temporary)?;
         }
-        self.disk.append(&fresh, &bytes)?;
-        self.disk.sync(&fresh)?;
-        self.disk.rename(&fresh, &next)?;
-        self.disk.sync_names()?;
+        self.disk.append(&temporary, &bytes)?;
+        self.disk.sync(&temporary)?;
+        self.disk.rename(&temporary, &next)?;
+        self.disk.sync_directory()?;
         if self.number > 0 {
             self.disk.remove(&format!("{}.{}", self.name, self.number))?;
         }
-        (self.number, self.length, self.spoilt) = (self.number + 1, bytes.len() as u64, false);
+        (self.number, self.length, self.poisoned) = (self.number + 1, bytes.len() as u64, false);
         Ok(())
     }
 }
@@ -163,28 +163,28 @@
 
 /// The record at an offset and where it ends; `None` if it isn't whole.
 fn record_at(bytes: &[u8], at: usize) -> Option<(&[u8], usize)> {
-    let head = bytes.get(at..at + RECORD_HEAD)?;
+    let head = bytes.get(at..at + RECORD_HEADER_BYTES)?;
     let (length, sum) = (head[..4].try_into().ok()?, u32::from_le_bytes(head[4..].try_into().ok()?));
     let size = u32::from_le_bytes(length) as usize;
-    let end = at + RECORD_HEAD + size;
-    let record = bytes.get(at + RECORD_HEAD..end).filter(|_| size <= MOST_BYTES)?;
+    let end = at + RECORD_HEADER_BYTES + size;
+    let record = bytes.get(at + RECORD_HEADER_BYTES..end).filter(|_| size <= MAX_RECORD_BYTES)?;
     (checksum(length, record) == sum).then_some((record, end))
 }
 
 /// The records of a file up to the last whole one.
 fn parse(file: &str, bytes: &[u8]) -> Result<Vec<Vec<u8>>, JournalError> {
-    if bytes.get(..HEAD.len()) != Some(HEAD) {
-        return Err(JournalError::Foreign { file: file.to_owned() });
+    if bytes.get(..FILE_HEADER.len()) != Some(FILE_HEADER) {
+        return Err(JournalError::UnknownFormat { file: file.to_owned() });
     }
-    let (mut records, mut at) = (Vec::new(), HEAD.len());
+    let (mut records, mut at) = (Vec::new(), FILE_HEADER.len());
     while let Some((record, end)) = record_at(bytes, at) {
         records.push(record.to_vec());
         at = end;
     }
     // Guards against damage taken for a torn tail: what was acknowledged after it would be lost in silence.
     // An empty record would be eight zero bytes with the checksum of nothing, which a hole can't be.
-    let whole_behind = |from: usize| record_at(bytes, from).is_some_and(|(r, _)| !r.is_empty());
-    if (at + 1..bytes.len().saturating_sub(RECORD_HEAD)).any(whole_behind) {
+    let intact_record_at = |from: usize| record_at(bytes, from).is_some_and(|(r, _)| !r.is_empty());
+    if (at + 1..bytes.len().saturating_sub(RECORD_HEADER_BYTES)).any(intact_record_at) {
         return Err(JournalError::Damaged { file: file.to_owned(), offset: at });
     }
     Ok(records)
--- a/crates/lease/journal/src/lib.rs
+++ b/crates/lease/journal/src/lib.rs
@@ -5,6 +5,6 @@
 mod journal;
 mod memory;
 
-pub use disk::{Disk, RealDisk};
+pub use disk::{DirectoryDisk, Disk};
 pub use journal::{Journal, JournalError};
 pub use memory::{Fault, MemoryDisk};
--- a/crates/lease/journal/src/memory.rs
+++ b/crates/lease/journal/src/memory.rs
@@ -1,4 +1,4 @@
-//! A disk in memory that keeps apart what was written and what is lasting, and fails on order.
+//! A disk in memory that keeps apart what was written and what is durable, and fails on order.
 
 use crate::Disk;
 use std::cell::RefCell;
@@ -14,18 +14,18 @@
     None,
     /// No room: every second append leaves half of its bytes behind.
     Full,
-    /// `sync` fails, and what was not lasting yet never will be.
+    /// `sync` fails, and what was not durable yet never will be.
     SyncFails,
 }
 
 #[derive(Clone, Debug, Default)]
 struct State {
     files: BTreeMap<String, Vec<u8>>,
-    lasting: BTreeMap<String, Vec<u8>>,
+    durable: BTreeMap<String, Vec<u8>>,
     /// Bytes of `files` that `sync` brought to the medium, by name: they go where the name goes.
     synced: BTreeMap<String, usize>,
     fault: Fault,
-    refused: u64,
+    failed_appends: u64,
 }
 
 /// A disk in memory. Clones are the same disk, so that a test holds what the code under test uses.
@@ -34,17 +34,17 @@
 
 impl MemoryDisk {
     /// From now on the disk has this fault.
-    pub fn fail(&self, fault: Fault) {
+    pub fn set_fault(&self, fault: Fault) {
         self.0.borrow_mut().fault = fault;
     }
 
-    /// The power goes: what was not lasting is lost, but for the first `keep` bytes of what each file had
+    /// The power goes: what was not durable is lost, but for the first `keep` bytes of what each file had
     /// beyond it (a torn write).
-    pub fn power_lost(&self, keep: usize) {
+    pub fn lose_power(&self, keep: usize) {
         let state = &mut *self.0.borrow_mut();
         let mut after = BTreeMap::new();
-        for (name, lasting) in &state.lasting {
-            let mut bytes = lasting.clone();
+        for (name, durable) in &state.durable {
+            let mut bytes = durable.clone();
             if let Some(written) = state.files.get(name).filter(|w| w.len() > bytes.len()) {
                 let end = written.len().min(bytes.len() + keep);
                 bytes.extend_from_slice(&written[bytes.len()..end]);
@@ -52,19 +52,19 @@
             after.insert(name.clone(), bytes);
         }
         state.synced = after.iter().map(|(n, b)| (n.clone(), b.len())).collect();
-        state.lasting = after.clone();
+        state.durable = after.clone();
         state.files = after;
     }
 
     /// A copy of this disk as it is now, as an old backup would be.
-    pub fn copy(&self) -> MemoryDisk {
+    pub fn deep_copy(&self) -> MemoryDisk {
         MemoryDisk(Rc::new(RefCell::new(self.0.borrow().clone())))
     }
 
     /// Turns one bit of a file.
-    pub fn flip(&self, name: &str, at: usize) {
+    pub fn flip_bit(&self, name: &str, at: usize) {
         let state = &mut *self.0.borrow_mut();
-        for files in [&mut state.files, &mut state.lasting] {
+        for files in [&mut state.files, &mut state.durable] {
             if let Some(byte) = files.get_mut(name).and_then(|b| b.get_mut(at)) {
                 *byte ^= 1;
             }
@@ -77,7 +77,7 @@
 }
 
 impl Disk for MemoryDisk {
-    fn names(&self) -> io::Result<Vec<String>> {
+    fn list(&self) -> io::Result<Vec<String>> {
         Ok(self.0.borrow().files.keys().cloned().collect())
     }
 
@@ -89,8 +89,8 @@
         let state = &mut *self.0.borrow_mut();
         let file = state.files.entry(name.to_owned()).or_default();
         if state.fault == Fault::Full {
-            state.refused += 1;
-            if state.refused % 2 == 0 {
+            state.failed_appends += 1;
+            if state.failed_appends % 2 == 0 {
                 file.extend_from_slice(&bytes[..bytes.len() / 2]);
             }
             return Err(io::Error::new(io::ErrorKind::StorageFull, "no room left"));
@@ -106,8 +106,8 @@
         }
         let bytes = state.files.get(name).ok_or_else(no_file)?;
         state.synced.insert(name.to_owned(), bytes.len());
-        if state.lasting.contains_key(name) {
-            state.lasting.insert(name.to_owned(), bytes.clone());
+        if state.durable.contains_key(name) {
+            state.durable.insert(name.to_owned(), bytes.clone());
         }
         Ok(())
     }
@@ -128,12 +128,12 @@
         Ok(())
     }
 
-    fn sync_names(&mut self) -> io::Result<()> {
+    fn sync_directory(&mut self) -> io::Result<()> {
         let state = &mut *self.0.borrow_mut();
         if state.fault == Fault::SyncFails {
             return Err(io::Error::other("the medium failed"));
         }
-        state.lasting = state
+        state.durable = state
             .files
             .iter()
             .map(|(name, bytes)| {
--- a/crates/lease/runtime/src/resident.rs
+++ b/crates/lease/runtime/src/background_client.rs
@@ -1,9 +1,9 @@
 //! The fleet's thread in a process that does something else: it keeps a session with the voters. Nothing in the
 //! process waits for it; what it knows is read from a few numbers that it leaves behind.
 
-use crate::member::Member;
-use crate::plan::Plan;
-use passrelay_lease_consensus::client::News;
+use crate::fleet_client::FleetClient;
+use crate::fleet_config::FleetConfig;
+use passrelay_lease_consensus::client::ClientEvent;
 use std::io;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
@@ -11,28 +11,28 @@
 use std::time::Duration;
 
 /// The session's time to live.
-const TTL: Duration = Duration::from_secs(10);
+const SESSION_TTL: Duration = Duration::from_secs(10);
 /// The longest wait for something to happen: an end is noticed so late.
-const STEP: Duration = Duration::from_millis(50);
+const POLL_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// What the thread leaves to be read at any time.
 #[derive(Debug, Default)]
-pub struct View {
+pub struct SessionStatus {
     session: AtomicU64,
-    sessions: AtomicU64,
+    sessions_opened: AtomicU64,
     name_taken: AtomicBool,
-    end: AtomicBool,
+    stop: AtomicBool,
 }
 
-impl View {
+impl SessionStatus {
     /// The session, if one is open.
     pub fn session(&self) -> Option<u64> {
         Some(self.session.load(Ordering::Relaxed)).filter(|s| *s > 0)
     }
 
     /// Sessions that were opened so far.
-    pub fn sessions(&self) -> u64 {
-        self.sessions.load(Ordering::Relaxed)
+    pub fn sessions_opened(&self) -> u64 {
+        self.sessions_opened.load(Ordering::Relaxed)
     }
 
     /// Another process has a session under this name.
@@ -40,62 +40,62 @@
         self.name_taken.load(Ordering::Relaxed)
     }
 
-    fn hear(&self, news: &News) {
+    fn update(&self, news: &ClientEvent) {
         match news {
-            News::Opened(session) => {
+            ClientEvent::SessionOpened(session) => {
                 self.session.store(*session, Ordering::Relaxed);
-                self.sessions.fetch_add(1, Ordering::Relaxed);
+                self.sessions_opened.fetch_add(1, Ordering::Relaxed);
                 self.name_taken.store(false, Ordering::Relaxed);
             }
-            News::NameTaken => self.name_taken.store(true, Ordering::Relaxed),
-            News::Ended => self.session.store(0, Ordering::Relaxed),
+            ClientEvent::NameTaken => self.name_taken.store(true, Ordering::Relaxed),
+            ClientEvent::SessionEnded => self.session.store(0, Ordering::Relaxed),
             _ => {}
         }
     }
 }
 
 /// The thread; its session is closed when this is dropped.
-pub struct Resident {
-    view: Arc<View>,
+pub struct BackgroundClient {
+    status: Arc<SessionStatus>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Resident {
+impl BackgroundClient {
     /// Starts the thread. Voters that can't be reached are no error: it goes on calling them.
     ///
     /// # Errors
     ///
     /// Fails where the system gives no poller or no thread.
-    pub fn start(plan: &Plan, name: &str) -> io::Result<Resident> {
-        let mut member = Member::new(plan, name, TTL)?;
-        let view = Arc::new(View::default());
-        let left = view.clone();
+    pub fn start(fleet_config: &FleetConfig, name: &str) -> io::Result<BackgroundClient> {
+        let mut fleet_client = FleetClient::new(fleet_config, name, SESSION_TTL)?;
+        let status = Arc::new(SessionStatus::default());
+        let shared = status.clone();
         let thread = thread::Builder::new().name("fleet".to_owned()).spawn(move || {
-            while !left.end.load(Ordering::Relaxed) {
-                match member.step(STEP) {
-                    Ok(news) => news.iter().for_each(|n| left.hear(n)),
+            while !shared.stop.load(Ordering::Relaxed) {
+                match fleet_client.poll(POLL_TIMEOUT) {
+                    Ok(news) => news.iter().for_each(|n| shared.update(n)),
                     // A poller that fails once may do so again at once.
-                    Err(_) => thread::sleep(STEP),
+                    Err(_) => thread::sleep(POLL_TIMEOUT),
                 }
             }
-            member.client.close();
+            fleet_client.client.close();
             // Nobody waits for what comes back: the session ends by itself if this gets lost.
-            let _ = member.step(Duration::ZERO);
+            let _ = fleet_client.poll(Duration::ZERO);
         })?;
-        Ok(Resident { view, thread: Some(thread) })
+        Ok(BackgroundClient { status, thread: Some(thread) })
     }
 
     /// What the thread leaves to be read.
-    pub fn view(&self) -> Arc<View> {
-        self.view.clone()
+    pub fn status(&self) -> Arc<SessionStatus> {
+        self.status.clone()
     }
 }
 
-impl Drop for Resident {
+impl Drop for BackgroundClient {
     fn drop(&mut self) {
-        self.view.end.store(true, Ordering::Relaxed);
+        self.status.stop.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
-            // It has panicked or it has ended: nothing is left to be done in either case.
+            // It has panicked or it has ended: nothing is shared to be done in either case.
             let _ = thread.join();
         }
     }
--- a/crates/lease/runtime/src/durable_voter.rs
+++ b/crates/lease/runtime/src/durable_voter.rs
@@ -1,44 +1,44 @@
 //! A voter with its disk: what it writes is lasting before what it says leaves, and a disk that fails takes
 //! the voter out at once, until the disk takes writes again.
 
-use passrelay_lease_consensus::mutant::{is, Mutant};
-use passrelay_lease_consensus::voter::{LinkId, To, Voter, VoterIdentity};
-use passrelay_lease_consensus::wire::{Frame, Status};
+use passrelay_lease_consensus::mutant::{is_active, Mutant};
+use passrelay_lease_consensus::voter::{LinkId, Recipient, Voter, VoterConfig};
+use passrelay_lease_consensus::wire::{Frame, VoterStatus};
 use passrelay_lease_consensus::VoterId;
 use passrelay_lease_journal::{Disk, Journal, JournalError};
 use std::io;
 use std::time::Duration;
 
 /// The journal's name in a voter's folder.
-const NAME: &str = "voter";
+const JOURNAL_NAME: &str = "voter";
 /// A disk that failed is tried again after so long.
-const AGAIN: Duration = Duration::from_millis(500);
-/// A journal is rewritten once it is this much longer than after its last rewrite.
-const GROWN: u64 = 1 << 20;
+const RETRY_INTERVAL: Duration = Duration::from_millis(500);
+/// A journal is rewritten_length once it is this much longer than after its last rewrite.
+const REWRITE_GROWTH_BYTES: u64 = 1 << 20;
 
 /// A voter that runs.
 struct Running<D> {
     voter: Voter,
     journal: Journal<D>,
-    rewritten: u64,
+    rewritten_length: u64,
 }
 
 /// A voter with its disk.
 pub struct DurableVoter<D> {
-    identity: VoterIdentity,
+    config: VoterConfig,
     /// Opens the disk, at the start and after it failed.
     disk: Box<dyn FnMut() -> io::Result<D>>,
     running: Option<Running<D>>,
     /// Why it isn't running, and when it is tried again.
-    left: Option<(String, Duration)>,
+    failure: Option<(String, Duration)>,
 }
 
 /// What a turn brought about.
 #[derive(Debug, Default)]
 pub struct Outcome {
     /// To be sent.
-    pub frames: Vec<(To, Frame)>,
-    /// The voter left or came back: all links are to be closed, and called anew.
+    pub frames: Vec<(Recipient, Frame)>,
+    /// The voter failure or came back: all links are to be closed, and called anew.
     pub reset: bool,
 }
 
@@ -49,12 +49,12 @@
     ///
     /// Says what is wrong with the disk or with what is on it.
     pub fn open(
-        identity: VoterIdentity,
+        config: VoterConfig,
         mut disk: Box<dyn FnMut() -> io::Result<D>>,
         now: Duration,
     ) -> Result<DurableVoter<D>, String> {
-        let running = Some(start(&identity, &mut disk, now)?);
-        Ok(DurableVoter { identity, disk, running, left: None })
+        let running = Some(start(&config, &mut disk, now)?);
+        Ok(DurableVoter { config, disk, running, failure: None })
     }
 
     /// The voter, while it runs.
@@ -63,47 +63,47 @@
     }
 
     /// Why the voter doesn't run.
-    pub fn left(&self) -> Option<&str> {
-        self.left.as_ref().map(|(reason, _)| reason.as_str())
+    pub fn failure(&self) -> Option<&str> {
+        self.failure.as_ref().map(|(reason, _)| reason.as_str())
     }
 
     /// How the voter is.
-    pub fn status(&self) -> Status {
+    pub fn status(&self) -> VoterStatus {
         match &self.running {
             Some(running) => running.voter.status(),
-            None => Status {
-                voter: self.identity.voter,
-                state: format!("no disk: {}", self.left().unwrap_or("")),
-                ..Status::default()
+            None => VoterStatus {
+                voter: self.config.voter,
+                state: format!("no disk: {}", self.failure().unwrap_or("")),
+                ..VoterStatus::default()
             },
         }
     }
 
     /// A link that this voter called is up.
-    pub fn linked(&mut self, voter: VoterId) {
+    pub fn outbound_up(&mut self, voter: VoterId) {
         if let Some(running) = &mut self.running {
-            running.voter.linked(voter);
+            running.voter.outbound_up(voter);
         }
     }
 
     /// A link that this voter called is down.
-    pub fn unlinked(&mut self, voter: VoterId) {
+    pub fn outbound_down(&mut self, voter: VoterId) {
         if let Some(running) = &mut self.running {
-            running.voter.unlinked(voter);
+            running.voter.outbound_down(voter);
         }
     }
 
     /// A voter that this one called answers.
-    pub fn called_back(&mut self, voter: VoterId, frame: Frame) {
+    pub fn receive_from_voter(&mut self, voter: VoterId, frame: Frame) {
         if let Some(running) = &mut self.running {
-            running.voter.called_back(voter, frame);
+            running.voter.receive_from_voter(voter, frame);
         }
     }
 
     /// A link that somebody else called is down.
-    pub fn gone(&mut self, link: LinkId) {
+    pub fn inbound_closed(&mut self, link: LinkId) {
         if let Some(running) = &mut self.running {
-            running.voter.gone(link);
+            running.voter.inbound_closed(link);
         }
     }
 
@@ -116,28 +116,28 @@
     pub fn tick(&mut self, now: Duration) -> Outcome {
         if let Some(running) = &mut self.running {
             running.voter.tick(now);
-        } else if self.left.as_ref().is_none_or(|(_, again)| now >= *again) {
-            match start(&self.identity, &mut self.disk, now) {
+        } else if self.failure.as_ref().is_none_or(|(_, again)| now >= *again) {
+            match start(&self.config, &mut self.disk, now) {
                 Ok(running) => {
-                    (self.running, self.left) = (Some(running), None);
+                    (self.running, self.failure) = (Some(running), None);
                     return Outcome { reset: true, ..Outcome::default() };
                 }
-                Err(reason) => self.left = Some((reason, now + AGAIN)),
+                Err(reason) => self.failure = Some((reason, now + RETRY_INTERVAL)),
             }
         }
         Outcome::default()
     }
 
     /// Ends a turn: writes what has to be lasting, then gives what may be sent.
-    pub fn turn(&mut self, now: Duration) -> Outcome {
+    pub fn finish_turn(&mut self, now: Duration) -> Outcome {
         let Some(running) = &mut self.running else { return Outcome::default() };
-        let turn = running.voter.turn();
-        match running.keep(turn.record) {
+        let turn = running.voter.finish_turn();
+        match running.persist(turn.record) {
             Ok(()) => Outcome { frames: turn.frames, reset: false },
             Err(e) => {
                 // Nothing of this turn leaves: it was never promised.
                 self.running = None;
-                self.left = Some((e.to_string(), now + AGAIN));
+                self.failure = Some((e.to_string(), now + RETRY_INTERVAL));
                 Outcome { reset: true, ..Outcome::default() }
             }
         }
@@ -145,26 +145,26 @@
 }
 
 impl<D: Disk> Running<D> {
-    fn keep(&mut self, record: Option<Vec<u8>>) -> Result<(), JournalError> {
-        if let Some(record) = record.filter(|_| !is(Mutant::SentUnsynced)) {
+    fn persist(&mut self, record: Option<Vec<u8>>) -> Result<(), JournalError> {
+        if let Some(record) = record.filter(|_| !is_active(Mutant::SentUnsynced)) {
             self.journal.append(&[record])?;
         }
-        if self.journal.length() > self.rewritten + GROWN {
-            self.journal.rewrite(&[self.voter.whole()])?;
-            self.rewritten = self.journal.length();
+        if self.journal.length() > self.rewritten_length + REWRITE_GROWTH_BYTES {
+            self.journal.rewrite(&[self.voter.to_record()])?;
+            self.rewritten_length = self.journal.length();
         }
         Ok(())
     }
 }
 
 fn start<D: Disk>(
-    identity: &VoterIdentity,
+    config: &VoterConfig,
     disk: &mut Box<dyn FnMut() -> io::Result<D>>,
     now: Duration,
 ) -> Result<Running<D>, String> {
     let disk = disk().map_err(|e| e.to_string())?;
-    let (journal, records) = Journal::open(disk, NAME).map_err(|e| e.to_string())?;
-    let voter = Voter::open(identity.clone(), &records, now)?;
-    let rewritten = journal.length();
-    Ok(Running { voter, journal, rewritten })
+    let (journal, records) = Journal::open(disk, JOURNAL_NAME).map_err(|e| e.to_string())?;
+    let voter = Voter::open(config.clone(), &records, now)?;
+    let rewritten_length = journal.length();
+    Ok(Running { voter, journal, rewritten_length })
 }
--- a/crates/lease/runtime/src/plan.rs
+++ b/crates/lease/runtime/src/fleet_config.rs
@@ -1,6 +1,6 @@
 //! The fleet's file: who votes, and where. One file serves all processes of a fleet.
 
-use passrelay_lease_consensus::lease_table::MOST_NAME;
+use passrelay_lease_consensus::lease_table::MAX_NAME_BYTES;
 use passrelay_lease_consensus::VoterId;
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -10,18 +10,18 @@
 use std::time::Duration;
 use toml::Spanned;
 
-/// What is wrong with a fleet's file, and where.
+/// What is error with a fleet's file, and where.
 #[derive(Debug, PartialEq, Eq)]
-pub struct PlanError {
+pub struct FleetConfigError {
     /// The file.
     pub file: PathBuf,
     /// The line, where one can be told.
     pub line: Option<usize>,
-    /// What is wrong, with the key.
+    /// What is error, with the key.
     pub problem: String,
 }
 
-impl fmt::Display for PlanError {
+impl fmt::Display for FleetConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.file.display())?;
         if let Some(line) = self.line {
@@ -31,28 +31,28 @@
     }
 }
 
-impl std::error::Error for PlanError {}
+impl std::error::Error for FleetConfigError {}
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Written {
+struct FleetFile {
     fleet: Spanned<String>,
     data: Option<PathBuf>,
     lock_delay_ms: Option<Spanned<u64>>,
     #[serde(rename = "voter")]
-    voters: Spanned<Vec<WrittenVoter>>,
+    voters: Spanned<Vec<VoterEntry>>,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct WrittenVoter {
+struct VoterEntry {
     id: Spanned<u64>,
     address: Spanned<String>,
 }
 
 /// A fleet as its file says.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Plan {
+pub struct FleetConfig {
     /// The fleet's name, which every frame carries.
     pub fleet: String,
     /// Where each voter listens.
@@ -63,24 +63,24 @@
     pub lock_delay: Duration,
 }
 
-impl Plan {
+impl FleetConfig {
     /// Reads a fleet's file.
     ///
     /// # Errors
     ///
-    /// Names the line and the key that is wrong.
-    pub fn read(file: &Path) -> Result<Plan, PlanError> {
-        let wrong = |line, problem| PlanError { file: file.to_owned(), line, problem };
-        let text = std::fs::read_to_string(file).map_err(|e| wrong(None, e.to_string()))?;
-        Plan::parse(&text, file.parent()).map_err(|(line, problem)| wrong(line, problem))
+    /// Names the line and the key that is error.
+    pub fn read(file: &Path) -> Result<FleetConfig, FleetConfigError> {
+        let error = |line, problem| FleetConfigError { file: file.to_owned(), line, problem };
+        let text = std::fs::read_to_string(file).map_err(|e| error(None, e.to_string()))?;
+        FleetConfig::parse(&text, file.parent()).map_err(|(line, problem)| error(line, problem))
     }
 
-    fn parse(text: &str, beside: Option<&Path>) -> Result<Plan, (Option<usize>, String)> {
+    fn parse(text: &str, folder: Option<&Path>) -> Result<FleetConfig, (Option<usize>, String)> {
         let line = |at: usize| Some(text[..at].matches('\n').count() + 1);
-        let written: Written = toml::from_str(text)
+        let written: FleetFile = toml::from_str(text)
             .map_err(|e| (e.span().and_then(|s| line(s.start)), e.message().to_owned()))?;
         let fleet = written.fleet.get_ref().clone();
-        if fleet.is_empty() || fleet.len() > MOST_NAME {
+        if fleet.is_empty() || fleet.len() > MAX_NAME_BYTES {
             let at = line(written.fleet.span().start);
             return Err((at, "fleet: should be a name of 1 to 128 bytes".to_owned()));
         }
@@ -115,8 +115,8 @@
             }
         };
         let data = written.data.unwrap_or_else(|| PathBuf::from("fleet-data"));
-        let data = beside.map_or_else(|| data.clone(), |b| b.join(&data));
-        Ok(Plan { fleet, voters, data, lock_delay: Duration::from_millis(lock_delay_ms) })
+        let data = folder.map_or_else(|| data.clone(), |b| b.join(&data));
+        Ok(FleetConfig { fleet, voters, data, lock_delay: Duration::from_millis(lock_delay_ms) })
     }
 }
 
--- a/crates/lease/runtime/src/plan/tests.rs
+++ b/crates/lease/runtime/src/fleet_config/tests.rs
@@ -9,9 +9,9 @@
 #[test]
 fn a_file_with_2_or_4_voters_or_one_twice_is_refused_with_its_line() {
     let (a, b, c) = ((1, "127.0.0.1:1"), (2, "127.0.0.1:2"), (3, "127.0.0.1:3"));
-    assert_eq!(Plan::parse(&voters(&[a, b, c]), None).unwrap().voters.len(), 3);
+    assert_eq!(FleetConfig::parse(&voters(&[a, b, c]), None).unwrap().voters.len(), 3);
     let refused = |text: &str| {
-        let (line, problem) = Plan::parse(text, None).unwrap_err();
+        let (line, problem) = FleetConfig::parse(text, None).unwrap_err();
         (line.unwrap_or(0), problem)
     };
     assert!(refused(&voters(&[a, b])).1.contains("there are 2"));
--- a/crates/lease/runtime/src/lib.rs
+++ b/crates/lease/runtime/src/lib.rs
@@ -1,28 +1,28 @@
 //! What stands beside the crate `fleet`: a voter with its disk ([`durable_voter`]), and the links between processes
 //! with the loops that drive a voter and a client. None of it runs on the data path's thread.
 
+pub mod background_client;
 pub mod durable_voter;
-pub mod member;
-pub mod net;
-pub mod plan;
-pub mod resident;
-pub mod voting;
+pub mod fleet_client;
+pub mod fleet_config;
+pub mod links;
+pub mod voter_loop;
 
 use std::time::Duration;
 
 /// Time on a clock that goes on while the machine sleeps, which `std`'s does not on Linux.
 pub fn now() -> Duration {
-    moved(true_now())
+    adjusted(boot_time())
 }
 
 #[cfg(not(feature = "moved-clocks"))]
-fn moved(time: Duration) -> Duration {
+fn adjusted(time: Duration) -> Duration {
     time
 }
 
 /// For fault injection: what this process takes for the time, by `PASSRELAY_TEST_CLOCK=RATE,SECONDS_AHEAD`.
 #[cfg(feature = "moved-clocks")]
-fn moved(time: Duration) -> Duration {
+fn adjusted(time: Duration) -> Duration {
     static CLOCK: std::sync::OnceLock<Option<(Duration, f64, f64)>> = std::sync::OnceLock::new();
     let clock = CLOCK.get_or_init(|| {
         let said = std::env::var(TEST_CLOCK).ok()?;
@@ -42,13 +42,13 @@
 pub const TEST_CLOCK: &str = "PASSRELAY_TEST_CLOCK";
 
 /// The same clock as the system has it.
-pub fn true_now() -> Duration {
+pub fn boot_time() -> Duration {
     let time = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
     Duration::new(time.tv_sec as u64, time.tv_nsec as u32)
 }
 
 /// A number that another process is not going to draw.
-pub fn drawn() -> u64 {
+pub fn random_id() -> u64 {
     use std::hash::{BuildHasher, Hasher};
     let mut hasher = std::collections::hash_map::RandomState::new().build_hasher();
     hasher.write_u32(std::process::id());
--- a/crates/lease/runtime/src/net.rs
+++ b/crates/lease/runtime/src/links.rs
@@ -3,82 +3,82 @@
 
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token};
-use passrelay_lease_consensus::wire::{decode, encode, fleet_number, Bad, Frame, MOST_FRAME};
+use passrelay_lease_consensus::wire::{decode, encode, fleet_id, Frame, FrameError, MAX_FRAME_BYTES};
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::SocketAddr;
 use std::time::Duration;
 
 /// Most links of one process.
-const MOST_LINKS: usize = 4608;
+const MAX_LINKS: usize = 4608;
 /// Bytes that may wait to be sent on one link.
-const MOST_UNSENT: usize = MOST_FRAME + (1 << 20);
+const MAX_UNSENT_BYTES: usize = MAX_FRAME_BYTES + (1 << 20);
 /// Bytes read at one go.
-const READ: usize = 64 << 10;
+const READ_CHUNK_BYTES: usize = 64 << 10;
 /// The listener's token.
-const DOOR: Token = Token(usize::MAX - 1);
+const LISTENER: Token = Token(usize::MAX - 1);
 
 /// A link's number. None is given twice: whoever still speaks of a link that is gone never means another.
 pub type LinkNumber = usize;
 
 /// What happened on a link.
 #[derive(Debug)]
-pub enum Happened {
-    /// Somebody called.
-    Came,
-    /// A link that was called is up.
-    Up,
+pub enum LinkEvent {
+    /// Somebody outbound.
+    Accepted,
+    /// A link that was outbound is up.
+    Connected,
     /// A frame came.
     Frame(Frame),
     /// The link is gone, and its number with it.
-    Gone,
+    Closed,
 }
 
 struct Link {
     socket: TcpStream,
-    called: bool,
-    up: bool,
+    outbound: bool,
+    connected: bool,
     unread: Vec<u8>,
     unsent: Vec<u8>,
     sent: usize,
 }
 
 /// All links of one process.
-pub struct Net {
+pub struct Links {
     poll: Poll,
-    events: Events,
-    door: Option<TcpListener>,
+    poll_events: Events,
+    listener: Option<TcpListener>,
     links: BTreeMap<LinkNumber, Link>,
     next: LinkNumber,
     fleet: u64,
-    happened: Vec<(LinkNumber, Happened)>,
-    bad: BTreeMap<Bad, u64>,
+    events: Vec<(LinkNumber, LinkEvent)>,
+    rejected_frames: BTreeMap<FrameError, u64>,
 }
 
-impl Net {
+impl Links {
     /// Links of a fleet's process, which listens there if at all.
     ///
     /// # Errors
     ///
     /// Fails where the address can't be listened on.
-    pub fn open(fleet: &str, listen: Option<SocketAddr>) -> io::Result<Net> {
+    pub fn open(fleet: &str, listen: Option<SocketAddr>) -> io::Result<Links> {
         let poll = Poll::new()?;
-        let door = match listen {
+        let listener = match listen {
             None => None,
             Some(at) => {
-                let mut door = TcpListener::bind(at)?;
-                poll.registry().register(&mut door, DOOR, Interest::READABLE)?;
-                Some(door)
+                let mut listener = TcpListener::bind(at)?;
+                poll.registry().register(&mut listener, LISTENER, Interest::READABLE)?;
+                Some(listener)
             }
         };
-        let (events, fleet) = (Events::with_capacity(256), fleet_number(fleet));
-        let (links, bad) = (BTreeMap::new(), BTreeMap::new());
-        Ok(Net { poll, events, door, links, next: 0, fleet, happened: Vec::new(), bad })
+        let (poll_events, fleet) = (Events::with_capacity(256), fleet_id(fleet));
+        let (links, rejected_frames) = (BTreeMap::new(), BTreeMap::new());
+        Ok(Links { poll, poll_events, listener, links, next: 0, fleet, events: Vec::new(), rejected_frames })
     }
 
     /// Frames that were refused, by what was wrong with them.
-    pub fn bad(&self) -> &BTreeMap<Bad, u64> {
-        &self.bad
+    pub fn rejected_frames(&self) -> &BTreeMap<FrameError, u64> {
+        &self.rejected_frames
     }
 
     /// Calls a process; `Up` or `Gone` follows.
@@ -86,13 +86,13 @@
     /// # Errors
     ///
     /// Fails where the system gives no socket.
-    pub fn call(&mut self, to: SocketAddr) -> io::Result<LinkNumber> {
+    pub fn connect(&mut self, to: SocketAddr) -> io::Result<LinkNumber> {
         let socket = TcpStream::connect(to)?;
         self.add(socket, true)
     }
 
-    fn add(&mut self, mut socket: TcpStream, called: bool) -> io::Result<LinkNumber> {
-        if self.links.len() >= MOST_LINKS {
+    fn add(&mut self, mut socket: TcpStream, outbound: bool) -> io::Result<LinkNumber> {
+        if self.links.len() >= MAX_LINKS {
             return Err(io::Error::other("too many links"));
         }
         let number = self.next;
@@ -100,7 +100,7 @@
         self.poll.registry().register(&mut socket, Token(number), interest)?;
         let _ = socket.set_nodelay(true);
         let (unread, unsent) = (Vec::new(), Vec::new());
-        self.links.insert(number, Link { socket, called, up: !called, unread, unsent, sent: 0 });
+        self.links.insert(number, Link { socket, outbound, connected: !outbound, unread, unsent, sent: 0 });
         self.next += 1;
         Ok(number)
     }
@@ -109,8 +109,8 @@
     pub fn send(&mut self, number: LinkNumber, frame: &Frame) {
         let Some(link) = self.links.get_mut(&number) else { return };
         link.unsent.extend(encode(self.fleet, frame));
-        if link.unsent.len() - link.sent > MOST_UNSENT || (link.up && link.write().is_err()) {
-            self.lose(number);
+        if link.unsent.len() - link.sent > MAX_UNSENT_BYTES || (link.connected && link.write().is_err()) {
+            self.fail(number);
         }
     }
 
@@ -118,12 +118,12 @@
     pub fn close(&mut self, number: LinkNumber) {
         if let Some(mut link) = self.links.remove(&number) {
             let _ = self.poll.registry().deregister(&mut link.socket);
-            self.happened.retain(|(n, _)| *n != number);
+            self.events.retain(|(n, _)| *n != number);
         }
     }
 
     /// The numbers of all links.
-    pub fn numbers(&self) -> Vec<LinkNumber> {
+    pub fn open_links(&self) -> Vec<LinkNumber> {
         self.links.keys().copied().collect()
     }
 
@@ -132,81 +132,81 @@
     /// # Errors
     ///
     /// As the system says.
-    pub fn wait(&mut self, longest: Duration) -> io::Result<Vec<(LinkNumber, Happened)>> {
+    pub fn wait(&mut self, timeout: Duration) -> io::Result<Vec<(LinkNumber, LinkEvent)>> {
         // What happened already, a link lost in sending, waits for nothing.
-        let longest = if self.happened.is_empty() { longest } else { Duration::ZERO };
-        if let Err(e) = self.poll.poll(&mut self.events, Some(longest)) {
+        let timeout = if self.events.is_empty() { timeout } else { Duration::ZERO };
+        if let Err(e) = self.poll.poll(&mut self.poll_events, Some(timeout)) {
             if e.kind() != ErrorKind::Interrupted {
                 return Err(e);
             }
         }
         let tokens: Vec<(Token, bool)> =
-            self.events.iter().map(|e| (e.token(), e.is_writable() || e.is_error())).collect();
+            self.poll_events.iter().map(|e| (e.token(), e.is_writable() || e.is_error())).collect();
         for (token, writable) in tokens {
             match token {
-                DOOR => self.let_in(),
-                Token(number) => self.serve(number, writable),
+                LISTENER => self.accept_all(),
+                Token(number) => self.handle_ready(number, writable),
             }
         }
-        Ok(std::mem::take(&mut self.happened))
+        Ok(std::mem::take(&mut self.events))
     }
 
-    fn let_in(&mut self) {
-        while let Some(Ok((socket, _))) = self.door.as_ref().map(TcpListener::accept) {
+    fn accept_all(&mut self) {
+        while let Some(Ok((socket, _))) = self.listener.as_ref().map(TcpListener::accept) {
             // Over the bound the caller finds its link closed, and calls again later.
             if let Ok(number) = self.add(socket, false) {
-                self.happened.push((number, Happened::Came));
+                self.events.push((number, LinkEvent::Accepted));
             }
         }
     }
 
-    fn serve(&mut self, number: LinkNumber, writable: bool) {
+    fn handle_ready(&mut self, number: LinkNumber, writable: bool) {
         let Some(link) = self.links.get_mut(&number) else { return };
-        if link.called && !link.up {
+        if link.outbound && !link.connected {
             if !writable {
                 return;
             }
             match (link.socket.take_error(), link.socket.peer_addr()) {
                 (Ok(None), Ok(_)) => {
-                    link.up = true;
-                    self.happened.push((number, Happened::Up));
+                    link.connected = true;
+                    self.events.push((number, LinkEvent::Connected));
                 }
                 (Ok(None), Err(e)) if e.kind() == ErrorKind::NotConnected => return,
-                _ => return self.lose(number),
+                _ => return self.fail(number),
             }
         }
         let Some(link) = self.links.get_mut(&number) else { return };
         if link.write().is_err() {
-            return self.lose(number);
+            return self.fail(number);
         }
-        let whole = link.read();
+        let open = link.read();
         let mut at = 0;
-        let wrong = loop {
+        let error = loop {
             match decode(self.fleet, &link.unread[at..]) {
                 Ok(Some((frame, length))) => {
                     at += length;
-                    self.happened.push((number, Happened::Frame(frame)));
+                    self.events.push((number, LinkEvent::Frame(frame)));
                 }
                 Ok(None) => break None,
-                Err(bad) => break Some(bad),
+                Err(kind) => break Some(kind),
             }
         };
         link.unread.drain(..at);
         if link.unread.is_empty() {
-            link.unread.shrink_to(READ);
+            link.unread.shrink_to(READ_CHUNK_BYTES);
         }
-        if let Some(bad) = wrong {
-            *self.bad.entry(bad).or_default() += 1;
+        if let Some(kind) = error {
+            *self.rejected_frames.entry(kind).or_default() += 1;
         }
-        if wrong.is_some() || !whole {
-            self.lose(number);
+        if error.is_some() || !open {
+            self.fail(number);
         }
     }
 
-    fn lose(&mut self, number: LinkNumber) {
+    fn fail(&mut self, number: LinkNumber) {
         if let Some(mut link) = self.links.remove(&number) {
             let _ = self.poll.registry().deregister(&mut link.socket);
-            self.happened.push((number, Happened::Gone));
+            self.events.push((number, LinkEvent::Closed));
         }
     }
 }
@@ -214,7 +214,7 @@
 impl Link {
     /// Reads what is there; `false` at the end of the link.
     fn read(&mut self) -> bool {
-        let mut buffer = [0; READ];
+        let mut buffer = [0; READ_CHUNK_BYTES];
         loop {
             match self.socket.read(&mut buffer) {
                 Ok(0) => return false,
@@ -237,7 +237,7 @@
         }
         self.unsent.clear();
         self.sent = 0;
-        self.unsent.shrink_to(READ);
+        self.unsent.shrink_to(READ_CHUNK_BYTES);
         Ok(())
     }
 }
--- a/crates/passrelay/src/cli.rs
+++ b/crates/passrelay/src/cli.rs
@@ -2,8 +2,8 @@
 
 use crate::{config, fleet, lease, rollout};
 use clap::{Parser, Subcommand};
-use passrelay_lease_runtime::plan::Plan;
-use passrelay_lease_runtime::resident::Resident;
+use passrelay_lease_runtime::background_client::BackgroundClient;
+use passrelay_lease_runtime::fleet_config::FleetConfig;
 use passrelay_sidecar_proxy::Sidecar;
 use passrelay_sidecar_settings::Config;
 use serde_json::json;
@@ -92,7 +92,7 @@
     done.unwrap_or_else(|e| {
         eprintln!("passrelay: {e}");
         // A file or an address that is wrong is the caller's to mend.
-        ExitCode::from(if e.is::<passrelay_lease_runtime::plan::PlanError>() { 2 } else { 1 })
+        ExitCode::from(if e.is::<passrelay_lease_runtime::fleet_config::FleetConfigError>() { 2 } else { 1 })
     })
 }
 
@@ -112,15 +112,15 @@
 fn run() -> Result<(), Box<dyn Error>> {
     let config = Config::from_env()?;
     // Without a fleet no thread, socket or file more than without this line.
-    let resident = match &config.fleet {
-        Some(file) => Some(Resident::start(&Plan::read(file)?, &config.name)?),
+    let background_client = match &config.fleet {
+        Some(file) => Some(BackgroundClient::start(&FleetConfig::read(file)?, &config.name)?),
         None => None,
     };
     let mut sidecar = Sidecar::open(config)?;
-    if let Some(resident) = &resident {
-        let view = resident.view();
+    if let Some(background_client) = &background_client {
+        let status = background_client.status();
         sidecar.set_fleet_status(Box::new(move || {
-            json!({ "session": view.session(), "sessions": view.sessions(), "name_taken": view.name_taken() })
+            json!({ "session": status.session(), "sessions": status.sessions_opened(), "name_taken": status.name_taken() })
         }));
     }
     sidecar.run()?;
--- a/crates/passrelay/src/fleet.rs
+++ b/crates/passrelay/src/fleet.rs
@@ -1,14 +1,14 @@
 //! Voters, and what they tell of themselves.
 
 use crate::output::Output;
-use crate::question::{ask, NO_MAJORITY, UNANSWERED};
-use crate::signals::told_to_end;
+use crate::query::{ask, NO_MAJORITY, QUERY_TIMEOUT};
+use crate::signals::termination_flag;
 use clap::Subcommand;
-use passrelay_lease_consensus::membership::{Change, NoChange, Place};
-use passrelay_lease_consensus::wire::{Answer, Say, Status};
+use passrelay_lease_consensus::membership::{MembershipChange, MembershipError, VoterInfo};
+use passrelay_lease_consensus::wire::{ClientRequest, ClientResponse, VoterStatus};
+use passrelay_lease_runtime::fleet_config::FleetConfig;
 use passrelay_lease_runtime::now;
-use passrelay_lease_runtime::plan::Plan;
-use passrelay_lease_runtime::voting::Voting;
+use passrelay_lease_runtime::voter_loop::VoterLoop;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::error::Error;
@@ -19,7 +19,7 @@
 use std::time::Duration;
 
 /// A voter that says nothing for so long is reported as silent.
-const SILENT: Duration = Duration::from_secs(2);
+const STATUS_TIMEOUT: Duration = Duration::from_secs(2);
 /// What can be asked of a fleet.
 #[derive(Subcommand)]
 pub enum Command {
@@ -67,54 +67,60 @@
 }
 
 /// Votes until SIGTERM.
-pub fn vote(file: &Path, id: u64, joins: bool) -> Result<ExitCode, Box<dyn Error>> {
-    let plan = Plan::read(file)?;
-    let end = told_to_end()?;
+pub fn vote(file: &Path, id: u64, joining: bool) -> Result<ExitCode, Box<dyn Error>> {
+    let fleet_config = FleetConfig::read(file)?;
+    let end = termination_flag()?;
     // Guards against the system's way of saying that a file has grown to its limit, which is to end the process:
     // taken in, it leaves the write an error like any other of a full disk.
     signal_hook::flag::register(signal_hook::consts::SIGXFSZ, Arc::default())?;
-    let mut voting = Voting::open(&plan, id, joins)?;
-    let mut say = |event: &str, values: &str| {
+    let mut voting = VoterLoop::open(&fleet_config, id, joining)?;
+    let mut log = |event: &str, values: &str| {
         eprintln!("t={:.3} level=info name=voter-{id} event={event} {values}", now().as_secs_f64());
     };
-    say("listening", &format!("fleet={:?} address={}", plan.fleet, plan.voters[&id]));
-    voting.run(&end, &mut say)?;
+    log("listening", &format!("fleet={:?} address={}", fleet_config.fleet, fleet_config.voters[&id]));
+    voting.run(&end, &mut log)?;
     Ok(ExitCode::SUCCESS)
 }
 
 /// Does what was asked of the fleet.
 pub fn run(command: Command) -> Result<ExitCode, Box<dyn Error>> {
     match command {
-        Command::Status { fleet, output } => status(&Plan::read(&fleet)?, output),
-        Command::Add { fleet, id, address, output } => add(&Plan::read(&fleet)?, id, address, output),
-        Command::Remove { fleet, id, force, output } => remove(&Plan::read(&fleet)?, id, force, output),
+        Command::Status { fleet, output } => status(&FleetConfig::read(&fleet)?, output),
+        Command::Add { fleet, id, address, output } => add(&FleetConfig::read(&fleet)?, id, address, output),
+        Command::Remove { fleet, id, force, output } => {
+            remove(&FleetConfig::read(&fleet)?, id, force, output)
+        }
     }
 }
 
 /// What one voter says of itself; `None` where it is silent.
-fn status_of(plan: &Plan, voter: u64, address: SocketAddr) -> Result<Option<Status>, Box<dyn Error>> {
-    let alone = Plan { voters: BTreeMap::from([(voter, address)]), ..plan.clone() };
-    match ask(&alone, Say::Status { ticket: 1 }, SILENT)? {
-        Some(Answer::Status { status, .. }) => Ok(Some(status)),
+fn status_of(
+    fleet_config: &FleetConfig,
+    voter: u64,
+    address: SocketAddr,
+) -> Result<Option<VoterStatus>, Box<dyn Error>> {
+    let alone = FleetConfig { voters: BTreeMap::from([(voter, address)]), ..fleet_config.clone() };
+    match ask(&alone, ClientRequest::Status { request_id: 1 }, STATUS_TIMEOUT)? {
+        Some(ClientResponse::Status { status, .. }) => Ok(Some(status)),
         _ => Ok(None),
     }
 }
 
 /// A voter with its address and what it says of itself.
-type Row = (u64, SocketAddr, Option<Status>);
+type Row = (u64, SocketAddr, Option<VoterStatus>);
 
-/// What all voters say of themselves: those that the fleet agreed on as far as one tells, else those of the file.
-fn statuses(plan: &Plan) -> Result<Vec<Row>, Box<dyn Error>> {
+/// What all voters log of themselves: those that the fleet agreed on as far as one tells, else those of the file.
+fn statuses(fleet_config: &FleetConfig) -> Result<Vec<Row>, Box<dyn Error>> {
     let mut rows: Vec<Row> = Vec::new();
-    for (voter, address) in &plan.voters {
-        rows.push((*voter, *address, status_of(plan, *voter, *address)?));
+    for (voter, address) in &fleet_config.voters {
+        rows.push((*voter, *address, status_of(fleet_config, *voter, *address)?));
     }
     let told = rows.iter().filter_map(|(.., s)| s.as_ref()).filter(|s| s.state == "voting");
     let Some(voters) = told.max_by_key(|s| s.applied).map(|s| s.voters.clone()) else { return Ok(rows) };
     for (voter, address) in &voters {
         let told = address.as_ref().and_then(|a| a.parse().ok());
-        if let Some(address) = told.filter(|_| !plan.voters.contains_key(voter)) {
-            rows.push((*voter, address, status_of(plan, *voter, address)?));
+        if let Some(address) = told.filter(|_| !fleet_config.voters.contains_key(voter)) {
+            rows.push((*voter, address, status_of(fleet_config, *voter, address)?));
         }
     }
     // One of the file that was removed is not missed.
@@ -125,7 +131,7 @@
 /// Whether a majority of these votes under one leader.
 fn majority(rows: &[Row]) -> bool {
     let votes = |leader: u64| {
-        let under = |s: &Status| s.state == "voting" && s.leader == Some(leader);
+        let under = |s: &VoterStatus| s.state == "voting" && s.leader == Some(leader);
         rows.iter().filter(|(.., s)| s.as_ref().is_some_and(under)).count()
     };
     let voters = rows.iter().filter(|(.., s)| s.as_ref().is_none_or(|s| s.state != "removed")).count();
@@ -133,11 +139,16 @@
 }
 
 /// Asks for a change of the membership until it is answered: one that was dropped on its way is asked for again.
-fn change(plan: &Plan, change: &Change) -> Result<Option<Result<(), NoChange>>, Box<dyn Error>> {
-    let end = now() + UNANSWERED;
+fn change(
+    fleet_config: &FleetConfig,
+    change: &MembershipChange,
+) -> Result<Option<Result<(), MembershipError>>, Box<dyn Error>> {
+    let end = now() + QUERY_TIMEOUT;
     while now() < end {
-        let say = Say::Change { ticket: 1, change: change.clone() };
-        if let Some(Answer::Changed { outcome, .. }) = ask(plan, say, SILENT)? {
+        let log = ClientRequest::ChangeMembership { request_id: 1, change: change.clone() };
+        if let Some(ClientResponse::MembershipChanged { outcome, .. }) =
+            ask(fleet_config, log, STATUS_TIMEOUT)?
+        {
             return Ok(Some(outcome));
         }
     }
@@ -145,10 +156,10 @@
 }
 
 /// Tells how a change went.
-fn told(
+fn report_outcome(
     what: &str,
     id: u64,
-    outcome: &Option<Result<(), NoChange>>,
+    outcome: &Option<Result<(), MembershipError>>,
     output: Output,
 ) -> Result<ExitCode, Box<dyn Error>> {
     let (done, why, code) = match outcome {
@@ -156,7 +167,7 @@
         Some(Err(no)) => (false, Some(no.to_string()), 1),
         None => (
             false,
-            Some(format!("no majority of voters answered within {} s", UNANSWERED.as_secs())),
+            Some(format!("no majority of voters answered within {} s", QUERY_TIMEOUT.as_secs())),
             NO_MAJORITY,
         ),
     };
@@ -172,41 +183,46 @@
 }
 
 fn add(
-    plan: &Plan,
+    fleet_config: &FleetConfig,
     id: u64,
     address: Option<SocketAddr>,
     output: Output,
 ) -> Result<ExitCode, Box<dyn Error>> {
     let address = address
-        .or_else(|| plan.voters.get(&id).copied())
+        .or_else(|| fleet_config.voters.get(&id).copied())
         .ok_or_else(|| format!("voter {id} is not in the fleet's file: --address says where it listens"))?;
-    let waits = status_of(plan, id, address)?.ok_or_else(|| {
+    let waits = status_of(fleet_config, id, address)?.ok_or_else(|| {
         format!("no voter answers at {address}: start it first, with voter --id {id} --join")
     })?;
     if waits.voter != id {
         return Err(format!("at {address} listens voter {}, not voter {id}", waits.voter).into());
     }
-    if waits.disk == 0 {
+    if waits.disk_id == 0 {
         return Err(format!("voter {id} has no disk that takes writes: {}", waits.state).into());
     }
-    let place = Place { address: address.to_string(), disk: waits.disk };
-    let mut others = plan.clone();
+    let info = VoterInfo { address: address.to_string(), disk_id: waits.disk_id };
+    let mut others = fleet_config.clone();
     others.voters.remove(&id);
-    let outcome = change(&others, &Change::Add { voter: id, place })?;
+    let outcome = change(&others, &MembershipChange::Add { voter: id, info })?;
     if outcome == Some(Ok(())) {
-        let end = now() + UNANSWERED;
-        while status_of(plan, id, address)?.is_none_or(|s| s.state != "voting") {
+        let end = now() + QUERY_TIMEOUT;
+        while status_of(fleet_config, id, address)?.is_none_or(|s| s.state != "voting") {
             if now() >= end {
                 return Err(format!("voter {id} was added, but doesn't vote yet: see fleet status").into());
             }
             std::thread::sleep(Duration::from_millis(50));
         }
     }
-    told("added", id, &outcome, output)
+    report_outcome("added", id, &outcome, output)
 }
 
-fn remove(plan: &Plan, id: u64, force: bool, output: Output) -> Result<ExitCode, Box<dyn Error>> {
-    let rows = statuses(plan)?;
+fn remove(
+    fleet_config: &FleetConfig,
+    id: u64,
+    force: bool,
+    output: Output,
+) -> Result<ExitCode, Box<dyn Error>> {
+    let rows = statuses(fleet_config)?;
     let remain: Vec<Row> = rows.into_iter().filter(|(voter, ..)| *voter != id).collect();
     let vote = remain.iter().filter(|(.., s)| s.as_ref().is_some_and(|s| s.state == "voting")).count();
     // Guards against a fleet that can agree on nothing any more, not even on taking the voter back.
@@ -217,14 +233,14 @@
         )
         .into());
     }
-    let mut others = plan.clone();
+    let mut others = fleet_config.clone();
     others.voters = remain.iter().map(|(voter, address, _)| (*voter, *address)).collect();
-    told("removed", id, &change(&others, &Change::Remove { voter: id })?, output)
+    report_outcome("removed", id, &change(&others, &MembershipChange::Remove { voter: id })?, output)
 }
 
-fn status(plan: &Plan, output: Output) -> Result<ExitCode, Box<dyn Error>> {
-    let rows = statuses(plan)?;
-    let whole = majority(&rows);
+fn status(fleet_config: &FleetConfig, output: Output) -> Result<ExitCode, Box<dyn Error>> {
+    let rows = statuses(fleet_config)?;
+    let has_majority = majority(&rows);
     match output {
         Output::Json => {
             let row = |(voter, address, status): &Row| {
@@ -236,14 +252,18 @@
                     row["sessions"] = json!(s.sessions);
                     row["leases"] = json!(s.leases);
                     row["clients"] = json!(s.clients);
-                    row["refused_links"] = json!(s.refused.iter().cloned().collect::<BTreeMap<_, _>>());
-                    row["linked"] = json!(s.linked);
+                    row["refused_links"] =
+                        json!(s.rejected_links.iter().cloned().collect::<BTreeMap<_, _>>());
+                    row["linked"] = json!(s.connected);
                     row["voters"] = json!(s.voters.iter().map(|(voter, _)| voter).collect::<Vec<_>>());
                 }
                 row
             };
             let voters: Vec<Value> = rows.iter().map(row).collect();
-            println!("{}", json!({ "fleet": plan.fleet, "majority": whole, "voters": voters }));
+            println!(
+                "{}",
+                json!({ "fleet": fleet_config.fleet, "majority": has_majority, "voters": voters })
+            );
         }
         Output::Text => {
             println!("voter  address                state");
@@ -252,7 +272,7 @@
                     || "silent".to_owned(),
                     |s| {
                         let leader = s.leader.map_or_else(|| "-".to_owned(), |l| l.to_string());
-                        let refused: u64 = s.refused.iter().map(|(_, count)| count).sum();
+                        let refused: u64 = s.rejected_links.iter().map(|(_, count)| count).sum();
                         let refused =
                             if refused > 0 { format!(", {refused} links refused") } else { String::new() };
                         format!(
@@ -263,8 +283,11 @@
                 );
                 println!("{voter:<6} {:<22} {how}", address.to_string());
             }
-            println!("{}", if whole { "a majority votes" } else { "NO MAJORITY: no lease can be had" });
+            println!(
+                "{}",
+                if has_majority { "a majority votes" } else { "NO MAJORITY: no lease can be had" }
+            );
         }
     }
-    Ok(ExitCode::from(u8::from(!whole)))
+    Ok(ExitCode::from(u8::from(!has_majority)))
 }
--- a/crates/passrelay/src/lease.rs
+++ b/crates/passrelay/src/lease.rs
@@ -1,15 +1,15 @@
 //! Leases from the command line.
 
 use crate::output::Output;
-use crate::question::{ask, NO_MAJORITY, UNANSWERED};
-use crate::signals::told_to_end;
+use crate::query::{ask, NO_MAJORITY, QUERY_TIMEOUT};
+use crate::signals::termination_flag;
 use clap::Subcommand;
-use passrelay_lease_consensus::client::{belief, Guard, News};
+use passrelay_lease_consensus::client::{safe_term, ClientEvent, Guard};
 use passrelay_lease_consensus::lease_table::{LeaseTable, Op, Refusal, Reply, TTL_MS};
-use passrelay_lease_consensus::wire::{Answer, LeaseRow, Say};
-use passrelay_lease_runtime::member::Member;
-use passrelay_lease_runtime::plan::Plan;
-use passrelay_lease_runtime::{drawn, now};
+use passrelay_lease_consensus::wire::{ClientRequest, ClientResponse, LeaseInfo};
+use passrelay_lease_runtime::fleet_client::FleetClient;
+use passrelay_lease_runtime::fleet_config::FleetConfig;
+use passrelay_lease_runtime::{now, random_id};
 use rustix::process::{kill_process_group, Pid, Signal};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -25,7 +25,7 @@
 /// The lease was not to be had.
 const NOT_GRANTED: u8 = 124;
 /// The shortest step.
-const STEP: Duration = Duration::from_millis(20);
+const POLL_TIMEOUT: Duration = Duration::from_millis(20);
 
 /// What can be done with leases.
 #[derive(Subcommand)]
@@ -43,10 +43,10 @@
         #[arg(long, value_name = "FILE")]
         fleet: PathBuf,
         /// Time to live: without a renewal for so long the lease passes on. In s or ms, as in 10s or 800ms.
-        #[arg(long, default_value = "10s", value_parser = span)]
+        #[arg(long, default_value = "10s", value_parser = parse_duration)]
         ttl: Duration,
         /// Waits in line for so long; 0s asks once.
-        #[arg(long, default_value = "1h", value_parser = span)]
+        #[arg(long, default_value = "1h", value_parser = parse_duration)]
         wait: Duration,
         /// This process's name in the fleet; drawn if it is not given. No two processes can have one name.
         #[arg(long)]
@@ -108,7 +108,7 @@
 }
 
 /// Reads a span of time.
-fn span(text: &str) -> Result<Duration, String> {
+fn parse_duration(text: &str) -> Result<Duration, String> {
     let wrong = || format!("'{text}' should be a number with ms, s, m or h, as in 10s");
     let at = text.find(|c: char| !c.is_ascii_digit() && c != '.').ok_or_else(wrong)?;
     let number: f64 = text[..at].parse().map_err(|_| wrong())?;
@@ -129,14 +129,14 @@
             if !TTL_MS.contains(&(ttl.as_millis() as u64)) {
                 return Err(format!("--ttl: {ttl:?} is not between 500ms and 1h").into());
             }
-            let plan = Plan::read(&fleet)?;
-            let process = process.unwrap_or_else(|| format!("lease-run-{:016x}", drawn()));
-            hold(&plan, &name, ttl, wait, &process, &command)
+            let fleet_config = FleetConfig::read(&fleet)?;
+            let process = process.unwrap_or_else(|| format!("lease-run-{:016x}", random_id()));
+            run_under_lease(&fleet_config, &name, ttl, wait, &process, &command)
         }
-        Command::List { fleet, output } => list(&Plan::read(&fleet)?, None, output),
-        Command::Show { name, fleet, output } => list(&Plan::read(&fleet)?, Some(&name), output),
-        Command::Watch { name, fleet, output } => watch(&Plan::read(&fleet)?, name.as_deref(), output),
-        Command::Release { name, fleet } => release(&Plan::read(&fleet)?, &name),
+        Command::List { fleet, output } => list(&FleetConfig::read(&fleet)?, None, output),
+        Command::Show { name, fleet, output } => list(&FleetConfig::read(&fleet)?, Some(&name), output),
+        Command::Watch { name, fleet, output } => watch(&FleetConfig::read(&fleet)?, name.as_deref(), output),
+        Command::Release { name, fleet } => release(&FleetConfig::read(&fleet)?, &name),
         Command::Become { child_of, command } => {
             rustix::process::set_parent_process_death_signal(Some(Signal::KILL))?;
             // Guards against a parent that died before the line above.
@@ -151,25 +151,27 @@
     }
 }
 
-fn row(lease: &LeaseRow) -> Value {
+fn row(lease: &LeaseInfo) -> Value {
     json!({
         "lease": lease.lease, "state": lease.state, "holder": lease.holder, "token": lease.token,
-        "ttl_ms": lease.ttl_ms, "waiting": lease.waiting, "last_effect_token": lease.effect,
+        "ttl_ms": lease.ttl_ms, "waiting": lease.waiting, "last_effect_token": lease.last_effect_token,
     })
 }
 
 /// A lease as a line of the table.
-fn line(lease: &LeaseRow) -> String {
+fn line(lease: &LeaseInfo) -> String {
     let holder = lease.holder.as_deref().unwrap_or("-");
     format!("{:<32} {:<8} {:>10} {:>8}  {holder}", lease.lease, lease.state, lease.token, lease.waiting)
 }
 
-fn list(plan: &Plan, only: Option<&str>, output: Output) -> Result<ExitCode, Box<dyn Error>> {
-    let Some(Answer::List { leases, sessions, .. }) = ask(plan, Say::List { ticket: 1 }, UNANSWERED)? else {
-        eprintln!("passrelay: no majority of voters answered within {} s", UNANSWERED.as_secs());
+fn list(fleet_config: &FleetConfig, only: Option<&str>, output: Output) -> Result<ExitCode, Box<dyn Error>> {
+    let Some(ClientResponse::List { leases, sessions, .. }) =
+        ask(fleet_config, ClientRequest::List { request_id: 1 }, QUERY_TIMEOUT)?
+    else {
+        eprintln!("passrelay: no majority of voters answered within {} s", QUERY_TIMEOUT.as_secs());
         return Ok(ExitCode::from(NO_MAJORITY));
     };
-    let leases: Vec<LeaseRow> =
+    let leases: Vec<LeaseInfo> =
         leases.into_iter().filter(|l| only.is_none_or(|name| l.lease == name)).collect();
     let missing = only.is_some() && leases.is_empty();
     match output {
@@ -189,26 +191,26 @@
     Ok(ExitCode::from(u8::from(missing)))
 }
 
-fn watch(plan: &Plan, only: Option<&str>, output: Output) -> Result<ExitCode, Box<dyn Error>> {
-    let told = told_to_end()?;
-    let mut member = Member::new(plan, "watch", Duration::from_secs(5))?;
+fn watch(fleet_config: &FleetConfig, only: Option<&str>, output: Output) -> Result<ExitCode, Box<dyn Error>> {
+    let terminate = termination_flag()?;
+    let mut fleet_client = FleetClient::new(fleet_config, "watch", Duration::from_secs(5))?;
     // Both again at each new voter: what changed meanwhile is in the list.
-    member.question(Say::Watch);
-    member.question(Say::List { ticket: 1 });
-    let mut known: BTreeMap<String, LeaseRow> = BTreeMap::new();
+    fleet_client.add_query(ClientRequest::Watch);
+    fleet_client.add_query(ClientRequest::List { request_id: 1 });
+    let mut known: BTreeMap<String, LeaseInfo> = BTreeMap::new();
     let mut alive = now();
-    while !told.load(Ordering::Relaxed) {
+    while !terminate.load(Ordering::Relaxed) {
         if now() >= alive + Duration::from_secs(1) {
             alive = now();
-            member.ask(&Say::Status { ticket: 1 });
+            fleet_client.send(&ClientRequest::Status { request_id: 1 });
         }
         let mut rows = Vec::new();
-        for news in member.step(STEP)? {
-            match news {
-                News::Told(Answer::Change { lease }) => rows.push(lease),
-                News::Told(Answer::List { leases, .. }) => {
+        for event in fleet_client.poll(POLL_TIMEOUT)? {
+            match event {
+                ClientEvent::Response(ClientResponse::LeaseChanged { lease }) => rows.push(lease),
+                ClientEvent::Response(ClientResponse::List { leases, .. }) => {
                     let gone = |name: &&String| !leases.iter().any(|l| l.lease == **name);
-                    let free = |name: &String| LeaseRow::of(&LeaseTable::default(), name);
+                    let free = |name: &String| LeaseInfo::of(&LeaseTable::default(), name);
                     rows.extend(known.keys().filter(gone).map(free));
                     rows.extend(leases);
                 }
@@ -217,7 +219,7 @@
         }
         for lease in rows.into_iter().filter(|l| only.is_none_or(|name| l.lease == name)) {
             let before = match lease.state.as_str() {
-                "free" if lease.effect == 0 => known.remove(&lease.lease),
+                "free" if lease.last_effect_token == 0 => known.remove(&lease.lease),
                 _ => known.insert(lease.lease.clone(), lease.clone()),
             };
             if before.as_ref() != Some(&lease) {
@@ -231,39 +233,40 @@
     Ok(ExitCode::SUCCESS)
 }
 
-fn release(plan: &Plan, name: &str) -> Result<ExitCode, Box<dyn Error>> {
-    let mut member = Member::new(plan, &format!("release-{:016x}", drawn()), Duration::from_secs(5))?;
-    let wish = member.client.ask(Op::Evict { lease: name.to_owned() }, now());
-    let end = now() + UNANSWERED;
+fn release(fleet_config: &FleetConfig, name: &str) -> Result<ExitCode, Box<dyn Error>> {
+    let mut fleet_client =
+        FleetClient::new(fleet_config, &format!("release-{:016x}", random_id()), Duration::from_secs(5))?;
+    let request = fleet_client.client.request(Op::Evict { lease: name.to_owned() }, now());
+    let end = now() + QUERY_TIMEOUT;
     while now() < end {
-        for news in member.step(STEP)? {
-            match news {
-                News::Answered(seq, Reply::Refused(refusal)) if seq == wish => {
+        for event in fleet_client.poll(POLL_TIMEOUT)? {
+            match event {
+                ClientEvent::Answered(seq, Reply::Refused(refusal)) if seq == request => {
                     eprintln!("passrelay: {name}: {refusal}");
                     return Ok(ExitCode::FAILURE);
                 }
-                News::Answered(seq, _) if seq == wish => {
-                    member.client.close();
-                    member.step(STEP)?;
+                ClientEvent::Answered(seq, _) if seq == request => {
+                    fleet_client.client.close();
+                    fleet_client.poll(POLL_TIMEOUT)?;
                     return Ok(ExitCode::SUCCESS);
                 }
                 _ => {}
             }
         }
     }
-    eprintln!("passrelay: no majority of voters answered within {} s", UNANSWERED.as_secs());
+    eprintln!("passrelay: no majority of voters answered within {} s", QUERY_TIMEOUT.as_secs());
     Ok(ExitCode::from(NO_MAJORITY))
 }
 
 /// A command under a lease.
-struct Held {
+struct LeasedCommand {
     child: Child,
     group: Option<Pid>,
-    termed: bool,
+    terminated: bool,
 }
 
-impl Held {
-    fn start(guard: &Guard, command: &[String]) -> Result<Held, Box<dyn Error>> {
+impl LeasedCommand {
+    fn start(guard: &Guard, command: &[String]) -> Result<LeasedCommand, Box<dyn Error>> {
         // Through this program again, which asks the system to end the command with us.
         let child = std::process::Command::new(std::env::current_exe()?)
             .args(["lease", "become", "--child-of", &std::process::id().to_string(), "--"])
@@ -273,123 +276,123 @@
             .process_group(0)
             .spawn()?;
         let group = Pid::from_raw(child.id() as i32);
-        Ok(Held { child, group, termed: false })
+        Ok(LeasedCommand { child, group, terminated: false })
     }
 
     fn signal(&self, signal: Signal) {
         if let Some(group) = self.group {
-            // A group that has ended has nothing left to be told.
+            // A group that has ended has nothing left to be terminate.
             let _ = kill_process_group(group, signal);
         }
     }
 
     /// Ends it in time: SIGTERM when over half of the belief's time passed without a renewal, SIGKILL so long
     /// before its end that the command is gone by then.
-    fn mind(&mut self, left: Duration, ttl: Duration) {
-        let whole = belief(ttl);
+    fn enforce_deadline(&mut self, left: Duration, ttl: Duration) {
+        let whole = safe_term(ttl);
         if left < whole / 8 {
             self.signal(Signal::KILL);
-        } else if left < whole * 2 / 5 && !self.termed {
-            self.termed = true;
+        } else if left < whole * 2 / 5 && !self.terminated {
+            self.terminated = true;
             self.signal(Signal::TERM);
         }
     }
 }
 
-fn code(status: ExitStatus) -> u8 {
+fn exit_code(status: ExitStatus) -> u8 {
     let code = status.code().or_else(|| status.signal().map(|s| 128 + s)).unwrap_or(1);
     u8::try_from(code).unwrap_or(1)
 }
 
-fn hold(
-    plan: &Plan,
+fn run_under_lease(
+    fleet_config: &FleetConfig,
     name: &str,
     ttl: Duration,
     wait: Duration,
     process: &str,
     command: &[String],
 ) -> Result<ExitCode, Box<dyn Error>> {
-    let told = told_to_end()?;
-    let mut member = Member::new(plan, process, ttl.max(Duration::from_secs(2)))?;
+    let terminate = termination_flag()?;
+    let mut fleet_client = FleetClient::new(fleet_config, process, ttl.max(Duration::from_secs(2)))?;
     let acquire =
         || Op::Acquire { lease: name.to_owned(), ttl_ms: ttl.as_millis() as u64, wait: !wait.is_zero() };
-    member.client.ask(acquire(), now());
+    fleet_client.client.request(acquire(), now());
     let (mut end, mut answered) = (now() + wait.max(Duration::from_secs(5)), false);
     let guard = loop {
-        for news in member.step(STEP)? {
-            match news {
-                News::Answered(_, Reply::Refused(Refusal::NoSession)) => {}
-                News::Answered(_, Reply::Refused(refusal)) => {
+        for event in fleet_client.poll(POLL_TIMEOUT)? {
+            match event {
+                ClientEvent::Answered(_, Reply::Refused(Refusal::NoSession)) => {}
+                ClientEvent::Answered(_, Reply::Refused(refusal)) => {
                     eprintln!("passrelay: {name}: {refusal}");
-                    leave(&mut member, name, false)?;
+                    leave(&mut fleet_client, name, false)?;
                     return Ok(ExitCode::from(NOT_GRANTED));
                 }
-                News::Answered(..) => answered = true,
-                News::Ended | News::LeftOut(_) | News::Lost(_) => {
-                    member.client.ask(acquire(), now());
+                ClientEvent::Answered(..) => answered = true,
+                ClientEvent::SessionEnded | ClientEvent::GrantMissed(_) | ClientEvent::LeaseLost(_) => {
+                    fleet_client.client.request(acquire(), now());
                 }
                 _ => {}
             }
         }
-        if let Some(guard) = member.client.guard(name, now()) {
+        if let Some(guard) = fleet_client.client.guard(name, now()) {
             break guard;
         }
-        if told.load(Ordering::Relaxed) {
+        if terminate.load(Ordering::Relaxed) {
             end = Duration::ZERO;
         }
         if now() >= end {
             let why = if answered { "not granted in time" } else { "no majority of voters answered" };
             eprintln!("passrelay: {name}: {why}");
-            leave(&mut member, name, false)?;
+            leave(&mut fleet_client, name, false)?;
             return Ok(ExitCode::from(if answered { NOT_GRANTED } else { NO_MAJORITY }));
         }
     };
     let token = guard.token();
-    let mut held = Held::start(&guard, command)?;
+    let mut command_process = LeasedCommand::start(&guard, command)?;
     let mut lost = false;
     let status = loop {
-        member.step(STEP)?;
+        fleet_client.poll(POLL_TIMEOUT)?;
         let time = now();
         // Under another token it would be another's turn that went by in between: not ours any more.
-        let guard = member.client.guard(name, time).filter(|g| g.token() == token);
+        let guard = fleet_client.client.guard(name, time).filter(|g| g.token() == token);
         match &guard {
-            Some(guard) => held.mind(guard.until().saturating_sub(time), ttl),
-            None => held.signal(Signal::KILL),
+            Some(guard) => command_process.enforce_deadline(guard.valid_until().saturating_sub(time), ttl),
+            None => command_process.signal(Signal::KILL),
         }
-        lost |= held.termed || guard.is_none();
-        if told.swap(false, Ordering::Relaxed) {
-            held.signal(Signal::TERM);
+        lost |= command_process.terminated || guard.is_none();
+        if terminate.swap(false, Ordering::Relaxed) {
+            command_process.signal(Signal::TERM);
         }
-        if let Some(status) = held.child.try_wait()? {
+        if let Some(status) = command_process.child.try_wait()? {
             // What it left behind in its group must not outlive the lease either.
-            held.signal(Signal::KILL);
+            command_process.signal(Signal::KILL);
             break status;
         }
     };
     // Guards against a killed command's last effects on their way when the next holder begins.
     let killed = status.signal().is_some();
-    leave(&mut member, name, killed)?;
+    leave(&mut fleet_client, name, killed)?;
     if lost {
         eprintln!("passrelay: {name}: lost while the command ran, which was ended");
         return Ok(ExitCode::from(LOST));
     }
-    Ok(ExitCode::from(code(status)))
+    Ok(ExitCode::from(exit_code(status)))
 }
 
 /// Lets the lease go and ends the session, for a second at most: without that both end by themselves. After work
 /// that was cut short the lock delay comes first.
-fn leave(member: &mut Member, name: &str, cut_short: bool) -> Result<(), Box<dyn Error>> {
+fn leave(fleet_client: &mut FleetClient, name: &str, cut_short: bool) -> Result<(), Box<dyn Error>> {
     let lease = name.to_owned();
-    let wish = if cut_short { Op::Abandon { lease } } else { Op::Release { lease } };
-    let wish = member.client.ask(wish, now());
+    let request = if cut_short { Op::Abandon { lease } } else { Op::Release { lease } };
+    let request = fleet_client.client.request(request, now());
     let end = now() + Duration::from_secs(1);
     while now() < end {
-        let news = member.step(STEP)?;
-        if news.iter().any(|n| matches!(n, News::Answered(seq, _) if *seq == wish)) {
+        let events = fleet_client.poll(POLL_TIMEOUT)?;
+        if events.iter().any(|n| matches!(n, ClientEvent::Answered(seq, _) if *seq == request)) {
             break;
         }
     }
-    member.client.close();
-    member.step(Duration::ZERO)?;
+    fleet_client.client.close();
+    fleet_client.poll(Duration::ZERO)?;
     Ok(())
 }
--- a/crates/passrelay/src/main.rs
+++ b/crates/passrelay/src/main.rs
@@ -5,7 +5,7 @@
 mod fleet;
 mod lease;
 mod output;
-mod question;
+mod query;
 mod rollout;
 mod signals;
 
--- a/crates/testing/load-simulator/src/fault_injection/crowd.rs
+++ b/crates/testing/load-simulator/src/fault_injection/crowd.rs
@@ -3,11 +3,11 @@
 use super::{start_quietly, voters_of};
 use crate::sockets::program::cpu_of;
 use hdrhistogram::Histogram;
-use passrelay_lease_consensus::client::News;
+use passrelay_lease_consensus::client::ClientEvent;
 use passrelay_lease_consensus::lease_table::Op;
-use passrelay_lease_runtime::member::Member;
+use passrelay_lease_runtime::fleet_client::FleetClient;
+use passrelay_lease_runtime::fleet_config::FleetConfig as Fleet;
 use passrelay_lease_runtime::now;
-use passrelay_lease_runtime::plan::Plan as Fleet;
 use passrelay_test_support::free_address;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command};
@@ -128,34 +128,34 @@
 
 /// Times grants of a free lease, each from the wish to the leave to act.
 fn time_grants(plan: &Plan, fleet: &Fleet, stop: &AtomicBool) -> Result<Histogram<u64>, String> {
-    let mut member = Member::new(fleet, "one", Duration::from_secs(10)).map_err(|e| e.to_string())?;
+    let mut member = FleetClient::new(fleet, "one", Duration::from_secs(10)).map_err(|e| e.to_string())?;
     let mut times = Histogram::new(3).map_err(|e| e.to_string())?;
     let lease = "free".to_owned();
     while (times.len() as usize) < plan.grants && !stop.load(Ordering::Relaxed) {
         let began = now();
-        member.client.ask(acquire(lease.clone()), began);
+        member.client.request(acquire(lease.clone()), began);
         while member.client.guard(&lease, now()).is_none() && !stop.load(Ordering::Relaxed) {
-            member.step(Duration::from_millis(10)).map_err(|e| e.to_string())?;
+            member.poll(Duration::from_millis(10)).map_err(|e| e.to_string())?;
         }
         // The first one waits for the voters to begin and for a session.
         if member.client.session().is_some() && began + Duration::from_secs(1) > now() {
             times.record((now() - began).as_micros() as u64).map_err(|e| e.to_string())?;
         }
-        let wish = member.client.ask(Op::Release { lease: lease.clone() }, now());
+        let wish = member.client.request(Op::Release { lease: lease.clone() }, now());
         let mut released = false;
         while !released && !stop.load(Ordering::Relaxed) {
-            let news = member.step(Duration::from_millis(10)).map_err(|e| e.to_string())?;
-            released = news.iter().any(|n| matches!(n, News::Answered(seq, _) if *seq == wish));
+            let events = member.poll(Duration::from_millis(10)).map_err(|e| e.to_string())?;
+            released = events.iter().any(|n| matches!(n, ClientEvent::Answered(seq, _) if *seq == wish));
         }
     }
     member.client.close();
-    member.step(Duration::ZERO).map_err(|e| e.to_string())?;
+    member.poll(Duration::ZERO).map_err(|e| e.to_string())?;
     Ok(times)
 }
 
 /// The crowd, and what it has heard so far.
 struct Crowd {
-    members: Vec<Member>,
+    members: Vec<FleetClient>,
     held: usize,
     lost: usize,
 }
@@ -165,10 +165,10 @@
     fn round(&mut self) -> Result<(), String> {
         let began = now();
         for member in &mut self.members {
-            for news in member.step(Duration::ZERO).map_err(|e| e.to_string())? {
-                match news {
-                    News::Holds(_) => self.held += 1,
-                    News::Lost(_) => self.lost += 1,
+            for event in member.poll(Duration::ZERO).map_err(|e| e.to_string())? {
+                match event {
+                    ClientEvent::LeaseAcquired(_) => self.held += 1,
+                    ClientEvent::LeaseLost(_) => self.lost += 1,
                     _ => {}
                 }
             }
@@ -198,22 +198,22 @@
             return Ok(None);
         }
     };
-    let mut member = Member::new(fleet, "after", Duration::from_secs(2)).map_err(|e| e.to_string())?;
+    let mut member = FleetClient::new(fleet, "after", Duration::from_secs(2)).map_err(|e| e.to_string())?;
     while member.client.session().is_none() && !stop.load(Ordering::Relaxed) {
-        member.step(Duration::ZERO).map_err(|e| e.to_string())?;
+        member.poll(Duration::ZERO).map_err(|e| e.to_string())?;
         crowd.round()?;
     }
     let child = &mut voters.children[leader - 1];
     child.kill().and_then(|()| child.wait()).map_err(|e| e.to_string())?;
     let killed = now();
-    member.client.ask(acquire("after".to_owned()), killed);
+    member.client.request(acquire("after".to_owned()), killed);
     while member.client.guard("after", now()).is_none() && !stop.load(Ordering::Relaxed) {
-        member.step(Duration::ZERO).map_err(|e| e.to_string())?;
+        member.poll(Duration::ZERO).map_err(|e| e.to_string())?;
         crowd.round()?;
     }
     let passed = (now() - killed).as_secs_f64();
     member.client.close();
-    member.step(Duration::ZERO).map_err(|e| e.to_string())?;
+    member.poll(Duration::ZERO).map_err(|e| e.to_string())?;
     voters.children[leader - 1] = voters.vote(leader)?;
     Ok(Some(passed))
 }
@@ -231,9 +231,10 @@
     let mut crowd = Crowd { members: Vec::new(), held: 0, lost: 0 };
     for client in 0..plan.clients {
         let name = format!("client-{client}");
-        let mut member = Member::new(&fleet, &name, Duration::from_secs(10)).map_err(|e| e.to_string())?;
+        let mut member =
+            FleetClient::new(&fleet, &name, Duration::from_secs(10)).map_err(|e| e.to_string())?;
         for lease in 0..plan.leases {
-            member.client.ask(acquire(format!("{name}-{lease}")), now());
+            member.client.request(acquire(format!("{name}-{lease}")), now());
         }
         crowd.members.push(member);
     }
--- a/crates/testing/load-simulator/src/fault_injection/processes.rs
+++ b/crates/testing/load-simulator/src/fault_injection/processes.rs
@@ -5,7 +5,7 @@
 use super::relay::Relay;
 use super::{start_quietly, voters_of};
 use crate::random::Streams;
-use passrelay_lease_runtime::{true_now as now, TEST_CLOCK};
+use passrelay_lease_runtime::{boot_time as now, TEST_CLOCK};
 use passrelay_test_support::free_address;
 use rand::Rng;
 use std::collections::BTreeMap;
--- a/crates/testing/load-simulator/src/fault_injection/timed.rs
+++ b/crates/testing/load-simulator/src/fault_injection/timed.rs
@@ -9,12 +9,12 @@
 use super::clock::Clock;
 use super::history::{check, Act, Belief, History, Noted, Violation};
 use crate::random::{Stream, Streams};
-use passrelay_lease_consensus::client::{Client, News};
+use passrelay_lease_consensus::client::{Client, ClientEvent};
 use passrelay_lease_consensus::lease_table::{Op, Reply};
-use passrelay_lease_consensus::membership::{Change, Place};
-use passrelay_lease_consensus::mutant::{is, turn_on, Mutant};
-use passrelay_lease_consensus::voter::{To, VoterIdentity};
-use passrelay_lease_consensus::wire::{decode, encode, Answer, Frame, Say};
+use passrelay_lease_consensus::membership::{MembershipChange, VoterInfo};
+use passrelay_lease_consensus::mutant::{is_active, set_active, Mutant};
+use passrelay_lease_consensus::voter::{Recipient, VoterConfig};
+use passrelay_lease_consensus::wire::{decode, encode, ClientRequest, ClientResponse, Frame};
 use passrelay_lease_consensus::VoterId;
 use passrelay_lease_journal::{Fault, MemoryDisk};
 use passrelay_lease_runtime::durable_voter::DurableVoter;
@@ -212,11 +212,11 @@
 
 /// Plays one history.
 pub fn play(plan: Plan) -> Outcome {
-    turn_on(plan.mutant);
+    set_active(plan.mutant);
     let mut world = World::new(plan);
     // A voter that ends itself over what it finds is seen like any other fault of the code under test.
     let ended = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| world.run()));
-    turn_on(None);
+    set_active(None);
     if let Err(panic) = ended {
         let said = panic.downcast_ref::<String>().cloned().unwrap_or_default();
         let violations = vec![Violation { rule: "a process ended itself", shows: vec![said] }];
@@ -333,7 +333,7 @@
     }
 
     fn local(&self, proc: ProcId) -> Duration {
-        let wall = if is(Mutant::WallClock) { self.procs[proc].wall } else { 0.0 };
+        let wall = if is_active(Mutant::WallClock) { self.procs[proc].wall } else { 0.0 };
         self.procs[proc].clock.shows(self.now) + Duration::from_secs_f64(wall)
     }
 
@@ -352,13 +352,13 @@
         p.inbox.clear();
         match &mut p.role {
             Role::Voter(desk) => {
-                let identity = VoterIdentity {
+                let identity = VoterConfig {
                     voter: proc as u64 + 1,
                     voters: desk.file.clone(),
-                    joins: proc >= founders,
+                    joining: proc >= founders,
                     lock_delay,
-                    new_disk: fresh,
-                    life: fresh,
+                    new_disk_id: fresh,
+                    incarnation: fresh,
                 };
                 let disk = desk.disk.clone();
                 let open = Box::new(move || Ok(disk.clone()));
@@ -422,12 +422,12 @@
             }
         }
         let voters = self.procs.iter().filter_map(|p| match &p.role {
-            Role::Voter(desk) => desk.durable.as_ref()?.voter().filter(|v| v.votes()),
+            Role::Voter(desk) => desk.durable.as_ref()?.voter().filter(|v| v.is_voting()),
             Role::Client(_) | Role::Operator(_) => None,
         });
         if let Some(voter) = voters.max_by_key(|v| v.status().applied) {
             let leases = voter.table().leases().iter();
-            self.history.remembered = leases.map(|(name, lease)| (name.clone(), lease.effect)).collect();
+            self.history.remembered = leases.map(|(name, lease)| (name.clone(), lease.last_effect)).collect();
         }
     }
 }
--- a/crates/testing/load-simulator/src/fault_injection/timed/actors.rs
+++ b/crates/testing/load-simulator/src/fault_injection/timed/actors.rs
@@ -40,7 +40,7 @@
             desk.called[other] = Some(conn);
             desk.call_at[other] = self.now + wait;
             if let Some(durable) = &mut desk.durable {
-                durable.linked(other as u64 + 1);
+                durable.outbound_up(other as u64 + 1);
             }
         }
         self.turn(proc);
@@ -50,8 +50,9 @@
     pub(super) fn others(&self, proc: ProcId) -> Vec<ProcId> {
         let Role::Voter(desk) = &self.procs[proc].role else { return Vec::new() };
         let known = desk.durable.as_ref().and_then(DurableVoter::voter).map(|v| {
-            let visitors = v.visitors().keys().copied().filter(|_| !v.membership().places().is_empty());
-            v.membership().voters().into_iter().chain(visitors).collect::<Vec<_>>()
+            let visitors =
+                v.unlisted_voters().keys().copied().filter(|_| !v.membership().members().is_empty());
+            v.membership().voter_ids().into_iter().chain(visitors).collect::<Vec<_>>()
         });
         let voters = known.filter(|k| !k.is_empty()).unwrap_or_else(|| desk.file.clone());
         voters.iter().map(|v| *v as usize - 1).collect()
@@ -69,22 +70,29 @@
             self.close(conn, 0);
         }
         let change = match order {
-            Order::Remove(which) => Change::Remove { voter: which as u64 + 1 },
+            Order::Remove(which) => MembershipChange::Remove { voter: which as u64 + 1 },
             Order::Add(which) => {
                 let Role::Voter(desk) = &self.procs[which].role else { return };
                 // Its disk's name counts once it is lasting.
-                let Some(disk) = desk.durable.as_ref().map(|s| s.status().disk).filter(|d| *d > 0) else {
+                let Some(disk) = desk.durable.as_ref().map(|s| s.status().disk_id).filter(|d| *d > 0) else {
                     return;
                 };
-                let place = Place { address: format!("127.0.0.1:{}", which + 1), disk };
-                Change::Add { voter: which as u64 + 1, place }
+                let info = VoterInfo { address: format!("127.0.0.1:{}", which + 1), disk_id: disk };
+                MembershipChange::Add { voter: which as u64 + 1, info }
             }
         };
         let conn = self.call(proc, voter);
         if let Role::Operator(operator) = &mut self.procs[proc].role {
             operator.conn = Some(conn);
         }
-        self.send(conn, 0, Item::Bytes(encode(FLEET, &Frame::Client(Say::Change { ticket, change }))));
+        self.send(
+            conn,
+            0,
+            Item::Bytes(encode(
+                FLEET,
+                &Frame::Request(ClientRequest::ChangeMembership { request_id: ticket, change }),
+            )),
+        );
     }
 
     /// Closes all of a voter's links.
@@ -105,15 +113,15 @@
         let now = self.local(proc);
         let Role::Voter(desk) = &mut self.procs[proc].role else { return };
         let Some(durable) = &mut desk.durable else { return };
-        let outcome = durable.turn(now);
+        let outcome = durable.finish_turn(now);
         let called = desk.called.clone();
         if outcome.reset {
             return self.reset(proc);
         }
         for (to, frame) in outcome.frames {
             let (conn, end) = match to {
-                To::Voter(voter) => (called[voter as usize - 1], 0),
-                To::Link(link) => (Some(link as usize), 1),
+                Recipient::Voter(voter) => (called[voter as usize - 1], 0),
+                Recipient::Link(link) => (Some(link as usize), 1),
             };
             if let Some(conn) = conn.filter(|c| self.conns[*c].open[end]) {
                 self.send(conn, end, Item::Bytes(encode(FLEET, &frame)));
@@ -124,15 +132,15 @@
     pub(super) fn tick_client(&mut self, proc: ProcId) {
         let now = self.local(proc);
         let Role::Client(member) = &mut self.procs[proc].role else { return };
-        if member.client.wants_another(now) {
+        if member.client.should_switch_voter(now) {
             if let Some(conn) = member.conn.take() {
-                member.client.down();
+                member.client.disconnected();
                 self.close(conn, 0);
             }
         }
         let Role::Client(member) = &mut self.procs[proc].role else { return };
         if member.conn.is_none() && self.now >= member.call_at {
-            if !is(Mutant::NeverLeaves) {
+            if !is_active(Mutant::NeverLeaves) {
                 member.voter = (member.voter + 1) % member.voters.len();
             }
             let voter = member.voters[member.voter % member.voters.len()];
@@ -141,7 +149,7 @@
             let Role::Client(member) = &mut self.procs[proc].role else { return };
             member.conn = Some(conn);
             member.call_at = self.now + wait;
-            member.client.up(now);
+            member.client.connected(now);
         }
         let Role::Client(member) = &mut self.procs[proc].role else { return };
         member.client.tick(now);
@@ -153,20 +161,20 @@
         let (local, now) = (self.local(proc), self.now);
         let p = &mut self.procs[proc];
         let Role::Client(member) = &mut p.role else { return };
-        for news in member.client.news() {
+        for news in member.client.take_events() {
             if let Some(noted) = member.hear(news, local, now, &p.name) {
                 self.history.noted.push(noted);
             }
         }
         let landing = member.act(local, now, &p.name, self.healing, &self.plan, &mut self.random);
-        let (says, conn) = (member.client.says(), member.conn);
+        let (says, conn) = (member.client.take_requests(), member.conn);
         if let Some(act) = landing {
             self.at(act.arrived, Event::Land(act));
         }
         self.note_beliefs(proc);
         if let Some(conn) = conn.filter(|c| self.conns[*c].open[0]) {
             for say in says {
-                self.send(conn, 0, Item::Bytes(encode(FLEET, &Frame::Client(say))));
+                self.send(conn, 0, Item::Bytes(encode(FLEET, &Frame::Request(say))));
             }
         }
     }
@@ -191,8 +199,8 @@
             member.beliefs.iter().filter(|(key, _)| !believed(key)).map(|(k, v)| (k.clone(), *v)).collect();
         for guard in &guards {
             let key = (guard.lease().to_owned(), guard.token());
-            let (_, until) = member.beliefs.entry(key).or_insert((now, guard.until()));
-            *until = guard.until();
+            let (_, until) = member.beliefs.entry(key).or_insert((now, guard.valid_until()));
+            *until = guard.valid_until();
         }
         for (key, _) in &ended {
             member.beliefs.remove(key);
@@ -210,7 +218,7 @@
         until: Duration,
     ) {
         let p = &self.procs[proc];
-        let wall = if is(Mutant::WallClock) { p.wall } else { 0.0 };
+        let wall = if is_active(Mutant::WallClock) { p.wall } else { 0.0 };
         let to = p.clock.when(until.saturating_sub(Duration::from_secs_f64(wall)));
         let process = format!("{}.{}", p.name, p.life);
         self.history.beliefs.push(Belief { process, lease, token, from, to: to.min(self.now).max(from) });
--- a/crates/testing/load-simulator/src/fault_injection/timed/connections.rs
+++ b/crates/testing/load-simulator/src/fault_injection/timed/connections.rs
@@ -80,20 +80,20 @@
                 let Some(durable) = &mut desk.durable else { return };
                 match (frame, end) {
                     (Some(frame), 0) if desk.called[other] == Some(conn) => {
-                        durable.called_back(other as u64 + 1, frame);
+                        durable.receive_from_voter(other as u64 + 1, frame);
                     }
                     (Some(frame), 1) => {
                         let keep = durable.receive(conn as u64, frame, now);
                         if !keep {
-                            durable.gone(conn as u64);
+                            durable.inbound_closed(conn as u64);
                             self.close(conn, end);
                         }
                     }
                     (None, 0) if desk.called[other] == Some(conn) => {
                         desk.called[other] = None;
-                        durable.unlinked(other as u64 + 1);
+                        durable.outbound_down(other as u64 + 1);
                     }
-                    (None, 1) if matches!(item, Item::Close) => durable.gone(conn as u64),
+                    (None, 1) if matches!(item, Item::Close) => durable.inbound_closed(conn as u64),
                     _ => {}
                 }
                 self.turn(proc);
@@ -103,17 +103,19 @@
                     return;
                 }
                 match frame {
-                    Some(Frame::Answer(answer)) => member.client.receive(answer, now),
+                    Some(Frame::Response(answer)) => member.client.receive(answer, now),
                     Some(_) => {}
                     None => {
                         member.conn = None;
-                        member.client.down();
+                        member.client.disconnected();
                     }
                 }
                 self.serve(proc);
             }
             Role::Operator(operator) => match frame {
-                Some(Frame::Answer(Answer::Changed { ticket, outcome })) if ticket == operator.ticket => {
+                Some(Frame::Response(ClientResponse::MembershipChanged { request_id: ticket, outcome }))
+                    if ticket == operator.ticket =>
+                {
                     let order = operator.orders.pop_front();
                     operator.ticket += 1;
                     self.say(format!("done: {order:?}, {outcome:?}"));
--- a/crates/testing/load-simulator/src/fault_injection/timed/faults.rs
+++ b/crates/testing/load-simulator/src/fault_injection/timed/faults.rs
@@ -112,7 +112,7 @@
                 let first = voters.iter().position(|v| *v == voter).unwrap_or(0);
                 for v in (0..count).map(|n| voters[(first + n) % voters.len()]) {
                     if let Role::Voter(desk) = &self.procs[v].role {
-                        desk.disk.fail(fault);
+                        desk.disk.set_fault(fault);
                     }
                     self.undo_in(0.2, 3.0, Undo::Disk(v));
                 }
@@ -166,7 +166,7 @@
         let keep = self.random.random_range(0..200);
         if let Role::Voter(desk) = &self.procs[voter].role {
             if power {
-                desk.disk.power_lost(keep);
+                desk.disk.lose_power(keep);
             }
         }
     }
@@ -257,7 +257,7 @@
         }
         if !empty {
             let Some(old) = desk.old.take() else {
-                desk.old = Some(desk.disk.copy());
+                desk.old = Some(desk.disk.deep_copy());
                 return;
             };
             desk.disk = old;
@@ -295,7 +295,7 @@
             Undo::Mute(..) => {}
             Undo::Disk(proc) => {
                 if let Role::Voter(desk) = &self.procs[proc].role {
-                    desk.disk.fail(Fault::None);
+                    desk.disk.set_fault(Fault::None);
                 }
             }
         }
--- a/crates/testing/load-simulator/src/fault_injection/timed/members.rs
+++ b/crates/testing/load-simulator/src/fault_injection/timed/members.rs
@@ -20,9 +20,9 @@
     }
 
     /// Takes in news; an effect that was acknowledged goes to the history.
-    pub(super) fn hear(&mut self, news: News, local: Duration, now: f64, name: &str) -> Option<Noted> {
+    pub(super) fn hear(&mut self, news: ClientEvent, local: Duration, now: f64, name: &str) -> Option<Noted> {
         match news {
-            News::Answered(seq, reply) => {
+            ClientEvent::Answered(seq, reply) => {
                 if let Some((lease, token, asked)) = self.asked.remove(&seq) {
                     let process = name.to_owned();
                     return (reply == Reply::Done).then_some(Noted {
@@ -43,24 +43,24 @@
                     _ => {}
                 }
             }
-            News::Told(Answer::Voters(voters)) => {
+            ClientEvent::Response(ClientResponse::Voters(voters)) => {
                 let current = self.voters[self.voter % self.voters.len()];
                 self.voters = voters.iter().map(|(voter, _)| *voter as usize - 1).collect();
                 self.voter = self.voters.iter().position(|v| *v == current).unwrap_or(0);
             }
             // Handed on by another process: nothing to do with it here.
-            News::Holds(grant) => {
+            ClientEvent::LeaseAcquired(grant) => {
                 let mine = match &self.doing {
                     Doing::Wanting { lease, .. } | Doing::Acting { lease, .. } => *lease == grant.lease,
                     Doing::Idle { .. } | Doing::Leaving { .. } => false,
                 };
                 if !mine {
-                    self.client.ask(Op::Release { lease: grant.lease }, local);
+                    self.client.request(Op::Release { lease: grant.lease }, local);
                 }
             }
-            News::Ended | News::LeftOut(_) | News::Lost(_) => {
+            ClientEvent::SessionEnded | ClientEvent::GrantMissed(_) | ClientEvent::LeaseLost(_) => {
                 if let Doing::Wanting { lease, ttl_ms, wait, .. } = self.doing.clone() {
-                    self.client.ask(Op::Acquire { lease, ttl_ms, wait }, local);
+                    self.client.request(Op::Acquire { lease, ttl_ms, wait }, local);
                 }
             }
             _ => {}
@@ -79,7 +79,7 @@
         random: &mut Stream,
     ) -> Option<Act> {
         if let Some((_, op, lease, token)) = self.late.take_if(|(at, ..)| now >= *at) {
-            let seq = self.client.ask(op, local);
+            let seq = self.client.request(op, local);
             self.asked.insert(seq, (lease, token, now));
         }
         match self.doing.clone() {
@@ -87,7 +87,7 @@
                 let lease = format!("lease-{}", random.random_range(0..plan.clients.div_ceil(2)));
                 let ttl_ms = TTLS_MS[random.random_range(0..3)];
                 let wait = healing || random.random_bool(0.7);
-                self.client.ask(Op::Acquire { lease: lease.clone(), ttl_ms, wait }, local);
+                self.client.request(Op::Acquire { lease: lease.clone(), ttl_ms, wait }, local);
                 self.doing = Doing::Wanting { lease, since: now, ttl_ms, wait };
             }
             Doing::Wanting { lease, since, .. } => {
@@ -96,7 +96,7 @@
                     let hold = if healing { 0.2 } else { random.random_range(0.05..2.5) };
                     self.doing = Doing::Acting { lease, next: now, end: now + hold, busy: now };
                 } else if now > since + PATIENCE && !healing {
-                    self.doing = Doing::Leaving { seq: self.client.ask(Op::Release { lease }, local) };
+                    self.doing = Doing::Leaving { seq: self.client.request(Op::Release { lease }, local) };
                 }
             }
             Doing::Acting { lease, next, end, busy } => {
@@ -106,15 +106,15 @@
                     if now < busy {
                         if random.random_bool(0.1) {
                             self.doing =
-                                Doing::Leaving { seq: self.client.ask(Op::Abandon { lease }, local) };
+                                Doing::Leaving { seq: self.client.request(Op::Abandon { lease }, local) };
                         }
                         return None;
                     }
                     // Most hope that it is still theirs, and go on if a renewal says so.
-                    if !healing && self.client.listed(&lease) && random.random_bool(0.98) {
+                    if !healing && self.client.in_last_renewal(&lease) && random.random_bool(0.98) {
                         return None;
                     }
-                    self.doing = Doing::Leaving { seq: self.client.ask(Op::Release { lease }, local) };
+                    self.doing = Doing::Leaving { seq: self.client.request(Op::Release { lease }, local) };
                     return None;
                 };
                 if now >= end {
@@ -125,7 +125,7 @@
                             0 | 1 if !healing => Op::Transfer { lease, to },
                             _ => Op::Release { lease },
                         };
-                        self.doing = Doing::Leaving { seq: self.client.ask(op, local) };
+                        self.doing = Doing::Leaving { seq: self.client.request(op, local) };
                     }
                 } else if now >= next {
                     let next = now + random.random_range(0.01..0.2);
@@ -134,7 +134,7 @@
                         self.late = Some((now + random.random_range(0.5..4.0), op, lease.clone(), token));
                     }
                     if random.random_bool(0.2) && self.asked.is_empty() {
-                        let seq = self.client.ask(guard.effect(name), local);
+                        let seq = self.client.request(guard.effect(name), local);
                         self.asked.insert(seq, (lease.clone(), guard.token(), now));
                         self.doing = Doing::Acting { lease, next, end, busy };
                         return None;
