--- a/crates/testing/cluster-simulation/examples/configuration_changes.rs
+++ b/crates/testing/cluster-simulation/examples/configuration_changes.rs
@@ -109,7 +109,7 @@
     cluster.run_until(next);
 
     cluster.counts_bytes = true;
-    let before = cluster.bytes.clone();
+    let before = cluster.bytes_sent.clone();
     let began = Instant::now();
     let began_at = cluster.now();
     let mut waits = Vec::new();
@@ -122,7 +122,8 @@
     }
     let processor = began.elapsed();
     let simulated = cluster.now() - began_at;
-    let sent: Vec<u64> = cluster.bytes.iter().zip(&before).map(|(after, before)| after - before).collect();
+    let sent: Vec<u64> =
+        cluster.bytes_sent.iter().zip(&before).map(|(after, before)| after - before).collect();
     let sidecars = &sent[voters..];
     let newest = index_at(&cluster, primary);
     let caught_up = catch_up(&mut cluster, down, newest);
--- a/crates/testing/cluster-simulation/examples/dissemination.rs
+++ b/crates/testing/cluster-simulation/examples/dissemination.rs
@@ -2,7 +2,7 @@
 //!
 //! `cargo run --release -p passrelay-cluster-simulation --example dissemination`
 
-use passrelay_cluster_simulation::cluster::{Cluster, ClusterSettings, HEARTBEAT};
+use passrelay_cluster_simulation::cluster::{Cluster, ClusterSettings, HEARTBEAT_INTERVAL};
 use passrelay_control_plane::configuration_change::{ChangeKind, ConfigurationChange};
 use passrelay_control_plane::OperatorRequest;
 use passrelay_dissemination::{EndpointRecord, EndpointState, Heartbeat};
@@ -47,7 +47,7 @@
         if cluster.now() < self.next {
             return;
         }
-        self.next = cluster.now() + HEARTBEAT;
+        self.next = cluster.now() + HEARTBEAT_INTERVAL;
         self.sequence += 1;
         for number in 0..self.endpoints {
             let drains = (1..=self.draining).contains(&number);
@@ -153,7 +153,7 @@
 
     /// What the machines send while nothing changes.
     fn idle_rates(&mut self) -> SendRates {
-        let before = self.cluster.messages.clone();
+        let before = self.cluster.messages_sent.clone();
         let began = self.cluster.now();
         self.cluster.counts_bytes = true;
         while self.cluster.now() < began + IDLE_DURATION {
@@ -162,10 +162,10 @@
             self.heartbeats.send_due(&mut self.cluster);
         }
         let seconds = (self.cluster.now() - began).as_secs_f64();
-        let messages = self.cluster.messages.iter().zip(&before);
+        let messages = self.cluster.messages_sent.iter().zip(&before);
         SendRates {
             messages: messages.map(|(after, before)| (after - before) as f64 / seconds).collect(),
-            bytes: self.cluster.bytes.iter().map(|bytes| *bytes as f64 / seconds).collect(),
+            bytes: self.cluster.bytes_sent.iter().map(|bytes| *bytes as f64 / seconds).collect(),
         }
     }
 }
--- a/crates/testing/cluster-simulation/src/cluster.rs
+++ b/crates/testing/cluster-simulation/src/cluster.rs
@@ -34,7 +34,7 @@
 /// Lower bound of the time between two ticks of a process, so that a timer in the past doesn't stop simulated time.
 const MIN_TICK_INTERVAL: Duration = Duration::from_millis(5);
 /// Interval between heartbeats of an endpoint.
-pub const HEARTBEAT: Duration = Duration::from_millis(1_200);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_200);
 
 /// A running cluster. Machines are numbered from 0 in the order in which they were added, and keep their numbers.
 pub struct Cluster {
@@ -48,9 +48,9 @@
     seed_machines: Vec<usize>,
     network: Network,
     /// Messages sent, by machine.
-    pub messages: Vec<u64>,
+    pub messages_sent: Vec<u64>,
     /// Bytes sent, by machine; counted only while `counts_bytes` is set.
-    pub bytes: Vec<u64>,
+    pub bytes_sent: Vec<u64>,
     /// Whether bytes are counted, which costs the time to encode each message.
     pub counts_bytes: bool,
 }
@@ -65,8 +65,8 @@
             machines: Vec::new(),
             seed_machines: (0..settings.machines.min(SEED_MACHINES)).collect(),
             network: Network::default(),
-            messages: Vec::new(),
-            bytes: Vec::new(),
+            messages_sent: Vec::new(),
+            bytes_sent: Vec::new(),
             counts_bytes: false,
             settings,
         };
@@ -128,7 +128,7 @@
         self.with_process(machine, |process, now, actions| process.heartbeat(now, heartbeat, actions))
     }
 
-    /// Makes a machine announce what it knows of an endpoint; `Observation::Confirmed` follows when a quorum knows it too.
+    /// Makes a machine announce what it knows of an endpoint; `Observation::AnnouncementConfirmed` follows when a quorum knows it too.
     pub fn announce(&mut self, machine: usize, endpoint: &str) -> Option<(AnnouncementId, Vec<Observation>)> {
         let mut announcement = None;
         let observations = self.with_process(machine, |process, now, _| {
@@ -252,11 +252,13 @@
             Action::Answer { call, answer } => {
                 Some(Observation::Answered { call: CallKey { machine, incarnation, call }, answer })
             }
-            Action::QuotaGranted(grant) => Some(Observation::Granted { machine, incarnation, grant }),
+            Action::QuotaGranted(grant) => Some(Observation::QuotaGranted { machine, incarnation, grant }),
             Action::AnnouncementConfirmed(announcement) => {
-                Some(Observation::Confirmed { machine, incarnation, announcement })
+                Some(Observation::AnnouncementConfirmed { machine, incarnation, announcement })
+            }
+            Action::RolloutShares(grant) => {
+                Some(Observation::RolloutSharesGranted { machine, incarnation, grant })
             }
-            Action::RolloutShares(grant) => Some(Observation::SharesGranted { machine, incarnation, grant }),
             Action::LoadTotals(_) => None,
         }
     }
--- a/crates/testing/cluster-simulation/src/cluster/machine.rs
+++ b/crates/testing/cluster-simulation/src/cluster/machine.rs
@@ -1,7 +1,7 @@
 //! Machines and their processes: start, crash, pause, disk faults and replacement.
 
 use super::event_queue::Event;
-use super::{Cluster, HEARTBEAT};
+use super::{Cluster, HEARTBEAT_INTERVAL};
 use crate::disk::Disk;
 use passrelay_control_plane::quota::QuotaBounds;
 use passrelay_control_plane::replication::{Member, ProtocolMutation, ReplicaSettings};
@@ -52,7 +52,7 @@
 
 impl Cluster {
     /// Whether a process runs on a machine.
-    pub fn runs(&self, machine: usize) -> bool {
+    pub fn is_running(&self, machine: usize) -> bool {
         self.machines[machine].process.is_some()
     }
 
@@ -62,8 +62,8 @@
     }
 
     /// Whether a machine's process runs and is not paused.
-    pub fn responds(&self, machine: usize) -> bool {
-        self.runs(machine) && self.machines[machine].paused_until <= self.now
+    pub fn is_responsive(&self, machine: usize) -> bool {
+        self.is_running(machine) && self.machines[machine].paused_until <= self.now
     }
 
     /// The incarnation of a machine's process.
@@ -119,8 +119,8 @@
             uplink_busy_until: Duration::ZERO,
         });
         self.network.register(address, machine);
-        self.messages.push(0);
-        self.bytes.push(0);
+        self.messages_sent.push(0);
+        self.bytes_sent.push(0);
         machine
     }
 
@@ -144,7 +144,7 @@
     }
 
     /// Replaces a machine's disk by an empty one.
-    pub fn wipe(&mut self, machine: usize) {
+    pub fn wipe_disk(&mut self, machine: usize) {
         if let Some(disk) = &mut self.machines[machine].disk {
             disk.wipe(&mut self.rng);
         }
@@ -214,16 +214,16 @@
 
     /// Starts a machine's process now, with what its disk holds.
     pub(super) fn start(&mut self, machine: usize) {
-        if self.runs(machine) || self.machines[machine].removed {
+        if self.is_running(machine) || self.machines[machine].removed {
             return;
         }
         let seeds = self.seed_addresses();
         let tolerated_losses = self.settings.tolerated_losses;
-        let fault = self.settings.fault;
+        let protocol_mutation = self.settings.protocol_mutation;
         // Drawn at each start, also where the mutation below doesn't use the second number.
         let random_seed = self.rng.random();
         let drawn = Incarnation(self.rng.random());
-        let reuses_request_ids = fault == Some(ProtocolMutation::ReusesRequestIds);
+        let reuses_request_ids = protocol_mutation == Some(ProtocolMutation::ReusesRequestIds);
         let accepts_deltas = !self.settings.runs_earlier_build(machine);
         let starting = &mut self.machines[machine];
         let bootstrap = !starting.started_before;
@@ -243,7 +243,7 @@
                 election_timeout: ELECTION_TIMEOUT,
                 accepts_deltas,
                 random_seed,
-                mutation: fault.into(),
+                mutation: protocol_mutation.into(),
             };
             (settings, opened.state)
         });
@@ -251,7 +251,7 @@
             gossip: GossipSettings {
                 own_address: own,
                 seeds,
-                heartbeat_interval: HEARTBEAT,
+                heartbeat_interval: HEARTBEAT_INTERVAL,
                 accepts_deltas,
                 random_seed,
                 mutation: self.settings.gossip_mutation.into(),
--- a/crates/testing/cluster-simulation/src/cluster/network.rs
+++ b/crates/testing/cluster-simulation/src/cluster/network.rs
@@ -105,11 +105,11 @@
     /// Sends a message: it is counted, then lost, delayed by a partition or delivered. The random draws are made in this
     /// order.
     pub(super) fn send(&mut self, from: usize, to: SocketAddrV4, envelope: Envelope) {
-        self.messages[from] += 1;
+        self.messages_sent[from] += 1;
         if self.counts_bytes {
             let mut bytes = Vec::new();
             if ciborium::into_writer(&envelope, &mut bytes).is_ok() {
-                self.bytes[from] += bytes.len() as u64;
+                self.bytes_sent[from] += bytes.len() as u64;
             }
         }
         let Some(to) = self.network.machines_by_address.get(&to).copied() else { return };
@@ -128,7 +128,7 @@
 
     fn deliver(&mut self, link: Link, envelope: Envelope) {
         let jitter = self.rng.random_range(JITTER);
-        let sent_at = self.sent_at(link.from, &envelope.message);
+        let sent_at = self.departure_time(link.from, &envelope.message);
         let at = sent_at + self.settings.delay.mul_f64(jitter);
         let from = self.machines[link.from].address;
         self.events.schedule(at, Event::Deliver { to: link.to, from, envelope: Box::new(envelope) });
@@ -136,7 +136,7 @@
 
     /// When a message has left its machine: messages that carry documents share the uplink's bandwidth and leave one after
     /// the other, all others leave at once.
-    fn sent_at(&mut self, from: usize, message: &Message) -> Duration {
+    fn departure_time(&mut self, from: usize, message: &Message) -> Duration {
         let bytes = document_bytes(message);
         if bytes == 0 || self.settings.link_bytes_per_s == 0 {
             return self.now;
--- a/crates/testing/cluster-simulation/src/cluster/observation.rs
+++ b/crates/testing/cluster-simulation/src/cluster/observation.rs
@@ -36,7 +36,7 @@
         answer: OperatorAnswer,
     },
     /// A quorum has acknowledged what a machine announced of an endpoint.
-    Confirmed {
+    AnnouncementConfirmed {
         /// The machine.
         machine: usize,
         /// The incarnation of its process.
@@ -45,7 +45,7 @@
         announcement: AnnouncementId,
     },
     /// A sidecar's quota request was answered.
-    Granted {
+    QuotaGranted {
         /// The machine.
         machine: usize,
         /// The incarnation of its process.
@@ -54,7 +54,7 @@
         grant: QuotaMessage,
     },
     /// A sidecar's reports of roll-outs were answered.
-    SharesGranted {
+    RolloutSharesGranted {
         /// The machine.
         machine: usize,
         /// The incarnation of its process.
--- a/crates/testing/cluster-simulation/src/cluster/settings.rs
+++ b/crates/testing/cluster-simulation/src/cluster/settings.rs
@@ -41,7 +41,7 @@
     /// Mutation of all disks, for testing the checker.
     pub disk_mutation: Option<DiskMutation>,
     /// Mutation of the replication protocol at all voters, for testing the checker.
-    pub fault: Option<ProtocolMutation>,
+    pub protocol_mutation: Option<ProtocolMutation>,
     /// Mutation of gossip at all machines, for testing the checker.
     pub gossip_mutation: Option<GossipMutation>,
     /// Seed of the random number generator: the same seed and settings give the same history.
@@ -70,7 +70,7 @@
             builds: Builds::Current,
             records_versions: false,
             disk_mutation: None,
-            fault: None,
+            protocol_mutation: None,
             gossip_mutation: None,
             seed,
         }
--- a/crates/testing/cluster-simulation/src/failover.rs
+++ b/crates/testing/cluster-simulation/src/failover.rs
@@ -52,7 +52,7 @@
         PrimaryLoss::Crash => cluster.crash(primary),
         PrimaryLoss::Wipe => {
             cluster.crash(primary);
-            cluster.wipe(primary);
+            cluster.wipe_disk(primary);
             cluster.start_after(primary, Duration::from_millis(300));
         }
         PrimaryLoss::Partition => cluster.isolate(primary),
--- a/crates/testing/cluster-simulation/src/faults.rs
+++ b/crates/testing/cluster-simulation/src/faults.rs
@@ -1,7 +1,7 @@
 //! Random faults of machines, disks and the network.
 //!
 //! `FaultInjector::inject` draws one fault of one machine within what the cluster tolerates; the methods in `correlated`
-//! inject faults of several machines. `FaultInjector::heal` has to be called as time passes: it ends partitions and injects
+//! inject faults of several machines. `FaultInjector::apply_due` has to be called as time passes: it ends partitions and injects
 //! what was planned for later. Crashes, pauses and disk faults end by themselves.
 
 mod budget;
@@ -92,9 +92,9 @@
 impl FaultInjector {
     /// An injector for a cluster that tolerates so many losses of voters at the same time. A lost voter counts as lost for
     /// `catch_up` after its return.
-    pub fn new(tolerated: usize, catch_up: Duration) -> Self {
+    pub fn new(tolerated: usize, catch_up_time: Duration) -> Self {
         FaultInjector {
-            budget: LossBudget::new(tolerated, catch_up),
+            budget: LossBudget::new(tolerated, catch_up_time),
             healing: Plan::default(),
             crashing_at_healing: Vec::new(),
             disk_losses: Plan::default(),
@@ -103,13 +103,13 @@
     }
 
     /// Further voters that may be lost now, with their disks.
-    pub fn losses_left(&self) -> usize {
-        self.budget.left()
+    pub fn remaining_losses(&self) -> usize {
+        self.budget.remaining()
     }
 
     /// Bounds how many more disks may be lost, at whatever times; `None` removes the bound.
-    pub fn bound_disk_losses(&mut self, left: Option<usize>) {
-        self.budget.bound_disk_losses(left);
+    pub fn limit_disk_losses(&mut self, left: Option<usize>) {
+        self.budget.limit_disk_losses(left);
     }
 
     /// When all voters that are lost now will have caught up.
@@ -123,7 +123,7 @@
     }
 
     /// Ends what has to end by now and injects what was planned for now.
-    pub fn heal(&mut self, cluster: &mut Cluster) {
+    pub fn apply_due(&mut self, cluster: &mut Cluster) {
         let now = cluster.now();
         self.budget.expire(now);
         let healing = self.healing.take_due(now);
@@ -138,7 +138,7 @@
         }
         for machine in self.disk_losses.take_due(now) {
             cluster.crash(machine);
-            cluster.wipe(machine);
+            cluster.wipe_disk(machine);
             cluster.start_after(machine, PLANNED_RESTART_DELAY);
         }
         for machine in self.returns.take_due(now) {
@@ -150,7 +150,7 @@
     /// Injects a random fault of one machine, in at least half of the cases the primary; none where no further loss is
     /// tolerated.
     pub fn inject(&mut self, cluster: &mut Cluster) {
-        let running: Vec<usize> = (0..cluster.len()).filter(|machine| cluster.runs(*machine)).collect();
+        let running: Vec<usize> = (0..cluster.len()).filter(|machine| cluster.is_running(*machine)).collect();
         let Some(mut machine) = running.choose(&mut cluster.rng).copied() else { return };
         if cluster.rng.random_bool(0.5) {
             machine = cluster.primary().unwrap_or(machine);
@@ -160,15 +160,15 @@
             return;
         }
         let is_voter = cluster.is_voter(machine);
-        let may_lose_disk = !is_voter || self.budget.may_lose_disk();
+        let can_lose_disk = !is_voter || self.budget.can_lose_disk();
         match MACHINE_FAULTS[cluster.rng.random_range(0..MACHINE_FAULTS.len())] {
             MachineFault::Crash => {
                 cluster.crash(machine);
                 cluster.start_after(machine, duration);
             }
-            MachineFault::Wipe if may_lose_disk => {
+            MachineFault::Wipe if can_lose_disk => {
                 cluster.crash(machine);
-                cluster.wipe(machine);
+                cluster.wipe_disk(machine);
                 cluster.start_after(machine, duration);
                 if is_voter {
                     self.budget.record_disk_loss(machine, cluster.now() + duration);
@@ -178,7 +178,7 @@
             MachineFault::DiskStall => cluster.stall_disk(machine, duration),
             MachineFault::DiskFull => cluster.fill_disk(machine, duration),
             MachineFault::Partition => self.partition(cluster, machine, duration),
-            MachineFault::Replace if is_voter && may_lose_disk => self.replace(cluster, machine, duration),
+            MachineFault::Replace if is_voter && can_lose_disk => self.replace(cluster, machine, duration),
             MachineFault::Wipe | MachineFault::Replace => {}
         }
     }
@@ -200,12 +200,12 @@
 }
 
 fn running_voters(cluster: &Cluster) -> Vec<usize> {
-    (0..cluster.len()).filter(|machine| cluster.is_voter(*machine) && cluster.runs(*machine)).collect()
+    (0..cluster.len()).filter(|machine| cluster.is_voter(*machine) && cluster.is_running(*machine)).collect()
 }
 
 /// Crashes a machine that runs, and starts it after a delay.
 fn restart(cluster: &mut Cluster, machine: usize, delay: Duration) {
-    if cluster.runs(machine) {
+    if cluster.is_running(machine) {
         cluster.crash(machine);
         cluster.start_after(machine, delay);
     }
--- a/crates/testing/cluster-simulation/src/faults/budget.rs
+++ b/crates/testing/cluster-simulation/src/faults/budget.rs
@@ -12,7 +12,7 @@
     /// Voters that may be lost at the same time.
     tolerated: usize,
     /// A lost voter counts as lost for this long after its return.
-    catch_up: Duration,
+    catch_up_time: Duration,
     /// Voters that are lost, until when.
     lost: BTreeMap<usize, Duration>,
     /// Voters whose disks are lost, until their successors hold the complete state. Never more than tolerated, however
@@ -25,10 +25,10 @@
 }
 
 impl LossBudget {
-    pub(super) fn new(tolerated: usize, catch_up: Duration) -> Self {
+    pub(super) fn new(tolerated: usize, catch_up_time: Duration) -> Self {
         LossBudget {
             tolerated,
-            catch_up,
+            catch_up_time,
             lost: BTreeMap::new(),
             disks_lost: BTreeMap::new(),
             disk_losses_left: None,
@@ -37,20 +37,20 @@
     }
 
     /// Further voters that may be lost now, with their disks.
-    pub(super) fn left(&self) -> usize {
+    pub(super) fn remaining(&self) -> usize {
         self.tolerated.saturating_sub(self.lost.len().max(self.disks_lost.len()))
     }
 
     /// Whether nothing is lost at present, disks aside.
-    pub(super) fn is_untouched(&self) -> bool {
+    pub(super) fn is_unused(&self) -> bool {
         self.lost.is_empty()
     }
 
-    pub(super) fn bound_disk_losses(&mut self, left: Option<usize>) {
+    pub(super) fn limit_disk_losses(&mut self, left: Option<usize>) {
         self.disk_losses_left = left;
     }
 
-    pub(super) fn may_lose_disk(&self) -> bool {
+    pub(super) fn can_lose_disk(&self) -> bool {
         self.disks_lost.len() < self.tolerated && self.disk_losses_left != Some(0)
     }
 
@@ -80,7 +80,7 @@
 
     /// A voter is lost until a time, whatever is tolerated.
     pub(super) fn record_loss(&mut self, machine: usize, until: Duration) {
-        self.lost.insert(machine, until + self.catch_up);
+        self.lost.insert(machine, until + self.catch_up_time);
     }
 
     /// A machine has a fault until a time.
@@ -91,7 +91,7 @@
 
     /// A voter's disk is lost now; the voter or its successor runs again at a time.
     pub(super) fn record_disk_loss(&mut self, machine: usize, back_at: Duration) {
-        self.disks_lost.insert(machine, back_at + self.catch_up);
+        self.disks_lost.insert(machine, back_at + self.catch_up_time);
         self.disk_losses_left = self.disk_losses_left.map(|left| left.saturating_sub(1));
     }
 
@@ -105,7 +105,7 @@
     /// Not all voters can communicate before a time: whatever is lost now catches up only after it.
     pub(super) fn delay_recovery(&mut self, until: Duration) {
         for recovered_at in self.lost.values_mut().chain(self.disks_lost.values_mut()) {
-            *recovered_at = (*recovered_at).max(until + self.catch_up);
+            *recovered_at = (*recovered_at).max(until + self.catch_up_time);
         }
     }
 
--- a/crates/testing/cluster-simulation/src/faults/correlated.rs
+++ b/crates/testing/cluster-simulation/src/faults/correlated.rs
@@ -24,7 +24,8 @@
     pub fn inject_group_outage(&mut self, cluster: &mut Cluster) {
         let duration = Duration::from_millis(cluster.rng.random_range(4_000..9_000));
         let size = cluster.rng.random_range(1..=cluster.len() / 2);
-        let mut members: Vec<usize> = (0..cluster.len()).filter(|machine| cluster.runs(*machine)).collect();
+        let mut members: Vec<usize> =
+            (0..cluster.len()).filter(|machine| cluster.is_running(*machine)).collect();
         members.shuffle(&mut cluster.rng);
         if let Some(primary) = cluster.primary().filter(|_| cluster.rng.random_bool(0.7)) {
             members.insert(0, primary);
@@ -63,7 +64,7 @@
             0 => inside.iter().for_each(|machine| restart(cluster, *machine, Duration::from_millis(400))),
             1 => outside.iter().for_each(|machine| restart(cluster, *machine, Duration::from_millis(400))),
             2 => self.crashing_at_healing = outside.to_vec(),
-            3 if self.budget.may_lose_disk() => {
+            3 if self.budget.can_lose_disk() => {
                 restart_all_wipe_first(cluster, outside, duration);
                 outside.first().iter().for_each(|machine| self.budget.record_disk_loss(**machine, until));
             }
@@ -109,7 +110,7 @@
     /// The disks of all voters but the primary stall, whatever is tolerated, and the primary's disk is lost meanwhile:
     /// nothing may have been acknowledged of which it held the only replica.
     pub fn inject_only_replica_loss(&mut self, cluster: &mut Cluster) {
-        let may_inject = self.budget.is_untouched() && self.budget.may_lose_disk();
+        let may_inject = self.budget.is_unused() && self.budget.can_lose_disk();
         let Some(primary) = cluster.primary().filter(|_| may_inject) else { return };
         let stall = Duration::from_millis(cluster.rng.random_range(2_000..5_000));
         let until = cluster.now() + stall;
@@ -159,7 +160,7 @@
         let voters = running_voters(cluster);
         let Some(machine) = voters.choose(&mut cluster.rng).copied() else { return };
         let duration = Duration::from_millis(cluster.rng.random_range(1_000..3_000));
-        if !self.budget.may_lose_disk() || !self.budget.reserve(cluster, machine, duration) {
+        if !self.budget.can_lose_disk() || !self.budget.reserve(cluster, machine, duration) {
             return;
         }
         self.replace(cluster, machine, duration);
@@ -173,7 +174,7 @@
         let back_at = cluster.now() + down;
         self.budget.delay_recovery(back_at + Duration::from_millis(300));
         for machine in 0..cluster.len() {
-            if cluster.runs(machine) && (all_machines || cluster.is_voter(machine)) {
+            if cluster.is_running(machine) && (all_machines || cluster.is_voter(machine)) {
                 let stagger = Duration::from_millis(cluster.rng.random_range(0..300));
                 restart(cluster, machine, down + stagger);
                 if cluster.is_voter(machine) {
@@ -208,10 +209,10 @@
 fn restart_all_wipe_first(cluster: &mut Cluster, machines: &[usize], max_down: Duration) {
     for (index, machine) in machines.iter().enumerate() {
         let down = Duration::from_millis(cluster.rng.random_range(1_000..6_000)).min(max_down);
-        if cluster.runs(*machine) {
+        if cluster.is_running(*machine) {
             cluster.crash(*machine);
             if index == 0 {
-                cluster.wipe(*machine);
+                cluster.wipe_disk(*machine);
             }
             cluster.start_after(*machine, down);
         }
--- a/crates/testing/cluster-simulation/src/history.rs
+++ b/crates/testing/cluster-simulation/src/history.rs
@@ -55,9 +55,9 @@
     /// What is brought about.
     pub scenario: Scenario,
     /// A lost voter counts as lost for this long after its return, so it has to catch up within it.
-    pub catch_up: Duration,
+    pub catch_up_time: Duration,
     /// Duration before the final fault.
-    pub length: Duration,
+    pub duration: Duration,
     /// Bytes of padding in each document, in one piece.
     pub padding: usize,
     /// Items of some 100 bytes in each document that no change touches.
@@ -72,9 +72,9 @@
     /// Number of changes acknowledged.
     pub acknowledged: usize,
     /// Longest time from a change's first sending to its acknowledgement.
-    pub slowest: Duration,
+    pub max_acknowledge_time: Duration,
     /// The final state of each machine, one line each; empty without violations.
-    pub machines: Vec<String>,
+    pub machine_states: Vec<String>,
 }
 
 struct History {
@@ -103,7 +103,7 @@
 }
 
 /// Plays a history.
-pub fn play(settings: &HistorySettings) -> Outcome {
+pub fn simulate(settings: &HistorySettings) -> Outcome {
     let mut history = History::new(settings.clone());
     if matches!(settings.scenario, Scenario::Bootstrap | Scenario::BootstrapWithOtherSeeds) {
         history.run_faulty_bootstrap();
@@ -113,7 +113,7 @@
     if matches!(settings.scenario, Scenario::ManyChanges | Scenario::ManyChangesOnBadDisk) {
         history.run_many_changes();
     }
-    let until = history.cluster.now() + settings.length;
+    let until = history.cluster.now() + settings.duration;
     while history.cluster.now() < until {
         history.run_interval();
     }
@@ -127,7 +127,7 @@
         History {
             cluster: Cluster::new(settings.cluster.clone()),
             checker: Checker::default(),
-            faults: FaultInjector::new(settings.cluster.tolerated_losses, settings.catch_up),
+            faults: FaultInjector::new(settings.cluster.tolerated_losses, settings.catch_up_time),
             calls: BTreeMap::new(),
             next_change: 1,
             pending: Vec::new(),
@@ -156,7 +156,7 @@
             self.observe(observations);
         }
         self.check_freshness();
-        self.faults.heal(&mut self.cluster);
+        self.faults.apply_due(&mut self.cluster);
         self.retry_changes();
     }
 
@@ -179,9 +179,9 @@
                     self.checker.configured(machine, incarnation, &configuration, change);
                 }
                 Observation::Answered { call, answer } => self.handle_answer(call, &answer),
-                Observation::Granted { .. }
-                | Observation::Confirmed { .. }
-                | Observation::SharesGranted { .. } => {}
+                Observation::QuotaGranted { .. }
+                | Observation::AnnouncementConfirmed { .. }
+                | Observation::RolloutSharesGranted { .. } => {}
             }
         }
     }
@@ -190,7 +190,7 @@
         self.checker.finish();
         if !self.checker.violations.is_empty() {
             let machines = 0..self.cluster.len();
-            self.outcome.machines = machines.map(|machine| self.cluster.describe(machine)).collect();
+            self.outcome.machine_states = machines.map(|machine| self.cluster.describe(machine)).collect();
         }
         self.outcome.violations = self.checker.violations;
         self.outcome
--- a/crates/testing/cluster-simulation/src/history/operator.rs
+++ b/crates/testing/cluster-simulation/src/history/operator.rs
@@ -187,7 +187,8 @@
         } else {
             let pending = self.pending.remove(index);
             if is_first {
-                self.outcome.slowest = self.outcome.slowest.max(now.saturating_sub(pending.sent_at));
+                self.outcome.max_acknowledge_time =
+                    self.outcome.max_acknowledge_time.max(now.saturating_sub(pending.sent_at));
             }
             if acknowledged {
                 self.record_acknowledged(pending);
--- a/crates/testing/cluster-simulation/src/history/recovery.rs
+++ b/crates/testing/cluster-simulation/src/history/recovery.rs
@@ -21,14 +21,14 @@
         let until = self.cluster.now() + Duration::from_millis(self.cluster.rng.random_range(1..60));
         self.advance(until);
         let loses_disks = self.cluster.rng.random_bool(0.5);
-        let mut disk_losses = if loses_disks { self.faults.losses_left() } else { 0 };
+        let mut disk_losses = if loses_disks { self.faults.remaining_losses() } else { 0 };
         for machine in 0..self.cluster.len() {
-            if !self.cluster.runs(machine) {
+            if !self.cluster.is_running(machine) {
                 continue;
             }
             self.cluster.crash(machine);
             if disk_losses > 0 && self.cluster.is_voter(machine) && self.cluster.rng.random_bool(0.6) {
-                self.cluster.wipe(machine);
+                self.cluster.wipe_disk(machine);
                 disk_losses -= 1;
             }
             let delay = Duration::from_millis(self.cluster.rng.random_range(500..900));
--- a/crates/testing/cluster-simulation/src/history/schedule.rs
+++ b/crates/testing/cluster-simulation/src/history/schedule.rs
@@ -82,7 +82,7 @@
     /// may be lost: if two of the three seeds are lost for good before the first record exists, nobody may bootstrap any
     /// more, and there is nothing to lose.
     pub(super) fn run_faulty_bootstrap(&mut self) {
-        self.faults.bound_disk_losses(Some(1));
+        self.faults.limit_disk_losses(Some(1));
         let until = Duration::from_millis(self.cluster.rng.random_range(500..9_000));
         while self.cluster.now() < until {
             if self.cluster.rng.random_bool(0.1) {
@@ -107,7 +107,7 @@
         // These faults may overlap beyond the tolerance: everything has to come back before others begin.
         let recovered_at = self.faults.recovered_at().max(self.cluster.now()) + BOOTSTRAP_TIMEOUT;
         self.advance(recovered_at);
-        self.faults.bound_disk_losses(None);
+        self.faults.limit_disk_losses(None);
     }
 
     /// At times the list of seeds changes, and as often some machines restart, so that machines start with different lists.
@@ -148,7 +148,7 @@
         if self.settings.scenario == Scenario::ManyChangesOnBadDisk {
             self.inject_disk_fault(down);
         }
-        let back_at = self.cluster.now() + self.settings.catch_up;
+        let back_at = self.cluster.now() + self.settings.catch_up_time;
         self.advance(back_at);
         let newest = (0..self.cluster.len()).map(|machine| self.index_at(machine)).max().unwrap_or(0);
         if self.index_at(down) < newest {
--- a/crates/testing/cluster-simulation/src/limits.rs
+++ b/crates/testing/cluster-simulation/src/limits.rs
@@ -78,11 +78,11 @@
     /// Keys and freshness are checked before the wait for a connection and not again before sending.
     ChecksBeforeWaitOnly,
     /// Each sidecar has the slack of the whole fleet's retry budget.
-    SlackForEach,
+    RetrySlackPerSidecar,
     /// Requests are sent to draining endpoints as long as they are registered.
     SendsToDraining,
     /// An endpoint's draining is acknowledged whether or not other sidecars know of it.
-    AcknowledgesDrainingAlone,
+    AcknowledgesDrainingWithoutQuorum,
 }
 
 /// What a history consists of.
@@ -132,7 +132,7 @@
 }
 
 /// Plays a history.
-pub fn play(settings: &LimitSettings) -> LimitOutcome {
+pub fn simulate(settings: &LimitSettings) -> LimitOutcome {
     let mut history = LimitHistory::new(settings.clone());
     (0..ENDPOINTS).for_each(|_| history.start_endpoint());
     while history.cluster.now() < LENGTH {
@@ -166,7 +166,7 @@
         while let Some(observations) = self.cluster.step(until) {
             self.observe(observations);
         }
-        self.faults.heal(&mut self.cluster);
+        self.faults.apply_due(&mut self.cluster);
         if !self.settings.fault_free && until > CLIENTS_START_AT {
             if self.cluster.rng.random_bool(0.012) {
                 self.faults.inject(&mut self.cluster);
@@ -195,13 +195,13 @@
                     sidecar.set_routing_table(configuration.ok().map(RoutingTable::new));
                 }
                 Observation::Answered { call, answer } => self.handle_change_answer(call, answer.status),
-                Observation::Confirmed { machine, incarnation, announcement } => {
+                Observation::AnnouncementConfirmed { machine, incarnation, announcement } => {
                     self.handle_confirmation(AnnouncementKey { machine, incarnation, announcement });
                 }
-                Observation::Granted { machine, incarnation, grant } => {
+                Observation::QuotaGranted { machine, incarnation, grant } => {
                     self.handle_grant(machine, incarnation, grant);
                 }
-                Observation::SharesGranted { .. } => {}
+                Observation::RolloutSharesGranted { .. } => {}
             }
         }
     }
@@ -224,7 +224,7 @@
 
     fn random_responsive_machine(&mut self) -> Option<usize> {
         let machines: Vec<usize> =
-            (0..self.cluster.len()).filter(|machine| self.cluster.responds(*machine)).collect();
+            (0..self.cluster.len()).filter(|machine| self.cluster.is_responsive(*machine)).collect();
         machines.choose(&mut self.cluster.rng).copied()
     }
 }
--- a/crates/testing/cluster-simulation/src/limits/endpoints.rs
+++ b/crates/testing/cluster-simulation/src/limits/endpoints.rs
@@ -1,7 +1,7 @@
 //! Endpoints: heartbeats to random machines, and draining with its acknowledgement.
 
 use super::{LimitHistory, LimitMutation, CLIENTS_START_AT, SERVICE};
-use crate::cluster::HEARTBEAT;
+use crate::cluster::HEARTBEAT_INTERVAL;
 use passrelay_dissemination::{AnnouncementId, EndpointRecord, EndpointState, Heartbeat};
 use rand::Rng;
 use std::net::SocketAddrV4;
@@ -73,7 +73,7 @@
     fn send_heartbeat(&mut self, index: usize) {
         let now = self.cluster.now();
         let endpoint = &mut self.endpoints[index];
-        endpoint.next_heartbeat = now + HEARTBEAT;
+        endpoint.next_heartbeat = now + HEARTBEAT_INTERVAL;
         endpoint.sequence += 1;
         let record = EndpointRecord {
             id: endpoint.id.clone(),
@@ -93,7 +93,7 @@
             return;
         }
         let id = endpoint.id.clone();
-        if self.settings.mutation == Some(LimitMutation::AcknowledgesDrainingAlone) {
+        if self.settings.mutation == Some(LimitMutation::AcknowledgesDrainingWithoutQuorum) {
             return self.acknowledge_draining(&id);
         }
         let incarnation = self.cluster.incarnation(machine);
--- a/crates/testing/cluster-simulation/src/limits/sidecar.rs
+++ b/crates/testing/cluster-simulation/src/limits/sidecar.rs
@@ -65,7 +65,7 @@
 
 impl Sidecar {
     fn new(incarnation: u64, mutation: Option<LimitMutation>) -> Self {
-        let has_slack = mutation == Some(LimitMutation::SlackForEach);
+        let has_slack = mutation == Some(LimitMutation::RetrySlackPerSidecar);
         Sidecar {
             incarnation,
             shares: QuotaShares::new(GRANT_LIFETIME),
@@ -167,7 +167,7 @@
 
     /// Advances the requests of one sidecar; none while its process is paused or down.
     pub(super) fn drive_sidecar(&mut self, machine: usize) {
-        if !self.cluster.responds(machine) {
+        if !self.cluster.is_responsive(machine) {
             return;
         }
         let now = self.cluster.local_now(machine);
--- a/crates/testing/cluster-simulation/tests/histories.rs
+++ b/crates/testing/cluster-simulation/tests/histories.rs
@@ -2,8 +2,8 @@
 
 use passrelay_cluster_simulation::cluster::{Builds, ClusterSettings};
 use passrelay_cluster_simulation::disk::DiskMutation;
-use passrelay_cluster_simulation::history::{play, HistorySettings, Scenario};
-use passrelay_cluster_simulation::seeds::seeds_from;
+use passrelay_cluster_simulation::history::{simulate, HistorySettings, Scenario};
+use passrelay_cluster_simulation::seeds::seeds_from_env;
 use passrelay_control_plane::replication::ProtocolMutation;
 use rstest::rstest;
 use std::time::Duration;
@@ -15,8 +15,8 @@
     HistorySettings {
         cluster: ClusterSettings { builds, ..ClusterSettings::new(voters, machines, seed) },
         scenario,
-        catch_up: Duration::from_secs(4),
-        length: Duration::from_secs(20),
+        catch_up_time: Duration::from_secs(4),
+        duration: Duration::from_secs(20),
         padding: 0,
         items: if seed % 2 == 1 { ITEMS } else { 0 },
     }
@@ -36,7 +36,7 @@
 
 /// The first seeds, so many as histories; `FLEET_HISTORIES=FROM..TO` plays these instead.
 fn seeds(histories: u64) -> std::ops::Range<u64> {
-    seeds_from("FLEET_HISTORIES", histories)
+    seeds_from_env("FLEET_HISTORIES", histories)
 }
 
 /// Plays the seeds of a scenario; a seed with a violation is named with the variable that repeats it.
@@ -53,13 +53,13 @@
             settings.items = MANY_ITEMS;
             settings.cluster.link_bytes_per_s = SLOW_LINKS[seed as usize % SLOW_LINKS.len()];
         }
-        let outcome = play(&settings);
+        let outcome = simulate(&settings);
         assert!(
             outcome.violations.is_empty(),
             "FLEET_HISTORIES={seed}..{} ({scenario:?}, {voters} voters of {machines}): {:?}\n{}",
             seed + 1,
             outcome.violations,
-            outcome.machines.join("\n")
+            outcome.machine_states.join("\n")
         );
         acknowledged += outcome.acknowledged;
     }
@@ -173,8 +173,8 @@
 #[test]
 fn machines_that_return_catch_up_well_before_they_have_to() {
     for seed in seeds(100) {
-        let catch_up = Duration::from_millis(1_500);
-        let outcome = play(&HistorySettings { catch_up, ..settings(Scenario::Mixed, 3, 6, seed) });
+        let catch_up_time = Duration::from_millis(1_500);
+        let outcome = simulate(&HistorySettings { catch_up_time, ..settings(Scenario::Mixed, 3, 6, seed) });
         assert!(outcome.violations.is_empty(), "seed {seed}: {:?}", outcome.violations);
     }
 }
@@ -197,19 +197,19 @@
 #[case(ProtocolMutation::DropsAppliedChangesAtFailover, Scenario::Races)]
 #[case(ProtocolMutation::RepliesAfterFailedWrite, Scenario::Races)]
 #[case(ProtocolMutation::SkipsDeltas, Scenario::Mixed)]
-fn a_broken_protocol_is_found_out(#[case] fault: ProtocolMutation, #[case] scenario: Scenario) {
-    is_detected(&format!("{fault:?}"), scenario, |cluster| cluster.fault = Some(fault));
+fn a_broken_protocol_is_found_out(#[case] mutation: ProtocolMutation, #[case] scenario: Scenario) {
+    is_detected(&format!("{mutation:?}"), scenario, |cluster| cluster.protocol_mutation = Some(mutation));
 }
 
 /// The mutated cluster has to violate a property in some history in which the sound one violates none.
 fn is_detected(name: &str, scenario: Scenario, mutate: impl Fn(&mut ClusterSettings)) {
     let found = (0..MAX_HISTORIES_TO_DETECT).any(|seed| {
-        let catch_up = Duration::from_millis(800);
-        let sound = HistorySettings { catch_up, ..settings(scenario, 5, 8, seed) };
+        let catch_up_time = Duration::from_millis(800);
+        let sound = HistorySettings { catch_up_time, ..settings(scenario, 5, 8, seed) };
         let mut mutated = sound.clone();
         mutate(&mut mutated.cluster);
-        let violations = play(&mutated).violations;
-        let found = !violations.is_empty() && play(&sound).violations.is_empty();
+        let violations = simulate(&mutated).violations;
+        let found = !violations.is_empty() && simulate(&sound).violations.is_empty();
         if found {
             println!("{name}: seed {seed}, {:?}", violations[0]);
         }
--- a/crates/testing/cluster-simulation/tests/limits.rs
+++ b/crates/testing/cluster-simulation/tests/limits.rs
@@ -1,8 +1,8 @@
 //! Random histories exceed no limit that binds the whole fleet, and the checker detects broken sidecars.
 
 use passrelay_cluster_simulation::cluster::ClusterSettings;
-use passrelay_cluster_simulation::limits::{play, LimitMutation, LimitSettings};
-use passrelay_cluster_simulation::seeds::seeds_from;
+use passrelay_cluster_simulation::limits::{simulate, LimitMutation, LimitSettings};
+use passrelay_cluster_simulation::seeds::seeds_from_env;
 use passrelay_control_plane::replication::ProtocolMutation;
 use passrelay_dissemination::GossipMutation;
 use rstest::rstest;
@@ -13,7 +13,7 @@
 
 /// The first seeds, so many as histories; `LIMIT_HISTORIES=FROM..TO` plays these instead.
 fn seeds(histories: u64) -> std::ops::Range<u64> {
-    seeds_from("LIMIT_HISTORIES", histories)
+    seeds_from_env("LIMIT_HISTORIES", histories)
 }
 
 #[rstest]
@@ -25,7 +25,7 @@
     let mut drained = 0;
     let mut sent = 0;
     for seed in seeds(histories) {
-        let outcome = play(&settings(voters, machines, seed));
+        let outcome = simulate(&settings(voters, machines, seed));
         assert!(
             outcome.violations.is_empty(),
             "LIMIT_HISTORIES={seed}..{} ({voters} voters of {machines}): {:?}",
@@ -44,7 +44,7 @@
     for seed in seeds(40) {
         let mut settings = LimitSettings { fault_free: true, ..settings(3, 12, seed) };
         settings.cluster.loss = 0.0;
-        let outcome = play(&settings);
+        let outcome = simulate(&settings);
         assert!(outcome.violations.is_empty(), "seed {seed}: {:?}", outcome.violations);
         assert_eq!(outcome.rejected.get("fair"), None, "seed {seed}");
         // The tenant far over its quota gets all of the quota.
@@ -54,13 +54,13 @@
 
 #[rstest]
 #[case(LimitMutation::ChecksBeforeWaitOnly)]
-#[case(LimitMutation::SlackForEach)]
+#[case(LimitMutation::RetrySlackPerSidecar)]
 #[case(LimitMutation::SendsToDraining)]
-#[case(LimitMutation::AcknowledgesDrainingAlone)]
+#[case(LimitMutation::AcknowledgesDrainingWithoutQuorum)]
 fn a_broken_sidecar_is_found_out(#[case] mutation: LimitMutation) {
     let found = (0..500).find(|seed| {
         let settings = LimitSettings { mutation: Some(mutation), ..settings(3, 12, *seed) };
-        !play(&settings).violations.is_empty()
+        !simulate(&settings).violations.is_empty()
     });
     println!("{mutation:?}: seed {found:?}");
     assert!(found.is_some(), "{mutation:?} was not detected in 500 histories");
@@ -71,7 +71,7 @@
     let found = (0..500).find(|seed| {
         let mut mutated = settings(3, 12, *seed);
         mutated.cluster.gossip_mutation = Some(GossipMutation::IgnoreReportedAge);
-        !play(&mutated).violations.is_empty()
+        !simulate(&mutated).violations.is_empty()
     });
     println!("seed {found:?}");
     assert!(found.is_some(), "an age counted from arrival was not detected in 500 histories");
@@ -81,8 +81,8 @@
 fn a_grantor_without_a_fence_is_found_out() {
     let found = (0..500).find(|seed| {
         let mut mutated = settings(3, 12, *seed);
-        mutated.cluster.fault = Some(ProtocolMutation::GrantsUnconfirmed);
-        !play(&mutated).violations.is_empty()
+        mutated.cluster.protocol_mutation = Some(ProtocolMutation::GrantsUnconfirmed);
+        !simulate(&mutated).violations.is_empty()
     });
     println!("seed {found:?}");
     assert!(found.is_some(), "a grantor without a fence was not detected in 500 histories");
--- a/crates/testing/cluster-simulation/tests/repairs.rs
+++ b/crates/testing/cluster-simulation/tests/repairs.rs
@@ -64,11 +64,11 @@
 
 /// One voter crashes and comes back; while it still fetches the state another crashes; the third, which alone holds the
 /// newest state, gets one more change, and its disk is lost. Returns the generations acknowledged and read in the end.
-fn lose_second_replica(seed: u64, fault: Option<ProtocolMutation>) -> LastGenerations {
+fn lose_second_replica(seed: u64, protocol_mutation: Option<ProtocolMutation>) -> LastGenerations {
     let mut cluster = Cluster::new(ClusterSettings {
         link_bytes_per_s: SLOW_LINK,
         loss: 0.0,
-        fault,
+        protocol_mutation,
         ..ClusterSettings::new(3, 3, seed)
     });
     cluster.run_until(Duration::from_secs(5));
@@ -86,7 +86,7 @@
     let answer = call(&mut cluster, primary, change_request(3, 2), Duration::from_millis(300));
     let acknowledged = if answer.is_some_and(|answer| answer.status == 200) { 3 } else { 2 };
     cluster.crash(primary);
-    cluster.wipe(primary);
+    cluster.wipe_disk(primary);
     cluster.start_after(primary, Duration::from_millis(300));
     cluster.start_after(others[0], Duration::from_millis(300));
     cluster.run_until(cluster.now() + Duration::from_secs(25));
--- a/crates/testing/cluster-simulation/tests/rollouts.rs
+++ b/crates/testing/cluster-simulation/tests/rollouts.rs
@@ -1,7 +1,9 @@
 //! Roll-outs through the losses of a cluster: an acknowledged order is never lost, all processes agree on its end, a bad version never comes
 //! into service and gets no more than its bound, and a good one is completed by its deadline on a calm cluster.
 
-use passrelay_cluster_simulation::cluster::{CallKey, Cluster, ClusterSettings, Observation, HEARTBEAT};
+use passrelay_cluster_simulation::cluster::{
+    CallKey, Cluster, ClusterSettings, Observation, HEARTBEAT_INTERVAL,
+};
 use passrelay_configuration::{RolloutOrder, RolloutPhase};
 use passrelay_control_plane::configuration_change::{ChangeKind, ConfigurationChange};
 use passrelay_control_plane::rollout::RolloutMessage;
@@ -95,7 +97,7 @@
         while self.cluster.now() < until {
             let now = self.cluster.now();
             if now >= self.next_beat {
-                self.next_beat = now + HEARTBEAT / 2;
+                self.next_beat = now + HEARTBEAT_INTERVAL / 2;
                 self.beat();
             }
             if now >= self.next_report {
@@ -114,7 +116,7 @@
         for (group, version) in versions.into_iter().enumerate() {
             for index in 0..4 {
                 let running: Vec<usize> =
-                    (0..self.cluster.len()).filter(|machine| self.cluster.responds(*machine)).collect();
+                    (0..self.cluster.len()).filter(|machine| self.cluster.is_responsive(*machine)).collect();
                 if running.is_empty() {
                     return;
                 }
@@ -138,7 +140,7 @@
     fn report(&mut self) {
         for machine in 0..self.cluster.len() {
             let incarnation = self.cluster.incarnation(machine);
-            if !self.cluster.responds(machine) {
+            if !self.cluster.is_responsive(machine) {
                 continue;
             }
             let now = self.cluster.local_now(machine);
@@ -158,7 +160,7 @@
         for machine in 0..self.cluster.len() {
             let now = self.cluster.local_now(machine);
             let incarnation = self.cluster.incarnation(machine);
-            if !self.cluster.responds(machine) {
+            if !self.cluster.is_responsive(machine) {
                 continue;
             }
             let Some(sidecar) = self.sidecars.get_mut(&machine) else { continue };
@@ -207,7 +209,7 @@
                     known.shares.configure(now, &configuration.rollouts);
                     known.target_in_service = configuration.service_versions.get(SERVICE) == Some("v2");
                 }
-                Observation::SharesGranted { machine, incarnation, grant } => {
+                Observation::RolloutSharesGranted { machine, incarnation, grant } => {
                     let RolloutMessage::Grant { request_id, shares } = grant else { continue };
                     let sidecar = self.sidecars.get_mut(&machine);
                     if let Some(sidecar) = sidecar.filter(|sidecar| sidecar.incarnation == incarnation) {
@@ -226,7 +228,7 @@
     fn call_until_answered(&mut self, request: &OperatorRequest) -> (u16, String) {
         for _ in 0..80 {
             let machine = self.cluster.rng.random_range(0..self.cluster.len());
-            if self.cluster.responds(machine) {
+            if self.cluster.is_responsive(machine) {
                 if let Some((key, seen)) = self.cluster.call(machine, request.clone()) {
                     self.observe(seen);
                     self.run(Duration::from_millis(400));
@@ -262,7 +264,7 @@
             self.cluster.crash(*machine);
         }
         for machine in wiped {
-            self.cluster.wipe(*machine);
+            self.cluster.wipe_disk(*machine);
         }
         for machine in machines {
             self.cluster.start_after(*machine, down);
@@ -276,7 +278,7 @@
 
     /// All processes have the same end, and the version that belongs to it.
     fn assert_agreed(&self, phase: RolloutPhase, version: &str, what: &str) {
-        for machine in (0..self.cluster.len()).filter(|machine| self.cluster.runs(*machine)) {
+        for machine in (0..self.cluster.len()).filter(|machine| self.cluster.is_running(*machine)) {
             let status = self.cluster.process(machine).expect("a process").status(Duration::ZERO);
             let current = status.rollouts.get(SERVICE).and_then(|rollouts| rollouts.current.clone());
             let found = current.as_ref().map(|one| one.phase);
--- a/crates/testing/cluster-simulation/tests/service_versions.rs
+++ b/crates/testing/cluster-simulation/tests/service_versions.rs
@@ -1,7 +1,7 @@
 //! The version in service through the losses of a cluster: endpoints of another one must not come in by a new primary, a lost disk or
 //! a start of all machines.
 
-use passrelay_cluster_simulation::cluster::{Cluster, ClusterSettings, HEARTBEAT};
+use passrelay_cluster_simulation::cluster::{Cluster, ClusterSettings, HEARTBEAT_INTERVAL};
 use passrelay_control_plane::configuration_change::{ChangeKind, ConfigurationChange};
 use passrelay_control_plane::OperatorRequest;
 use passrelay_dissemination::{EndpointRecord, EndpointState, Heartbeat};
@@ -49,14 +49,15 @@
         let until = self.cluster.now() + time;
         while self.cluster.now() < until {
             self.beat();
-            let next = self.cluster.now() + HEARTBEAT / 2;
+            let next = self.cluster.now() + HEARTBEAT_INTERVAL / 2;
             self.cluster.run_until(next.min(until));
         }
     }
 
     fn beat(&mut self) {
         self.beats += 1;
-        let running: Vec<usize> = (0..self.cluster.len()).filter(|m| self.cluster.responds(*m)).collect();
+        let running: Vec<usize> =
+            (0..self.cluster.len()).filter(|m| self.cluster.is_responsive(*m)).collect();
         for (group, endpoints) in self.endpoints.iter().enumerate() {
             for index in 0..endpoints.count {
                 let mut order = running.clone();
@@ -121,7 +122,7 @@
             self.cluster.crash(*machine);
         }
         for machine in wiped {
-            self.cluster.wipe(*machine);
+            self.cluster.wipe_disk(*machine);
         }
         for machine in machines {
             self.cluster.start_after(*machine, Duration::from_millis(600));
--- a/crates/testing/cluster-simulation/tests/traces.rs
+++ b/crates/testing/cluster-simulation/tests/traces.rs
@@ -4,7 +4,9 @@
 //! Into the digests go numbers and what stands on the wire, never a name out of the source. A table holds two digests a
 //! row, over the first 20 seeds and over 100; only the former are played unless `TRACE_SEEDS=100` is set.
 
-use passrelay_cluster_simulation::cluster::{Builds, Cluster, ClusterSettings, Observation, HEARTBEAT};
+use passrelay_cluster_simulation::cluster::{
+    Builds, Cluster, ClusterSettings, Observation, HEARTBEAT_INTERVAL,
+};
 use passrelay_cluster_simulation::disk::DiskMutation;
 use passrelay_cluster_simulation::failover::{time_to_acknowledge, PrimaryLoss};
 use passrelay_cluster_simulation::faults::FaultInjector;
@@ -123,8 +125,8 @@
         let settings = HistorySettings {
             cluster: ClusterSettings { disk_mutation, ..ClusterSettings::new(counted, machines, seed) },
             scenario,
-            catch_up: Duration::from_secs(4),
-            length: Duration::from_secs(20),
+            catch_up_time: Duration::from_secs(4),
+            duration: Duration::from_secs(20),
             padding: 0,
             items: 0,
         };
@@ -133,10 +135,10 @@
 }
 
 fn history_into(settings: &HistorySettings, digest: &mut Digest) {
-    let outcome = history::play(settings);
+    let outcome = history::simulate(settings);
     digest.number(outcome.violations.len() as u64);
     digest.number(outcome.acknowledged as u64);
-    digest.time(outcome.slowest);
+    digest.time(outcome.max_acknowledge_time);
 }
 
 /// Hundreds of changes over narrow links; these take long, so there are few.
@@ -153,8 +155,8 @@
         let mut settings = HistorySettings {
             cluster: ClusterSettings::new(counted, machines, seed),
             scenario: Scenario::ManyChanges,
-            catch_up: Duration::from_secs(4),
-            length: Duration::from_secs(5),
+            catch_up_time: Duration::from_secs(4),
+            duration: Duration::from_secs(5),
             padding: 20_000,
             items: 0,
         };
@@ -172,7 +174,7 @@
 fn limits_are_kept_as_before(#[case] counted: usize, #[case] machines: usize, #[case] expected: [u64; 2]) {
     same_as_before(expected, |seed, digest| {
         let cluster = ClusterSettings::new(counted, machines, seed);
-        let outcome = limits::play(&LimitSettings { cluster, fault_free: false, mutation: None });
+        let outcome = limits::simulate(&LimitSettings { cluster, fault_free: false, mutation: None });
         digest.number(outcome.violations.len() as u64);
         for by_tenant in [&outcome.sent, &outcome.rejected] {
             for (tenant, requests) in by_tenant {
@@ -261,14 +263,14 @@
             while let Some(seen) = self.cluster.step(at) {
                 self.take(seen);
             }
-            self.faults.heal(&mut self.cluster);
+            self.faults.apply_due(&mut self.cluster);
             if at > LENGTH / 5 {
                 self.act();
             }
         }
         for machine in 0..self.cluster.len() {
-            self.digest.number(self.cluster.messages[machine]);
-            self.digest.number(self.cluster.bytes[machine]);
+            self.digest.number(self.cluster.messages_sent[machine]);
+            self.digest.number(self.cluster.bytes_sent[machine]);
             self.digest.time(self.cluster.fresh_at(machine).unwrap_or_default());
             let now = self.cluster.local_now(machine);
             let Some(process) = self.cluster.process(machine) else { continue };
@@ -314,7 +316,7 @@
     fn beat(&mut self, machine: usize) -> Option<Vec<Observation>> {
         let number = self.cluster.rng.random_range(0..WATCHED_ENDPOINTS);
         let draining = self.cluster.rng.random_bool(0.1);
-        let sequence = (self.cluster.now().as_millis() / HEARTBEAT.as_millis()) as u64;
+        let sequence = (self.cluster.now().as_millis() / HEARTBEAT_INTERVAL.as_millis()) as u64;
         let id = format!("e{number}");
         let record = EndpointRecord {
             id: id.clone(),
@@ -369,19 +371,19 @@
                     self.digest.number(call.call.0);
                     self.digest.encoded(&answer);
                 }
-                Observation::Confirmed { machine, incarnation, announcement } => {
+                Observation::AnnouncementConfirmed { machine, incarnation, announcement } => {
                     self.saw(3);
                     self.digest.number(machine as u64);
                     self.digest.number(incarnation);
                     self.digest.number(announcement.0);
                 }
-                Observation::Granted { machine, incarnation, grant } => {
+                Observation::QuotaGranted { machine, incarnation, grant } => {
                     self.saw(4);
                     self.digest.number(machine as u64);
                     self.digest.number(incarnation);
                     self.digest.encoded(&grant);
                 }
-                Observation::SharesGranted { .. } => panic!("these clusters roll nothing out"),
+                Observation::RolloutSharesGranted { .. } => panic!("these clusters roll nothing out"),
             }
         }
     }
