--- a/crates/testing/cluster-simulation/src/checker.rs
+++ b/crates/testing/cluster-simulation/src/checker.rs
@@ -1,23 +1,23 @@
-//! Checks a history of configuration changes for consistency, from what operators and sidecars saw alone.
+//! Checks a history of configuration changes for consistency, solely from what operators and sidecars observed.
 //!
-//! Changes are compare-and-set operations: each names the generation that it is based on. The checker demands
-//! linearizability of acknowledged changes and reads, monotonic configurations at each process, and that a rejection has a
-//! cause. It knows nothing of the protocol, and nothing of which machines had faults.
+//! Changes are compare-and-set operations: each names the generation that it is based on. The checker requires
+//! linearizability of acknowledged changes and reads, monotonic configurations at each process, and a cause for each
+//! rejection. It knows neither the protocol nor which machines had faults.
 
 use passrelay_dissemination::CommittedConfiguration;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Identifies a change in a history, whatever generation it carries.
+/// Identifies a change in a history, independently of the generation it carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ChangeId(pub u64);
 
-/// A configuration as it was observed.
+/// The version of a configuration as it was observed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ObservedVersion {
-    /// The operators' version number; 0 before the first change.
+    /// The version number chosen by operators; 0 before the first change.
     pub generation: u64,
-    /// The change that wrote it; `None` before the first.
+    /// The change that wrote the configuration; `None` before the first change.
     pub change: Option<ChangeId>,
 }
 
@@ -30,9 +30,9 @@
     AcknowledgedThenRejected(ChangeId),
     /// Stale read: a read that began after a change was acknowledged returned an older generation.
     StaleRead {
-        /// The generation acknowledged before the read began.
+        /// The newest generation acknowledged before the read began.
         acknowledged: u64,
-        /// The generation read.
+        /// The generation that the read returned.
         read: u64,
     },
     /// A read returned an acknowledged generation with another change's content.
@@ -47,15 +47,15 @@
     SpuriousRejection(ChangeId),
     /// A process claimed that its configuration was current at a time when a newer one had been acknowledged.
     FalseFreshness(usize),
-    /// No read was answered after recovery.
+    /// No read was answered after the final fault.
     ReadUnavailable,
-    /// A change was not acknowledged in time although nothing was faulty.
+    /// A change was not acknowledged in time although no faults were active.
     WriteUnavailable(ChangeId),
     /// A voter that returned did not catch up with the newest state in time.
     CatchUpTimeout(usize),
 }
 
-/// What is known of one change.
+/// What operators observed of one change.
 #[derive(Clone, Debug, Default)]
 struct ChangeHistory {
     generation: u64,
@@ -76,7 +76,7 @@
 #[derive(Debug, Default)]
 pub struct Checker {
     changes: BTreeMap<ChangeId, ChangeHistory>,
-    /// By generation.
+    /// First acknowledgement of each generation.
     acknowledged: BTreeMap<u64, Acknowledgement>,
     /// The generation in force, by machine and incarnation.
     in_force: BTreeMap<(usize, u64), u64>,
@@ -87,22 +87,22 @@
 }
 
 impl Checker {
-    /// A change is sent for the first time.
+    /// Records that a change is sent for the first time.
     pub fn change_sent(&mut self, now: Duration, id: ChangeId, generation: u64, base: u64) {
         self.changes.insert(id, ChangeHistory { generation, base, sent_at: now, ..ChangeHistory::default() });
     }
 
-    /// The newest generation that was acknowledged; 0 for none.
+    /// Returns the newest acknowledged generation, or 0 if there is none.
     pub fn newest_acknowledged(&self) -> u64 {
         self.acknowledged.last_key_value().map_or(0, |(generation, _)| *generation)
     }
 
-    /// Whether a change was ever acknowledged.
+    /// Returns whether a change was ever acknowledged.
     pub fn is_acknowledged(&self, id: ChangeId) -> bool {
         self.changes.get(&id).is_some_and(|change| change.acknowledged_at.is_some())
     }
 
-    /// A change was acknowledged or rejected. Checks idempotence and lost updates.
+    /// Records that a change was acknowledged or rejected. Checks for idempotence, aborted reads and lost updates.
     pub fn change_answered(&mut self, now: Duration, id: ChangeId, acknowledged: bool) {
         let Some(change) = self.changes.get_mut(&id) else { return };
         if !acknowledged {
@@ -130,7 +130,7 @@
         self.acknowledged.entry(generation).or_insert(Acknowledgement { change: id, at: now });
     }
 
-    /// A read was answered that began when `acknowledged` was the newest acknowledged generation. Checks that it is neither
+    /// Checks the answer to a read that began when `acknowledged` was the newest acknowledged generation: it must be neither
     /// stale nor divergent.
     pub fn read_answered(&mut self, acknowledged: u64, read: ObservedVersion) {
         if read.generation < acknowledged {
@@ -142,7 +142,8 @@
         }
     }
 
-    /// A process has put the configuration of this change in force. Checks monotonicity, split brain and aborted reads.
+    /// Records that a process put a configuration in force, written by `change`. Checks for monotonicity, split brain and
+    /// aborted reads.
     pub fn configured(
         &mut self,
         machine: usize,
@@ -165,7 +166,7 @@
         }
     }
 
-    /// A process claims that its configuration was current at `fresh_at`. Checks it against the acknowledgements so far.
+    /// Checks a process's claim that its configuration was current at `fresh_at` against the acknowledgements so far.
     pub fn freshness_claimed(&mut self, machine: usize, generation: u64, fresh_at: Duration) {
         let mut newer = self.acknowledged.range(generation + 1..);
         if newer.any(|(_, acknowledgement)| acknowledgement.at < fresh_at) {
@@ -173,8 +174,8 @@
         }
     }
 
-    /// The history is over. Checks that each rejection had a cause: another change on the same base that was sent by then
-    /// and was not rejected itself. Only now is it known which changes were never rejected.
+    /// Checks at the end of the history that each rejection had a cause: another change on the same base that had been sent
+    /// by then and was never rejected itself, which is known only now.
     pub fn finish(&mut self) {
         let mut spurious = Vec::new();
         for (id, change) in &self.changes {
--- a/crates/testing/cluster-simulation/src/cluster.rs
+++ b/crates/testing/cluster-simulation/src/cluster.rs
@@ -4,7 +4,7 @@
 //! process that it concerns, applies the actions that the process returns (messages, writes) and returns what was visible
 //! outside. All random numbers come from one generator, so that the same settings give the same history.
 //!
-//! It injects no faults by itself (see `faults`) and judges nothing (see `checker` and `limit_checker`).
+//! A cluster neither injects faults (see `faults`) nor checks properties (see `checker` and `limit_checker`).
 
 mod event_queue;
 mod machine;
@@ -27,36 +27,36 @@
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
 
-/// Number of machines whose addresses all others get at their start.
+/// Number of seed machines, whose addresses every process receives when it starts.
 const SEED_MACHINES: usize = 3;
-/// The machines of a new cluster start within this time, in milliseconds.
+/// Upper bound of the random delay before a machine of a new cluster starts, in milliseconds.
 const MAX_START_DELAY_MS: u64 = 300;
-/// Lower bound of the time between two ticks of a process, so that a timer in the past doesn't stop simulated time.
+/// Minimum time between two ticks of a process, so that a timer in the past cannot stop simulated time.
 const MIN_TICK_INTERVAL: Duration = Duration::from_millis(5);
 /// Interval between heartbeats of an endpoint.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_200);
 
-/// A running cluster. Machines are numbered from 0 in the order in which they were added, and keep their numbers.
+/// A simulated cluster. Machines are numbered from 0 in the order in which they were added, and keep their numbers.
 pub struct Cluster {
     settings: ClusterSettings,
-    /// The only source of random numbers of a history: any further draw changes everything after it.
+    /// The only source of random numbers in a history: an additional draw changes everything after it.
     pub rng: ChaCha8Rng,
     now: Duration,
     events: EventQueue,
     machines: Vec<Machine>,
-    /// Machines whose addresses all others get.
+    /// Machines whose addresses every process receives when it starts.
     seed_machines: Vec<usize>,
     network: Network,
-    /// Messages sent, by machine.
+    /// Number of messages sent, indexed by machine.
     pub messages_sent: Vec<u64>,
-    /// Bytes sent, by machine; counted only while `counts_bytes` is set.
+    /// Number of bytes sent, indexed by machine; counted only while `counts_bytes` is set.
     pub bytes_sent: Vec<u64>,
-    /// Whether bytes are counted, which costs the time to encode each message.
+    /// Whether to count bytes, which requires encoding each message.
     pub counts_bytes: bool,
 }
 
 impl Cluster {
-    /// A cluster whose machines all start within `MAX_START_DELAY_MS`.
+    /// Creates a cluster whose machines all start within `MAX_START_DELAY_MS`.
     pub fn new(settings: ClusterSettings) -> Self {
         let mut cluster = Cluster {
             rng: ChaCha8Rng::seed_from_u64(settings.seed),
@@ -78,12 +78,12 @@
         cluster
     }
 
-    /// Simulated time since the beginning.
+    /// Returns the simulated time since the start of the simulation.
     pub fn now(&self) -> Duration {
         self.now
     }
 
-    /// Number of machines, replaced ones included.
+    /// Returns the number of machines, including replaced ones.
     pub fn len(&self) -> usize {
         self.machines.len()
     }
@@ -93,24 +93,26 @@
         self.machines.is_empty()
     }
 
-    /// All machines except these, replaced ones included.
+    /// Returns all machines except `excluded`, including replaced ones.
     pub fn all_except(&self, excluded: &[usize]) -> Vec<usize> {
         (0..self.len()).filter(|machine| !excluded.contains(machine)).collect()
     }
 
-    /// The first machine whose process is the established primary.
+    /// Returns the first machine whose process is the established primary.
     pub fn primary(&self) -> Option<usize> {
         let leads = |process: &Coordinator| process.status(Duration::ZERO).leads;
         (0..self.len()).find(|machine| self.process(*machine).is_some_and(leads))
     }
 
-    /// The time, on the cluster's clock, up to which a process has applied every acknowledged change; `None` if unknown.
+    /// Returns the time, on the cluster's clock, up to which a machine's process has applied every acknowledged change.
+    /// Returns `None` if that is unknown or no process runs.
     pub fn fresh_at(&self, machine: usize) -> Option<Duration> {
         let process = self.process(machine)?;
         Some(process.gossip().fresh_at()? + self.machines[machine].started_at)
     }
 
-    /// An operator calls a machine. Returns the call's key and what was visible at once; `None` if no process runs.
+    /// Sends an operator's request to a machine. Returns the call's key and the immediate observations, or `None` if no
+    /// process runs.
     pub fn call(&mut self, machine: usize, request: OperatorRequest) -> Option<(CallKey, Vec<Observation>)> {
         let called = &mut self.machines[machine];
         let call = CallId(called.next_call);
@@ -123,12 +125,13 @@
         Some((key, observations))
     }
 
-    /// An endpoint sends its heartbeat to a machine.
+    /// Delivers an endpoint's heartbeat to a machine. Returns the immediate observations, or `None` if no process runs.
     pub fn heartbeat(&mut self, machine: usize, heartbeat: &Heartbeat) -> Option<Vec<Observation>> {
         self.with_process(machine, |process, now, actions| process.heartbeat(now, heartbeat, actions))
     }
 
-    /// Makes a machine announce what it knows of an endpoint; `Observation::AnnouncementConfirmed` follows when a quorum knows it too.
+    /// Makes a machine announce its record of an endpoint. `Observation::AnnouncementConfirmed` follows when a quorum has
+    /// acknowledged it. Returns `None` if no process runs.
     pub fn announce(&mut self, machine: usize, endpoint: &str) -> Option<(AnnouncementId, Vec<Observation>)> {
         let mut announcement = None;
         let observations = self.with_process(machine, |process, now, _| {
@@ -137,12 +140,13 @@
         Some((announcement?, observations))
     }
 
-    /// A sidecar requests quota tokens.
+    /// Passes a sidecar's request for quota tokens to the process on its machine. Returns `None` if no process runs.
     pub fn request_tokens(&mut self, machine: usize, request: QuotaMessage) -> Option<Vec<Observation>> {
         self.with_process(machine, |process, now, actions| process.request_tokens(now, request, actions))
     }
 
-    /// A sidecar reports to the controller of roll-outs.
+    /// Passes a sidecar's reports for the roll-out controller to the process on its machine. Returns `None` if no process
+    /// runs.
     pub fn report_rollouts(
         &mut self,
         machine: usize,
@@ -154,8 +158,8 @@
         })
     }
 
-    /// Processes the earliest event. Returns what was visible outside; `None` if no event is due by `until`, which is then
-    /// the time.
+    /// Processes the earliest event due by `until` and returns its observations. If there is none, advances the clock to
+    /// `until` and returns `None`.
     pub fn step(&mut self, until: Duration) -> Option<Vec<Observation>> {
         let Some((at, event)) = self.events.pop_due(until) else {
             self.now = self.now.max(until);
@@ -165,7 +169,7 @@
         Some(self.handle_event(event))
     }
 
-    /// Processes all events up to a time; returns what was visible outside.
+    /// Processes all events due by `until` and returns their observations.
     pub fn run_until(&mut self, until: Duration) -> Vec<Observation> {
         let mut all = Vec::new();
         while let Some(observations) = self.step(until) {
@@ -174,7 +178,7 @@
         all
     }
 
-    /// Events of an earlier incarnation are dropped, those of a paused machine wait until the pause ends.
+    /// Drops events of an earlier incarnation and defers those of a paused machine until the pause ends.
     fn handle_event(&mut self, event: Event) -> Vec<Observation> {
         let machine = event.machine();
         if event.incarnation().is_some_and(|incarnation| incarnation != self.incarnation(machine)) {
@@ -199,7 +203,7 @@
         observations.unwrap_or_default()
     }
 
-    /// Advances a process' timers and schedules the next tick.
+    /// Advances a process's timers and schedules its next tick.
     fn tick(&mut self, machine: usize) -> Option<Vec<Observation>> {
         let mut due = Duration::ZERO;
         let observations =
@@ -218,8 +222,8 @@
         })
     }
 
-    /// Passes an input to a machine's process, ticks it, and applies the actions that result, in their order. Returns what
-    /// was visible outside; `None` if no process runs.
+    /// Passes an input to a machine's process, ticks it, and applies the resulting actions in order. Returns the
+    /// observations, or `None` if no process runs.
     fn with_process(
         &mut self,
         machine: usize,
--- a/crates/testing/cluster-simulation/src/cluster/event_queue.rs
+++ b/crates/testing/cluster-simulation/src/cluster/event_queue.rs
@@ -1,7 +1,7 @@
-//! The scheduler: future events in the order of simulated time.
+//! The event queue: future events ordered by simulated time.
 //!
-//! Events of the same instant come out in the order in which they were scheduled, so that a history depends on nothing
-//! but its seed.
+//! Events due at the same instant are processed in the order in which they were scheduled, so that a history depends on
+//! nothing but its settings and its seed.
 
 use passrelay_control_plane::replication::WriteId;
 use passrelay_control_plane::Envelope;
@@ -10,20 +10,20 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// Something that will happen on a machine.
+/// An event scheduled on a machine.
 pub(super) enum Event {
-    /// A message arrives, for whichever process listens at the machine's address then.
+    /// A message arrives at the process that runs on the machine at that time, whatever its incarnation.
     Deliver { to: usize, from: SocketAddrV4, envelope: Box<Envelope> },
-    /// A disk write ends.
+    /// A disk write completes, successfully or not.
     Written { machine: usize, incarnation: u64, write_id: WriteId },
-    /// A process' timers are due.
+    /// A process's timers are due.
     Tick { machine: usize, incarnation: u64 },
     /// A machine's process starts.
     Start { machine: usize },
 }
 
 impl Event {
-    /// The machine on which it happens.
+    /// Returns the machine on which the event occurs.
     pub(super) fn machine(&self) -> usize {
         match self {
             Event::Deliver { to, .. } => *to,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The only incarnation that it concerns; `None` if it concerns whichever process runs then.
+    /// Returns the incarnation to which the event is addressed; `None` if any incarnation may handle it.
     pub(super) fn incarnation(&self) -> Option<u64> {
         match self {
             Event::Written { incarnation, .. } | Event::Tick { incarnation, .. } => Some(*incarnation),
@@ -44,7 +44,7 @@
 
 struct Scheduled {
     at: Duration,
-    /// Position in the order of scheduling; breaks ties.
+    /// Position in the order of scheduling, which breaks ties between events of the same instant.
     sequence: u64,
     event: Event,
 }
@@ -69,7 +69,7 @@
     }
 }
 
-/// All scheduled events.
+/// A priority queue of scheduled events, earliest first.
 #[derive(Default)]
 pub(super) struct EventQueue {
     events: BinaryHeap<Reverse<Scheduled>>,
@@ -77,13 +77,13 @@
 }
 
 impl EventQueue {
-    /// Schedules an event at a time since the beginning of the simulation.
+    /// Schedules an event at a time since the start of the simulation.
     pub(super) fn schedule(&mut self, at: Duration, event: Event) {
         self.last_sequence += 1;
         self.events.push(Reverse(Scheduled { at, sequence: self.last_sequence, event }));
     }
 
-    /// Takes out the earliest event and its time; `None` if none is due at or before `until`.
+    /// Removes and returns the earliest event and its time. Returns `None` if none is due at or before `until`.
     pub(super) fn pop_due(&mut self, until: Duration) -> Option<(Duration, Event)> {
         if self.events.peek()?.0.at > until {
             return None;
--- a/crates/testing/cluster-simulation/src/cluster/machine.rs
+++ b/crates/testing/cluster-simulation/src/cluster/machine.rs
@@ -15,78 +15,78 @@
 
 /// Port for messages between processes.
 const INTERNAL_PORT: u16 = 7_680;
-/// Machines with addresses that differ in the last octet only; the octet before it counts such groups.
+/// Number of machines that share the first three octets of their address; the third octet is the group's index.
 const MACHINES_PER_SUBNET: usize = 200;
 /// Time that a disk takes to sync a write.
 const SYNC_LATENCY: Duration = Duration::from_millis(1);
-/// Timeout after which a follower that lacks a primary starts an election.
+/// Time without a primary after which a follower starts an election.
 const ELECTION_TIMEOUT: Duration = Duration::from_millis(320);
-/// Probability that a crash is a loss of power, which also loses what the machine's network still delays.
+/// Probability that a crash is a power loss, which also loses the machine's messages that a partition still delays.
 const POWER_LOSS_PROBABILITY: f64 = 0.5;
-/// Bounds of quota grants, as in the small deployments.
-/// The largest share of a version that is not judged yet, as in the deployments.
+/// Largest share of requests for a version that has not been judged yet, as in the deployments.
 const EXPOSURE_BOUND: ExposureBound = ExposureBound { ratio: 0.1, slack: 50.0 };
+/// Bounds of quota grants, as in the small deployments.
 const QUOTA_BOUNDS: QuotaBounds = QuotaBounds { window_s: 8.0, overshoot: 0.1, slack: 140_000.0 };
 
 /// A machine and its process.
 pub(super) struct Machine {
     pub(super) address: SocketAddrV4,
-    /// Only voters have one.
+    /// `None` for machines that are not voters.
     pub(super) disk: Option<Disk>,
     /// The running process; `None` between a crash and the next start.
     pub(super) process: Option<Coordinator>,
-    /// Grows with each start and each crash, so that no event of an earlier process reaches a later one.
+    /// Incremented at each start and each crash, so that no event of an earlier process reaches a later one.
     pub(super) incarnation: u64,
     pub(super) started_at: Duration,
-    /// Whether a process ever ran here, or the machine joined a cluster that already ran: it never bootstraps then.
+    /// Whether a process has run here before, or the machine joined a running cluster: in both cases it must not bootstrap.
     started_before: bool,
-    /// Events wait until this time.
+    /// Events are deferred until this time.
     pub(super) paused_until: Duration,
-    /// Whether it was replaced and is gone.
+    /// Whether the machine was replaced by another one.
     removed: bool,
-    /// Id of the next operator's call, as the program assigns it: from 1 up in each incarnation.
+    /// Id of the next operator's call; as in the program, ids start at 1 in each incarnation.
     pub(super) next_call: u64,
-    /// When all documents that wait for the uplink will have been sent.
+    /// When the uplink will have sent all queued documents.
     pub(super) uplink_busy_until: Duration,
 }
 
 impl Cluster {
-    /// Whether a process runs on a machine.
+    /// Returns whether a process runs on a machine, paused or not.
     pub fn is_running(&self, machine: usize) -> bool {
         self.machines[machine].process.is_some()
     }
 
-    /// Whether a machine is a voter and has not been replaced.
+    /// Returns whether a machine is a voter and has not been replaced.
     pub fn is_voter(&self, machine: usize) -> bool {
         self.machines[machine].disk.is_some() && !self.machines[machine].removed
     }
 
-    /// Whether a machine's process runs and is not paused.
+    /// Returns whether a machine's process runs and is not paused.
     pub fn is_responsive(&self, machine: usize) -> bool {
         self.is_running(machine) && self.machines[machine].paused_until <= self.now
     }
 
-    /// The incarnation of a machine's process.
+    /// Returns the incarnation of a machine's process; 0 before its first start.
     pub fn incarnation(&self, machine: usize) -> u64 {
         self.machines[machine].incarnation
     }
 
-    /// When a machine's process was last started.
+    /// Returns when a machine's process was last started; zero if it never was.
     pub fn started_at(&self, machine: usize) -> Duration {
         self.machines[machine].started_at
     }
 
-    /// The time on the clock of a machine's process, which begins with its start.
+    /// Returns the time on the local clock of a machine's process, which starts at zero with the process.
     pub fn local_now(&self, machine: usize) -> Duration {
         self.now.saturating_sub(self.machines[machine].started_at)
     }
 
-    /// The coordinator of a machine's process.
+    /// Returns the coordinator of a machine's process; `None` if no process runs.
     pub fn process(&self, machine: usize) -> Option<&Coordinator> {
         self.machines[machine].process.as_ref()
     }
 
-    /// A machine's state in one line, for the report of a violation.
+    /// Describes a machine's state in one line, for the report of a violation.
     pub fn describe(&self, machine: usize) -> String {
         let Machine { address, process, removed, .. } = &self.machines[machine];
         match process {
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Adds a machine that isn't started yet; returns its number.
+    /// Adds a machine without starting it and returns its number.
     pub fn add_machine(&mut self, is_voter: bool) -> usize {
         let machine = self.machines.len();
         let subnet = (machine / MACHINES_PER_SUBNET) as u8;
@@ -124,12 +124,12 @@
         machine
     }
 
-    /// Starts a machine's process after a delay; does nothing if one runs by then or the machine was replaced.
+    /// Starts a machine's process after a delay, unless one runs by then or the machine was replaced.
     pub fn start_after(&mut self, machine: usize, delay: Duration) {
         self.events.schedule(self.now + delay, Event::Start { machine });
     }
 
-    /// Ends a machine's process without warning; as often as not the machine loses power with it.
+    /// Ends a machine's process abruptly; with `POWER_LOSS_PROBABILITY`, the machine also loses power.
     pub fn crash(&mut self, machine: usize) {
         let now = self.now;
         let crashed = &mut self.machines[machine];
@@ -143,14 +143,14 @@
         }
     }
 
-    /// Replaces a machine's disk by an empty one.
+    /// Replaces a machine's disk with an empty one.
     pub fn wipe_disk(&mut self, machine: usize) {
         if let Some(disk) = &mut self.machines[machine].disk {
             disk.wipe(&mut self.rng);
         }
     }
 
-    /// Removes a machine for good. Returns its successor, an empty machine at another address that isn't started yet. A
+    /// Removes a machine and returns its successor, an empty machine at another address that has not been started. The
     /// successor of a seed is a seed, and all running processes are notified of the new seeds.
     pub fn replace(&mut self, machine: usize) -> usize {
         self.crash(machine);
@@ -166,7 +166,7 @@
         successor
     }
 
-    /// Draws other seeds from the machines that are there. Only processes that start from now on are told of them.
+    /// Draws other seeds from the machines that have not been removed. Only processes started from now on receive them.
     pub fn change_seeds(&mut self) {
         let mut candidates: Vec<usize> =
             (0..self.machines.len()).filter(|machine| !self.machines[*machine].removed).collect();
@@ -175,17 +175,17 @@
         self.seed_machines = candidates;
     }
 
-    /// Brings a machine that was replaced back with its old disk; it isn't started yet.
+    /// Restores a replaced machine with its old disk, without starting it.
     pub fn restore(&mut self, machine: usize) {
         self.machines[machine].removed = false;
     }
 
-    /// Pauses a machine: messages, timers and ends of writes wait until the time is over.
+    /// Pauses a machine for `duration`: messages, timers and write completions are deferred.
     pub fn pause(&mut self, machine: usize, duration: Duration) {
         self.machines[machine].paused_until = self.now + duration;
     }
 
-    /// Stalls a disk: no write ends before the time is over.
+    /// Stalls a machine's disk for `duration`: no write submitted meanwhile completes before it is over.
     pub fn stall_disk(&mut self, machine: usize, duration: Duration) {
         let until = self.now + duration;
         if let Some(disk) = &mut self.machines[machine].disk {
@@ -193,14 +193,14 @@
         }
     }
 
-    /// Slows a disk down for good: each sync takes this long.
+    /// Sets the sync latency of a machine's disk for the rest of the simulation.
     pub fn slow_disk(&mut self, machine: usize, latency: Duration) {
         if let Some(disk) = &mut self.machines[machine].disk {
             disk.latency = latency;
         }
     }
 
-    /// Fills a disk: writes fail until the time is over.
+    /// Fills a machine's disk for `duration`: writes that end meanwhile fail.
     pub fn fill_disk(&mut self, machine: usize, duration: Duration) {
         let until = self.now + duration;
         if let Some(disk) = &mut self.machines[machine].disk {
@@ -212,7 +212,7 @@
         self.seed_machines.iter().map(|seed| self.machines[*seed].address).collect()
     }
 
-    /// Starts a machine's process now, with what its disk holds.
+    /// Starts a machine's process now from the state on its disk. Does nothing if one runs or the machine was replaced.
     pub(super) fn start(&mut self, machine: usize) {
         if self.is_running(machine) || self.machines[machine].removed {
             return;
@@ -220,7 +220,7 @@
         let seeds = self.seed_addresses();
         let tolerated_losses = self.settings.tolerated_losses;
         let protocol_mutation = self.settings.protocol_mutation;
-        // Drawn at each start, also where the mutation below doesn't use the second number.
+        // Both are drawn at each start, even if `ReusesRequestIds` discards the second, so that mutations keep the sequence.
         let random_seed = self.rng.random();
         let drawn = Incarnation(self.rng.random());
         let reuses_request_ids = protocol_mutation == Some(ProtocolMutation::ReusesRequestIds);
--- a/crates/testing/cluster-simulation/src/cluster/network.rs
+++ b/crates/testing/cluster-simulation/src/cluster/network.rs
@@ -1,4 +1,4 @@
-//! The network between the machines: delay with jitter, loss, bandwidth, and partitions of single directions.
+//! The network between the machines: delay with jitter, loss, bandwidth, and partitions, also in a single direction.
 
 use super::event_queue::Event;
 use super::Cluster;
@@ -13,30 +13,30 @@
 /// Probability that a message sent into a partition is delayed and delivered when the partition heals; the others are
 /// lost.
 const DELAYED_PROBABILITY: f64 = 0.4;
-/// Bound on the messages delayed at a time, so that a long partition doesn't exhaust memory; further ones are lost.
+/// Maximum number of messages delayed at a time, so that a long partition does not exhaust memory; further ones are lost.
 const MAX_DELAYED_MESSAGES: usize = 2_000;
-/// Factor by which documents are compressed on the wire, roughly that of the program.
+/// Factor by which documents are compressed on the wire; approximates the program's compression.
 const COMPRESSION_RATIO: usize = 4;
 /// Bytes that an applied change adds to a message that carries a replicated state.
 const BYTES_PER_APPLIED_CHANGE: usize = 40;
-/// Factors of the one-way delay between which each message's delay is drawn.
+/// Range of the factor by which the one-way delay is multiplied for each message.
 const JITTER: std::ops::Range<f64> = 0.8..2.0;
 
-/// The way of messages from one machine to another; the way back is another link.
+/// A unidirectional connection between two machines; the opposite direction is another link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Link {
     from: usize,
     to: usize,
 }
 
-/// Which messages between two groups of machines a partition stops.
+/// The direction in which a partition blocks messages between two groups of machines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PartitionDirection {
-    /// Those in both directions.
+    /// Messages in both directions are blocked.
     Both,
-    /// Those from the first group to the second.
+    /// Messages from the first group to the second are blocked.
     Outbound,
-    /// Those from the second group to the first.
+    /// Messages from the second group to the first are blocked.
     Inbound,
 }
 
@@ -46,30 +46,30 @@
     envelope: Envelope,
 }
 
-/// Addresses, partitions and what they delay.
+/// Addresses, partitions, and the messages that partitions delay.
 #[derive(Default)]
 pub(super) struct Network {
     machines_by_address: BTreeMap<SocketAddrV4, usize>,
-    /// Links on which nothing passes.
+    /// Links that currently deliver no messages.
     partitioned: BTreeSet<Link>,
-    /// At most `MAX_DELAYED_MESSAGES`, in the order of sending.
+    /// At most `MAX_DELAYED_MESSAGES` messages, in the order in which they were sent.
     delayed: Vec<DelayedMessage>,
 }
 
 impl Network {
-    /// Routes messages for this address to a machine.
+    /// Routes messages to `address` to a machine.
     pub(super) fn register(&mut self, address: SocketAddrV4, machine: usize) {
         self.machines_by_address.insert(address, machine);
     }
 
-    /// Loses the delayed messages that a machine sent.
+    /// Drops the delayed messages sent by a machine.
     pub(super) fn drop_delayed_from(&mut self, machine: usize) {
         self.delayed.retain(|message| message.link.from != machine);
     }
 }
 
 impl Cluster {
-    /// Partitions each machine of the first group from each of the second, in one or both directions.
+    /// Partitions each machine in `inside` from each in `outside`, in one or both directions.
     pub fn partition(&mut self, inside: &[usize], outside: &[usize], direction: PartitionDirection) {
         for (inner, outer) in
             inside.iter().flat_map(|inner| outside.iter().map(move |outer| (*inner, *outer)))
@@ -89,7 +89,7 @@
         self.partition(&[machine], &others, PartitionDirection::Both);
     }
 
-    /// Ends all partitions of a machine; delayed messages whose link is open again are delivered.
+    /// Ends all partitions of a machine and delivers the delayed messages whose link is open again.
     pub fn heal(&mut self, machine: usize) {
         self.network.partitioned.retain(|link| link.from != machine && link.to != machine);
         let (passing, delayed): (Vec<DelayedMessage>, Vec<DelayedMessage>) =
@@ -102,8 +102,8 @@
         }
     }
 
-    /// Sends a message: it is counted, then lost, delayed by a partition or delivered. The random draws are made in this
-    /// order.
+    /// Sends a message: counts it, then loses, delivers or delays it. The draw for loss comes first, then the one for jitter
+    /// on an open link or for a delay on a partitioned one.
     pub(super) fn send(&mut self, from: usize, to: SocketAddrV4, envelope: Envelope) {
         self.messages_sent[from] += 1;
         if self.counts_bytes {
@@ -134,8 +134,8 @@
         self.events.schedule(at, Event::Deliver { to: link.to, from, envelope: Box::new(envelope) });
     }
 
-    /// When a message has left its machine: messages that carry documents share the uplink's bandwidth and leave one after
-    /// the other, all others leave at once.
+    /// Returns when a message leaves its machine. Messages that carry documents share the uplink's bandwidth and are sent
+    /// one after the other; all others leave immediately.
     fn departure_time(&mut self, from: usize, message: &Message) -> Duration {
         let bytes = document_bytes(message);
         if bytes == 0 || self.settings.link_bytes_per_s == 0 {
@@ -148,7 +148,7 @@
     }
 }
 
-/// Approximate size of a message's payload on the wire, in bytes: its document and its applied changes. 0 without either.
+/// Returns the approximate size on the wire of a message's document and applied changes, in bytes; 0 if it carries neither.
 fn document_bytes(message: &Message) -> usize {
     match message {
         Message::Replication(envelope) => match &envelope.message {
--- a/crates/testing/cluster-simulation/src/cluster/observation.rs
+++ b/crates/testing/cluster-simulation/src/cluster/observation.rs
@@ -1,18 +1,18 @@
-//! What clients, operators and sidecars see of a cluster: the only input of the checkers.
+//! Events of a cluster that clients, operators and sidecars observe: the only input of the checkers.
 
 use passrelay_control_plane::quota::QuotaMessage;
 use passrelay_control_plane::rollout::RolloutMessage;
 use passrelay_control_plane::{CallId, OperatorAnswer};
 use passrelay_dissemination::{AnnouncementId, CommittedConfiguration};
 
-/// Identifies an operator's call in a history: call ids are unique only within one incarnation of a process.
+/// Uniquely identifies an operator's call in a history; call ids alone are unique only within one incarnation of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CallKey {
     /// The machine that received the call.
     pub machine: usize,
-    /// The incarnation of its process.
+    /// The incarnation of that machine's process.
     pub incarnation: u64,
-    /// The id that the process gave the call.
+    /// The id that the process assigned to the call.
     pub call: CallId,
 }
 
@@ -25,41 +25,41 @@
         machine: usize,
         /// The incarnation of its process.
         incarnation: u64,
-        /// The configuration in force.
+        /// The configuration now in force.
         configuration: CommittedConfiguration,
     },
     /// An operator's call was answered.
     Answered {
-        /// The call.
+        /// The call that was answered.
         call: CallKey,
-        /// The answer.
+        /// Status and body of the answer.
         answer: OperatorAnswer,
     },
-    /// A quorum has acknowledged what a machine announced of an endpoint.
+    /// A quorum has acknowledged a machine's announcement of an endpoint.
     AnnouncementConfirmed {
         /// The machine.
         machine: usize,
         /// The incarnation of its process.
         incarnation: u64,
-        /// The announcement.
+        /// Id that the process assigned to the announcement.
         announcement: AnnouncementId,
     },
-    /// A sidecar's quota request was answered.
+    /// The grantor answered a sidecar's quota request.
     QuotaGranted {
         /// The machine.
         machine: usize,
         /// The incarnation of its process.
         incarnation: u64,
-        /// The grant.
+        /// The grantor's message, with the tokens of each tenant.
         grant: QuotaMessage,
     },
-    /// A sidecar's reports of roll-outs were answered.
+    /// The roll-out controller answered a sidecar's reports.
     RolloutSharesGranted {
         /// The machine.
         machine: usize,
         /// The incarnation of its process.
         incarnation: u64,
-        /// The shares.
+        /// The controller's message, with the share of each roll-out.
         grant: RolloutMessage,
     },
 }
--- a/crates/testing/cluster-simulation/src/cluster/settings.rs
+++ b/crates/testing/cluster-simulation/src/cluster/settings.rs
@@ -1,40 +1,40 @@
-//! What a simulated cluster consists of.
+//! Settings of a simulated cluster.
 
 use crate::disk::DiskMutation;
 use passrelay_control_plane::replication::ProtocolMutation;
 use passrelay_dissemination::GossipMutation;
 use std::time::Duration;
 
-/// Voters from which on a cluster tolerates two failures at a time.
+/// Minimum number of voters for a cluster to tolerate two failures at a time.
 const VOTERS_FOR_TWO_LOSSES: usize = 5;
 
-/// Which builds of the program the machines of a cluster run.
+/// Builds of the program that the machines of a cluster run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Builds {
-    /// All the current one.
+    /// All machines run the current build.
     Current,
-    /// Every second machine one that knows no deltas, as in the middle of an upgrade.
+    /// Every second machine runs a build without support for deltas, as in the middle of an upgrade.
     Mixed,
-    /// All one that knows no deltas.
+    /// All machines run a build without support for deltas.
     Earlier,
 }
 
-/// What a cluster consists of, and which of its parts are broken on purpose.
+/// Size, network and software of a cluster, and mutations that break it on purpose.
 #[derive(Clone, Debug)]
 pub struct ClusterSettings {
-    /// Number of voters; these are the first machines, and only they have disks.
+    /// Number of voters. They are the first machines, and the only ones with disks.
     pub voters: usize,
-    /// Number of all machines, voters included.
+    /// Number of all machines, including voters.
     pub machines: usize,
-    /// Voters that may fail at the same time.
+    /// Number of voters that may fail at the same time.
     pub tolerated_losses: usize,
     /// One-way network delay between two machines, before jitter.
     pub delay: Duration,
     /// Probability that a message is lost, from 0 to 1.
     pub loss: f64,
-    /// Bandwidth of each machine's uplink for documents, in bytes per second; 0 for unlimited. Other messages take none.
+    /// Bandwidth of each machine's uplink for documents, in bytes per second; 0 for unlimited. Other messages use none.
     pub link_bytes_per_s: u64,
-    /// Which builds of the program the machines run.
+    /// Builds of the program that the machines run.
     pub builds: Builds,
     /// Whether the primary records the version of each service.
     pub records_versions: bool,
@@ -49,7 +49,7 @@
 }
 
 impl ClusterSettings {
-    /// Whether a machine runs a build that knows no deltas.
+    /// Returns whether a machine runs a build without support for deltas.
     pub(crate) fn runs_earlier_build(&self, machine: usize) -> bool {
         match self.builds {
             Builds::Current => false,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// A cluster of this size without mutations, on a network that loses messages for every third seed.
+    /// Returns settings without mutations; for every third seed, the network loses 5% of the messages.
     pub fn new(voters: usize, machines: usize, seed: u64) -> Self {
         ClusterSettings {
             voters,
--- a/crates/testing/cluster-simulation/src/disk.rs
+++ b/crates/testing/cluster-simulation/src/disk.rs
@@ -1,7 +1,7 @@
-//! A voter's disk: a write takes time, and what was not synced may be lost with power.
+//! A voter's disk: writes take time, and data that was not synced may be lost in a crash.
 //!
-//! A disk knows nothing of the protocol beyond the two records that it stores. Its mutations break the contract that the
-//! protocol relies on, each in one way, so that the checker can be tested.
+//! A disk knows nothing of the protocol beyond the two records that it stores. Each mutation breaks the contract that the
+//! protocol relies on in one way, to test the checker.
 
 use passrelay_control_plane::replication::{DurableState, DurableWrite, MemberId, WriteId};
 use rand::Rng;
@@ -9,7 +9,7 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// How much later than acknowledged a write is synced under `DiskMutation::AcknowledgesBeforeSync`.
+/// Time from the regular completion of a write to its sync under `DiskMutation::AcknowledgesBeforeSync`.
 const SYNC_DELAY_AFTER_ACK: Duration = Duration::from_millis(400);
 
 /// A write in flight.
@@ -20,33 +20,33 @@
     done_at: Duration,
 }
 
-/// How a disk breaks its contract; the checker has to detect each of these.
+/// A way in which a disk breaks its contract; the checker has to detect each of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiskMutation {
     /// A write is acknowledged before it is synced.
     AcknowledgesBeforeSync,
     /// A wiped machine keeps its member id.
     KeepsIdentityWhenWiped,
-    /// The witness' promise is lost at each restart.
+    /// The witness's promise is lost at each restart.
     ForgetsWitness,
     /// The log of applied changes is lost at each restart.
     DropsAppliedChanges,
-    /// That the disk took part in the cluster's bootstrap is lost at each restart.
+    /// The flag that the disk took part in the cluster's bootstrap is lost at each restart.
     ForgetsBootstrap,
-    /// The seeds of the first start are replaced by those of the last one.
+    /// The seeds stored at the first start are overwritten at each start.
     ForgetsSeeds,
 }
 
-/// What a process finds on its disk when it starts.
+/// The contents of a disk that a process reads when it starts.
 #[derive(Debug)]
 pub struct OpenedDisk {
-    /// The member id.
+    /// The member id, which stays with the disk until it is wiped.
     pub identity: MemberId,
-    /// Whether the disk was first used in the cluster's bootstrap.
+    /// Whether the disk was first used during the cluster's bootstrap.
     pub bootstrap: bool,
-    /// The seeds of the disk's first use.
+    /// The seeds that were configured at the disk's first use.
     pub bootstrap_seeds: Vec<SocketAddrV4>,
-    /// The synced records.
+    /// The records that were synced before the start.
     pub state: DurableState,
 }
 
@@ -54,24 +54,24 @@
 #[derive(Debug)]
 pub struct Disk {
     identity: MemberId,
-    /// Whether this disk was first used in the cluster's bootstrap; `None` before its first use.
+    /// Whether this disk was first used during the cluster's bootstrap; `None` before its first use.
     bootstrap: Option<bool>,
-    /// The seeds at its first use; empty before.
+    /// The seeds that were configured at its first use; empty before.
     bootstrap_seeds: Vec<SocketAddrV4>,
     synced: DurableState,
-    /// Writes in flight, in the order in which they end.
+    /// Writes in flight, in the order in which they complete.
     pending: VecDeque<PendingWrite>,
     mutation: Option<DiskMutation>,
     /// Time that a sync takes.
     pub latency: Duration,
-    /// No write that is submitted ends before this time.
+    /// Writes submitted before this time complete after it.
     pub stalled_until: Duration,
-    /// Writes that end before this time fail.
+    /// Writes that complete before this time fail.
     pub full_until: Duration,
 }
 
 impl Disk {
-    /// An empty disk with a random member id.
+    /// Creates an empty disk with a random member id.
     pub fn new(rng: &mut impl Rng, latency: Duration, mutation: Option<DiskMutation>) -> Self {
         Disk {
             identity: MemberId(rng.random_range(1..u64::MAX)),
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Submits a write; returns when its end is reported.
+    /// Submits a write and returns the time at which its completion is reported.
     pub fn write(&mut self, now: Duration, write_id: WriteId, write: DurableWrite) -> Duration {
         let after = self.pending.back().map_or(now, |pending| pending.done_at.max(now));
         let reported_at = after.max(self.stalled_until) + self.latency;
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Ends a write. Returns whether it has succeeded; `None` if it was lost with the process that submitted it.
+    /// Completes a write. Returns whether it succeeded, or `None` if it was lost with the process that submitted it.
     pub fn finish(&mut self, now: Duration, write_id: WriteId) -> Option<bool> {
         let has_space = now >= self.full_until;
         if self.mutation == Some(DiskMutation::AcknowledgesBeforeSync) {
@@ -115,7 +115,8 @@
         Some(has_space)
     }
 
-    /// The process ends or power is lost: of the writes in flight, a random number is synced, the oldest first.
+    /// Handles a crash of the process or a power loss: syncs a random number of the writes in flight, oldest first, and
+    /// drops the others.
     pub fn crash(&mut self, now: Duration, rng: &mut impl Rng) {
         self.apply_until(now);
         let early = self.mutation == Some(DiskMutation::AcknowledgesBeforeSync);
@@ -125,7 +126,7 @@
         }
     }
 
-    /// The disk is lost; an empty one takes its place.
+    /// Replaces the disk with an empty one.
     pub fn wipe(&mut self, rng: &mut impl Rng) {
         self.pending.clear();
         self.synced = DurableState::default();
@@ -135,8 +136,8 @@
         }
     }
 
-    /// What a process that starts finds; `bootstrap` says whether its machine takes part in the cluster's bootstrap now,
-    /// and is stored with the seeds if the disk was never used.
+    /// Returns the contents for a process that starts. `bootstrap` says whether its machine takes part in the cluster's
+    /// bootstrap now; it is stored together with the seeds if the disk was never used.
     pub fn open(&mut self, bootstrap: bool, seeds: &[SocketAddrV4]) -> OpenedDisk {
         if self.bootstrap.is_none() || self.mutation == Some(DiskMutation::ForgetsSeeds) {
             self.bootstrap_seeds = seeds.to_vec();
@@ -146,7 +147,7 @@
         match self.mutation {
             Some(DiskMutation::ForgetsWitness) => {
                 if let Some(record) = &self.synced.witness.record {
-                    // The record stays, so that the member takes part; the promise is gone.
+                    // Keeps the record, so that the member still takes part, and drops the promise.
                     self.synced.witness.promised = record.term;
                     self.synced.witness.promised_to = None;
                 }
--- a/crates/testing/cluster-simulation/src/failover.rs
+++ b/crates/testing/cluster-simulation/src/failover.rs
@@ -1,6 +1,6 @@
-//! Measures how long operators wait for an acknowledgement after the primary is lost.
+//! Measures how long operators wait for an acknowledgement after the loss of the primary.
 //!
-//! One loss in a cluster without other faults; it checks nothing else.
+//! Each measurement injects a single loss into a cluster without other faults and checks no other property.
 
 use crate::cluster::{CallKey, Cluster, ClusterSettings, Observation};
 use passrelay_control_plane::configuration_change::{ChangeKind, ConfigurationChange};
@@ -9,32 +9,32 @@
 use serde_json::json;
 use std::time::Duration;
 
-/// Time in which a new cluster becomes ready for the first change.
+/// Time within which a new cluster becomes ready for the first change.
 const BOOTSTRAP_TIMEOUT: Duration = Duration::from_secs(4);
-/// An operator without an answer calls another machine after this.
+/// Time without an answer after which an operator calls another machine.
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
-/// Time after which a change counts as never acknowledged.
+/// Time after which an unacknowledged change is given up.
 const ACKNOWLEDGE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How a primary is lost.
+/// The way in which a primary is lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PrimaryLoss {
-    /// Its process ends without warning.
+    /// Its process crashes.
     Crash,
-    /// Its process ends and its disk is lost.
+    /// Its process crashes and restarts with an empty disk.
     Wipe,
-    /// It is partitioned from all other machines in both directions.
+    /// The primary is partitioned from all other machines in both directions.
     Partition,
-    /// It is paused.
+    /// The machine is paused.
     Pause,
-    /// No write to its disk ends.
+    /// No write to its disk completes.
     DiskStall,
-    /// All processes end without warning, and start again within half a second.
+    /// All processes crash, and restart within half a second.
     CrashOfAll,
 }
 
-/// Time from the loss of the primary to the acknowledgement of a change that is first sent at that moment; `None` if there
-/// was no primary or the change is not acknowledged within 20 s.
+/// Returns the time from the loss of the primary to the acknowledgement of a change that is first sent at that moment.
+/// Returns `None` if there was no primary or a change is not acknowledged within 20 s.
 pub fn time_to_acknowledge(settings: &ClusterSettings, loss: PrimaryLoss) -> Option<Duration> {
     let mut cluster = Cluster::new(settings.clone());
     cluster.run_until(BOOTSTRAP_TIMEOUT);
@@ -68,8 +68,8 @@
     }
 }
 
-/// Sends a change to one random machine after the other until it is acknowledged. Returns when that was; `None` after
-/// `ACKNOWLEDGE_TIMEOUT`.
+/// Sends a change to one random machine after the other until it is acknowledged. Returns the time of the acknowledgement,
+/// or `None` after `ACKNOWLEDGE_TIMEOUT`.
 fn acknowledged_at(cluster: &mut Cluster, generation: u64, base: u64) -> Option<Duration> {
     let document = json!({ "generation": generation, "routes": [], "services": [{ "name": "s" }] });
     let change = ConfigurationChange { kind: ChangeKind::Replace, base, body: document.to_string().into() };
--- a/crates/testing/cluster-simulation/src/faults.rs
+++ b/crates/testing/cluster-simulation/src/faults.rs
@@ -1,8 +1,8 @@
 //! Random faults of machines, disks and the network.
 //!
 //! `FaultInjector::inject` draws one fault of one machine within what the cluster tolerates; the methods in `correlated`
-//! inject faults of several machines. `FaultInjector::apply_due` has to be called as time passes: it ends partitions and injects
-//! what was planned for later. Crashes, pauses and disk faults end by themselves.
+//! inject faults of several machines. `FaultInjector::apply_due` has to be called as time passes: it ends partitions and
+//! injects the faults that were planned for later. Crashes, pauses and disk faults end by themselves.
 
 mod budget;
 mod correlated;
@@ -13,29 +13,29 @@
 use rand::Rng;
 use std::time::Duration;
 
-/// How long a machine that crashes on a plan, rather than by a draw, is down.
+/// Downtime of a machine whose crash was planned, rather than drawn at that moment.
 const PLANNED_RESTART_DELAY: Duration = Duration::from_millis(300);
 
 /// A fault of one machine.
 #[derive(Clone, Copy, Debug)]
 enum MachineFault {
-    /// The process ends and starts again later.
+    /// The process crashes and restarts later.
     Crash,
-    /// The same, and the disk is lost.
+    /// The process crashes and restarts later with an empty disk.
     Wipe,
-    /// The machine stands still.
+    /// The machine is paused and resumes later.
     Pause,
-    /// No write ends.
+    /// No write completes for a while.
     DiskStall,
-    /// All writes fail.
+    /// All writes fail for a while.
     DiskFull,
     /// A partition from all other machines, in one or both directions.
     Partition,
-    /// The machine is gone; an empty one comes at another address. Voters only.
+    /// The machine is replaced by an empty one at another address. Voters only.
     Replace,
 }
 
-/// Faults of one machine as often as they are injected, relative to each other.
+/// Faults of one machine, each listed as often as its relative weight in the draw.
 const MACHINE_FAULTS: [MachineFault; 9] = [
     MachineFault::Crash,
     MachineFault::Crash,
@@ -48,7 +48,7 @@
     MachineFault::Replace,
 ];
 
-/// Machines to which something happens at planned times.
+/// Planned events of one kind: the machines concerned and their times.
 #[derive(Default)]
 struct Plan {
     entries: Vec<PlanEntry>,
@@ -68,7 +68,7 @@
         self.entries.is_empty()
     }
 
-    /// Takes out the machines that are due, in the order in which they were planned.
+    /// Removes and returns the machines that are due, in the order in which they were planned.
     fn take_due(&mut self, now: Duration) -> Vec<usize> {
         let due = self.entries.iter().filter(|entry| entry.at <= now).map(|entry| entry.machine).collect();
         self.entries.retain(|entry| entry.at > now);
@@ -76,16 +76,16 @@
     }
 }
 
-/// Injects faults and ends those that don't end by themselves.
+/// Injects faults and ends those that do not end by themselves.
 pub struct FaultInjector {
     budget: LossBudget,
-    /// Ends of partitions.
+    /// Machines whose partitions heal at planned times.
     healing: Plan,
     /// Machines that crash just before the next partition heals.
     crashing_at_healing: Vec<usize>,
-    /// Losses of disks.
+    /// Machines that lose their disks at planned times.
     disk_losses: Plan,
-    /// Returns of replaced machines with their disks.
+    /// Replaced machines that return with their old disks at planned times.
     returns: Plan,
 }
 
@@ -102,33 +102,33 @@
         }
     }
 
-    /// Further voters that may be lost now, with their disks.
+    /// Returns how many more voters may be lost now, with their disks.
     pub fn remaining_losses(&self) -> usize {
         self.budget.remaining()
     }
 
-    /// Bounds how many more disks may be lost, at whatever times; `None` removes the bound.
+    /// Limits how many more disks may be lost over the rest of the history; `None` removes the limit.
     pub fn limit_disk_losses(&mut self, left: Option<usize>) {
         self.budget.limit_disk_losses(left);
     }
 
-    /// When all voters that are lost now will have caught up.
+    /// Returns when all voters that are lost now will have caught up; zero if none is lost.
     pub fn recovered_at(&self) -> Duration {
         self.budget.recovered_at()
     }
 
-    /// When the last fault of a machine ends; zero if it had none.
+    /// Returns when the last fault of a machine ends; zero if it had none.
     pub fn faulty_until(&self, machine: usize) -> Duration {
         self.budget.faulty_until(machine)
     }
 
-    /// Ends what has to end by now and injects what was planned for now.
+    /// Ends the partitions that are due to heal and injects the planned faults that are due.
     pub fn apply_due(&mut self, cluster: &mut Cluster) {
         let now = cluster.now();
         self.budget.expire(now);
         let healing = self.healing.take_due(now);
         if !healing.is_empty() {
-            // Before the partition heals: delayed messages then reach machines that are down.
+            // Crashes them before the partition heals, so that delayed messages reach machines that are down.
             for machine in std::mem::take(&mut self.crashing_at_healing) {
                 restart(cluster, machine, PLANNED_RESTART_DELAY);
             }
@@ -147,8 +147,8 @@
         }
     }
 
-    /// Injects a random fault of one machine, in at least half of the cases the primary; none where no further loss is
-    /// tolerated.
+    /// Injects a random fault of one machine, in at least half of the cases the primary. Injects nothing if no further loss
+    /// is tolerated.
     pub fn inject(&mut self, cluster: &mut Cluster) {
         let running: Vec<usize> = (0..cluster.len()).filter(|machine| cluster.is_running(*machine)).collect();
         let Some(mut machine) = running.choose(&mut cluster.rng).copied() else { return };
@@ -190,7 +190,7 @@
         self.healing.push(cluster.now() + duration, machine);
     }
 
-    /// Replaces a voter by an empty machine, which starts after `down`.
+    /// Replaces a voter with an empty machine, which starts after `down`.
     fn replace(&mut self, cluster: &mut Cluster, machine: usize, down: Duration) {
         let successor = cluster.replace(machine);
         self.budget.record_disk_loss(machine, cluster.now() + down);
@@ -203,7 +203,7 @@
     (0..cluster.len()).filter(|machine| cluster.is_voter(*machine) && cluster.is_running(*machine)).collect()
 }
 
-/// Crashes a machine that runs, and starts it after a delay.
+/// Crashes a machine and starts it again after a delay; does nothing if no process runs.
 fn restart(cluster: &mut Cluster, machine: usize, delay: Duration) {
     if cluster.is_running(machine) {
         cluster.crash(machine);
--- a/crates/testing/cluster-simulation/src/faults/correlated.rs
+++ b/crates/testing/cluster-simulation/src/faults/correlated.rs
@@ -1,7 +1,7 @@
-//! Faults of several machines at once, or of several kinds in a row.
+//! Faults of several machines at once, or several faults in a row.
 //!
-//! Some go beyond the number of losses that is tolerated: the cluster may stop answering then, but no acknowledged change
-//! may be lost, because no more disks are lost than tolerated.
+//! Some exceed the number of tolerated losses. The cluster may become unavailable then, but no acknowledged change may be
+//! lost, because no more disks are lost than tolerated.
 
 use super::{restart, running_voters, FaultInjector};
 use crate::cluster::{Cluster, PartitionDirection};
@@ -9,18 +9,18 @@
 use rand::Rng;
 use std::time::Duration;
 
-/// Voters on both sides of a partition; only messages between `inside` and `others` are dropped.
+/// Voters on both sides of a partition; only messages between the voters inside and `others` are blocked.
 struct PartitionGroups {
     voters: Vec<usize>,
-    /// The first so many `voters` are inside.
+    /// Number of voters inside, which come first in `voters`.
     inside_len: usize,
-    /// Machines outside that are partitioned from those inside: the other voters, or all other machines.
+    /// Machines partitioned from those inside: either the other voters or all other machines.
     others: Vec<usize>,
 }
 
 impl FaultInjector {
-    /// A random group of machines, often with the primary, is partitioned from the rest or paused, for longer than any
-    /// quota grant or freshness lasts.
+    /// Partitions a random group of machines, often with the primary, from the rest or pauses it, for longer than any quota
+    /// grant or freshness claim is valid.
     pub fn inject_group_outage(&mut self, cluster: &mut Cluster) {
         let duration = Duration::from_millis(cluster.rng.random_range(4_000..9_000));
         let size = cluster.rng.random_range(1..=cluster.len() / 2);
@@ -40,8 +40,8 @@
         self.plan_healing(&members, cluster.now() + duration);
     }
 
-    /// A long partition of voters, mostly with the primary inside, whatever is tolerated. At times machines of one side
-    /// are restarted meanwhile, crash as the partition heals, or one of those outside loses its disk.
+    /// Injects a long partition of voters, mostly with the primary inside, even beyond the tolerance. At times it also
+    /// restarts the machines of one side, crashes those outside when the partition heals, or wipes the disk of one outside.
     pub fn inject_long_partition(&mut self, cluster: &mut Cluster) {
         let duration = Duration::from_millis(cluster.rng.random_range(6_000..25_000));
         let voters = running_voters(cluster);
@@ -72,8 +72,8 @@
         }
     }
 
-    /// A partition between the primary and the other voters, or all other machines, whatever is tolerated. Returns the
-    /// primary; none while another partition lasts.
+    /// Partitions the primary from the other voters or from all other machines, even beyond the tolerance. Returns the
+    /// primary, or `None` if there is none or another partition lasts.
     pub fn inject_primary_isolation(&mut self, cluster: &mut Cluster) -> Option<usize> {
         let primary = cluster.primary().filter(|_| self.healing.is_empty())?;
         let duration = Duration::from_millis(cluster.rng.random_range(600..5_000));
@@ -93,8 +93,8 @@
         Some(primary)
     }
 
-    /// The primary's disk stalls, and a machine that forwards operators' calls to the primary restarts at once: calls of
-    /// its earlier incarnation are still in flight there.
+    /// Stalls the primary's disk and quickly restarts a machine that forwards operators' calls to the primary, while calls
+    /// of its earlier incarnation are still in flight there.
     pub fn inject_quick_restart(&mut self, cluster: &mut Cluster, machine: usize) {
         let stall = Duration::from_millis(cluster.rng.random_range(200..500));
         let Some(primary) = cluster.primary().filter(|primary| *primary != machine) else { return };
@@ -107,8 +107,8 @@
         }
     }
 
-    /// The disks of all voters but the primary stall, whatever is tolerated, and the primary's disk is lost meanwhile:
-    /// nothing may have been acknowledged of which it held the only replica.
+    /// Stalls the disks of all voters except the primary, even beyond the tolerance, and wipes the primary's disk meanwhile:
+    /// no change may have been acknowledged of which the primary held the only replica.
     pub fn inject_only_replica_loss(&mut self, cluster: &mut Cluster) {
         let may_inject = self.budget.is_unused() && self.budget.can_lose_disk();
         let Some(primary) = cluster.primary().filter(|_| may_inject) else { return };
@@ -126,7 +126,7 @@
         self.disk_losses.push(cluster.now() + lost_after, primary);
     }
 
-    /// Some voters restart, each after a moment; their disks stay.
+    /// Restarts some voters, each after a short random delay, with their disks intact.
     pub fn inject_restarts(&mut self, cluster: &mut Cluster) {
         for machine in running_voters(cluster) {
             if cluster.rng.random_bool(0.4) {
@@ -137,7 +137,7 @@
         }
     }
 
-    /// All machines fall into two random groups with a partition between them.
+    /// Splits all machines into two random groups with a partition between them, unless another partition lasts.
     pub fn inject_network_split(&mut self, cluster: &mut Cluster) {
         if !self.healing.is_empty() {
             return;
@@ -155,7 +155,7 @@
         }
     }
 
-    /// A voter is replaced, and comes back with its old disk long after.
+    /// Replaces a voter, and restores it with its old disk seconds later.
     pub fn inject_returning_voter(&mut self, cluster: &mut Cluster) {
         let voters = running_voters(cluster);
         let Some(machine) = voters.choose(&mut cluster.rng).copied() else { return };
@@ -168,7 +168,7 @@
         self.returns.push(cluster.now() + absence, machine);
     }
 
-    /// All voters, or all machines, crash at the same time and restart one after the other.
+    /// Crashes all voters or all machines at the same time and restarts them one after the other.
     pub fn inject_outage(&mut self, cluster: &mut Cluster, all_machines: bool) {
         let down = Duration::from_millis(cluster.rng.random_range(100..1_500));
         let back_at = cluster.now() + down;
@@ -189,7 +189,7 @@
     }
 }
 
-/// Shuffles the voters, puts the primary in front four times in five, and draws how many of them are inside.
+/// Shuffles the voters, moves the primary to the front with probability 0.8, and draws how many voters are inside.
 fn draw_partition_groups(cluster: &mut Cluster, mut voters: Vec<usize>) -> PartitionGroups {
     voters.shuffle(&mut cluster.rng);
     if let Some(primary) = cluster.primary().filter(|_| cluster.rng.random_bool(0.8)) {
@@ -205,7 +205,8 @@
     PartitionGroups { others, inside_len, voters }
 }
 
-/// Restarts all these machines, the first with an empty disk, while others are partitioned from them and miss changes.
+/// Restarts `machines`, the first with an empty disk, while a partition keeps the voters on the other side from receiving
+/// changes.
 fn restart_all_wipe_first(cluster: &mut Cluster, machines: &[usize], max_down: Duration) {
     for (index, machine) in machines.iter().enumerate() {
         let down = Duration::from_millis(cluster.rng.random_range(1_000..6_000)).min(max_down);
--- a/crates/testing/cluster-simulation/src/history.rs
+++ b/crates/testing/cluster-simulation/src/history.rs
@@ -1,7 +1,8 @@
-//! Random histories of configuration changes: operators, faults, a final fault, and the checker's verdict.
+//! Random histories of configuration changes: operators, faults, a final fault, and the checker's result.
 //!
-//! A history draws everything from its seed. `operator` holds the operators' client, `schedule` what each scenario brings
-//! about and when, `recovery` the final fault and the read-back after it. What must hold is defined in `checker` alone.
+//! All random numbers of a history derive from its seed. `operator` implements the operators' client, `schedule` the events
+//! of each scenario, `recovery` the final fault and the reads after it. The properties that must hold are defined only in
+//! `checker`.
 
 mod operator;
 mod recovery;
@@ -14,66 +15,66 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time in which a new cluster has to become ready for the first change.
+/// Time within which a new cluster has to be ready for the first change.
 const BOOTSTRAP_TIMEOUT: Duration = Duration::from_secs(4);
-/// Time in which a cluster without faults has to acknowledge a change.
+/// Time within which a cluster without faults has to acknowledge a change.
 const ACKNOWLEDGE_TIMEOUT: Duration = Duration::from_secs(6);
-/// Interval at which the processes' claims of freshness are polled and operators retry.
+/// Interval at which the processes' freshness claims are checked and operators retry.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Probability that an answer to an operator is lost.
 const LOST_ANSWER_PROBABILITY: f64 = 0.2;
 
-/// What a history brings about, beside faults of single machines within the tolerance.
+/// The workload and faults of a history, in addition to faults of single machines within the tolerance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scenario {
-    /// Nothing besides.
+    /// No additional faults.
     Mixed,
     /// Partitions of up to half of the voters for up to 25 s, in one or both directions.
     LongPartitions,
-    /// The primary is partitioned from the other voters, for seconds and in one or both directions, while operators call it
-    /// more often than others.
+    /// The primary is partitioned from the other voters for seconds, in one or both directions, while operators call it
+    /// more often than other machines.
     IsolatedPrimaries,
-    /// Operators use the same generation for different changes, and resend acknowledged ones at any later time.
+    /// Operators use the same generation for different changes, and resend acknowledged changes at any later time.
     Races,
-    /// Voters are replaced, some of them return, and another is lost soon after; all lose power at once.
+    /// Voters are replaced, some of them return, and another is lost soon after; at times all crash at once.
     Repairs,
-    /// Hundreds of changes over slow links while a voter is down.
+    /// Hundreds of changes are made over slow links while a voter is down.
     ManyChanges,
-    /// The same, and the voter's disk is slow, full or stalled for a while once it is back.
+    /// As `ManyChanges`, and the voter's disk is slow, full or stalled once it is back.
     ManyChangesOnBadDisk,
-    /// Crashes, partitions and power losses before the cluster has bootstrapped.
+    /// Crashes, partitions and power losses occur before the cluster has bootstrapped.
     Bootstrap,
-    /// The same while the list of seeds changes: machines that restart are told other ones.
+    /// As `Bootstrap`, while the list of seeds changes: machines that restart receive a different list.
     BootstrapWithOtherSeeds,
 }
 
-/// What a history consists of.
+/// Settings of a history.
 #[derive(Clone, Debug)]
 pub struct HistorySettings {
-    /// The machines and the network.
+    /// Machines, network and mutations.
     pub cluster: ClusterSettings,
-    /// What is brought about.
+    /// Workload and additional faults.
     pub scenario: Scenario,
-    /// A lost voter counts as lost for this long after its return, so it has to catch up within it.
+    /// A lost voter counts as lost for this long after its return, and has to catch up within this time.
     pub catch_up_time: Duration,
-    /// Duration before the final fault.
+    /// Time from the end of the scenario's initial phase to the final fault.
     pub duration: Duration,
-    /// Bytes of padding in each document, in one piece.
+    /// Bytes of padding in each document, as a single string.
     pub padding: usize,
-    /// Items of some 100 bytes in each document that no change touches.
+    /// Number of items in each document, of about 100 bytes each, that no change modifies.
     pub items: usize,
 }
 
 /// The result of a history.
 #[derive(Debug, Default)]
 pub struct Outcome {
-    /// Violated properties.
+    /// Violated properties; empty for a correct cluster.
     pub violations: Vec<Violation>,
     /// Number of changes acknowledged.
     pub acknowledged: usize,
-    /// Longest time from a change's first sending to its acknowledgement.
+    /// Longest time from when a change was first sent to its acknowledgement.
     pub max_acknowledge_time: Duration,
-    /// The final state of each machine, one line each; empty without violations.
+    /// One line per machine on its final state; empty if there are no violations.
     pub machine_states: Vec<String>,
 }
 
@@ -82,27 +83,27 @@
     cluster: Cluster,
     checker: Checker,
     faults: FaultInjector,
-    /// Calls in flight.
+    /// Purpose of each operator call in flight.
     calls: BTreeMap<CallKey, CallPurpose>,
     next_change: u64,
-    /// Changes in flight: sent, and without a final answer.
+    /// Changes that were sent and have no final answer yet.
     pending: Vec<PendingChange>,
-    /// In the order of their first acknowledgement.
+    /// Acknowledged changes, in the order of their first acknowledgement.
     acknowledged: Vec<AcknowledgedChange>,
-    /// The newest generation that operators know; new changes are based on it.
+    /// The newest generation that operators know, on which they base new changes.
     known_generation: u64,
     outcome: Outcome,
-    /// The generation that the last answered read returned.
+    /// The generation returned by the last answered read.
     last_read: Option<u64>,
-    /// The machine that racing operators call more often than others.
+    /// The machine that operators call more often than others in some scenarios.
     preferred_machine: usize,
-    /// Whether the cluster recovers from the final fault: no answer is lost any more.
+    /// Whether the cluster is recovering from the final fault, during which no answer is lost.
     is_recovering: bool,
     /// Probability that an answer to an operator is lost.
     lost_answer_probability: f64,
 }
 
-/// Plays a history.
+/// Runs a history and returns its outcome.
 pub fn simulate(settings: &HistorySettings) -> Outcome {
     let mut history = History::new(settings.clone());
     if matches!(settings.scenario, Scenario::Bootstrap | Scenario::BootstrapWithOtherSeeds) {
@@ -142,7 +143,7 @@
         }
     }
 
-    /// Advances to a time, polling at each `POLL_INTERVAL`.
+    /// Advances to `until`, polling at each `POLL_INTERVAL`.
     fn advance(&mut self, until: Duration) {
         while self.cluster.now() < until {
             let next = (self.cluster.now() + POLL_INTERVAL).min(until);
@@ -150,7 +151,7 @@
         }
     }
 
-    /// Advances to a time and polls once.
+    /// Advances to `until` and polls once.
     fn advance_to(&mut self, until: Duration) {
         while let Some(observations) = self.cluster.step(until) {
             self.observe(observations);
--- a/crates/testing/cluster-simulation/src/history/operator.rs
+++ b/crates/testing/cluster-simulation/src/history/operator.rs
@@ -12,23 +12,23 @@
 use serde_json::{json, Value};
 use std::time::Duration;
 
-/// Bound on the changes in flight.
+/// Maximum number of changes in flight.
 pub(super) const MAX_PENDING_CHANGES: usize = 8;
-/// A change without an answer is sent again after this.
+/// Time without an answer after which a change is sent again.
 const RETRY_TIMEOUT: Duration = Duration::from_secs(1);
 /// Prefix of the name of the service that carries a change's id.
 const CHANGE_ID_PREFIX: &str = "order-";
-/// Text of an item that no change touches, in bytes.
+/// Length of the text of each unmodified item, in bytes.
 const ITEM_TEXT_BYTES: usize = 80;
 
-/// What a call was for.
+/// The purpose of an operator's call.
 #[derive(Clone, Debug)]
 pub(super) enum CallPurpose {
     Change {
         id: ChangeId,
     },
     Read {
-        /// The newest generation that was acknowledged when the read was sent.
+        /// The newest acknowledged generation when the read was sent.
         acknowledged: u64,
     },
 }
@@ -39,7 +39,7 @@
     change: ConfigurationChange,
     generation: u64,
     sent_at: Duration,
-    /// The last call; `None` if it failed or had no final answer.
+    /// The last call; `None` if none was made, it failed or its answer was not final.
     call: Option<CallKey>,
     called_at: Duration,
 }
@@ -55,7 +55,7 @@
     }
 }
 
-/// A change that was acknowledged; it may be sent again.
+/// An acknowledged change, which operators may send again.
 #[derive(Clone)]
 pub(super) struct AcknowledgedChange {
     id: ChangeId,
@@ -63,13 +63,14 @@
     generation: u64,
 }
 
-/// Items of a document that no change touches.
+/// Returns the items of a document that no change modifies.
 fn untouched_items(count: usize) -> Value {
     (0..count).map(|number| json!({ "name": number, "text": "x".repeat(ITEM_TEXT_BYTES) })).collect()
 }
 
 impl History {
-    /// Queues a change on the generation that operators know. Racing operators often choose the same new generation.
+    /// Queues a change based on the newest generation that operators know. Racing operators often choose the same new
+    /// generation.
     pub(super) fn propose_change(&mut self) {
         let id = ChangeId(self.next_change);
         self.next_change += 1;
@@ -99,7 +100,7 @@
         });
     }
 
-    /// Sends a random change that was acknowledged some time ago once more, as after a lost answer.
+    /// Queues a random acknowledged change to be sent once more, as after a lost answer.
     pub(super) fn resend_acknowledged(&mut self) {
         let Some(resent) = self.acknowledged.choose(&mut self.cluster.rng).cloned() else { return };
         let is_pending = self.pending.iter().any(|pending| pending.id == resent.id);
@@ -108,7 +109,7 @@
         }
     }
 
-    /// Sends changes without a final answer, to any machine.
+    /// Sends each pending change that is due to a random machine.
     pub(super) fn retry_changes(&mut self) {
         let now = self.cluster.now();
         let due: Vec<(ChangeId, ConfigurationChange)> = self
@@ -119,7 +120,7 @@
             .collect();
         for (id, change) in due {
             let call = self.call(CallPurpose::Change { id }, OperatorRequest::Change(change));
-            // The answer may have come at once, and the change be pending no more.
+            // The call may have been answered immediately, so that the change is no longer pending.
             if let Some(pending) = self.pending.iter_mut().find(|pending| pending.id == id) {
                 pending.call = call;
                 pending.called_at = now;
@@ -127,14 +128,14 @@
         }
     }
 
-    /// Reads the configuration from any machine; never retried.
+    /// Reads the configuration from a random machine, without retries.
     pub(super) fn read(&mut self) {
         let acknowledged = self.checker.newest_acknowledged();
         self.call(CallPurpose::Read { acknowledged }, OperatorRequest::Read);
     }
 
     fn call(&mut self, purpose: CallPurpose, request: OperatorRequest) -> Option<CallKey> {
-        // Drawn in every scenario.
+        // Drawn in every scenario, so that the scenario does not shift the random numbers that follow.
         let prefers = self.cluster.rng.random_bool(0.5);
         let has_preference = matches!(self.settings.scenario, Scenario::Races | Scenario::IsolatedPrimaries);
         let machine = if prefers && has_preference {
@@ -150,7 +151,7 @@
 
     pub(super) fn handle_answer(&mut self, call: CallKey, answer: &OperatorAnswer) {
         let Some(purpose) = self.calls.remove(&call) else { return };
-        // Drawn also during recovery, when no answer is lost.
+        // Drawn even during recovery, when no answer is lost, so that the sequence of random numbers stays the same.
         if self.cluster.rng.random_bool(self.lost_answer_probability) && !self.is_recovering {
             return;
         }
@@ -172,7 +173,7 @@
         let Some(index) = self.pending.iter().position(|pending| pending.id == id) else { return };
         if !is_final {
             self.pending[index].call = None;
-            // A resent change that is too old to be judged never gets a final answer: operators give up.
+            // A resent change that is too old for the cluster to recognize never gets a final answer: operators give up.
             if self.checker.is_acknowledged(id) && self.cluster.rng.random_bool(0.1) {
                 self.pending.remove(index);
             }
@@ -181,7 +182,7 @@
         let acknowledged = answer.status == 200;
         let is_first = acknowledged && !self.checker.is_acknowledged(id);
         self.checker.change_answered(now, id, acknowledged);
-        // An acknowledged change is sent once more at times, as if its answer had been lost.
+        // At times an acknowledged change is sent once more, as if its answer had been lost.
         if acknowledged && self.cluster.rng.random_bool(0.2) {
             self.pending[index].call = None;
         } else {
@@ -210,7 +211,7 @@
     }
 }
 
-/// The generation of a document, and the change whose id its services carry.
+/// Returns the generation of a document and the change whose id is encoded in a service name.
 pub(super) fn version_in(document: &str) -> ObservedVersion {
     let document: Value = serde_json::from_str(document).unwrap_or_default();
     let services = document.get("services").and_then(Value::as_array);
--- a/crates/testing/cluster-simulation/src/history/recovery.rs
+++ b/crates/testing/cluster-simulation/src/history/recovery.rs
@@ -1,18 +1,19 @@
-//! The final fault of a history, and the checks that the cluster recovers from it with everything acknowledged.
+//! The final fault of a history, and the checks that the cluster recovers from it with all acknowledged changes.
 
 use super::{ChangeId, History, Violation, ACKNOWLEDGE_TIMEOUT};
 use rand::Rng;
 use std::time::Duration;
 
-/// Reads after the final fault.
+/// Number of reads after the final fault.
 const FINAL_READS: usize = 40;
-/// Interval between them.
+/// Interval between the final reads.
 const FINAL_READ_INTERVAL: Duration = Duration::from_millis(100);
 
 impl History {
-    /// All machines crash at once; in half of the histories as many voters as tolerated lose their disks too.
+    /// Crashes all running machines at once; in half of the histories, up to as many voters as tolerated also lose their
+    /// disks.
     pub(super) fn inject_final_fault(&mut self) {
-        // In half of the histories what was lost before has caught up.
+        // In half of the histories, waits until all voters lost before have caught up.
         if self.cluster.rng.random_bool(0.5) {
             let recovered_at = self.faults.recovered_at().max(self.cluster.now());
             self.advance(recovered_at + Duration::from_millis(100));
@@ -36,10 +37,10 @@
         }
     }
 
-    /// Checks after the final fault that reads are answered, with the newest acknowledged configuration, and that a new
-    /// change is acknowledged.
+    /// Checks after the final fault that reads return the newest acknowledged configuration and that a new change is
+    /// acknowledged.
     pub(super) fn read_back(&mut self) {
-        // Losses that overlap beyond the tolerance may leave the cluster without a quorum until all have caught up.
+        // Losses that overlap beyond the tolerance may leave the cluster without a quorum until all voters have caught up.
         let until = self.faults.recovered_at().max(self.cluster.now() + ACKNOWLEDGE_TIMEOUT);
         self.advance(until);
         self.last_read = None;
--- a/crates/testing/cluster-simulation/src/history/schedule.rs
+++ b/crates/testing/cluster-simulation/src/history/schedule.rs
@@ -1,4 +1,4 @@
-//! What happens when: changes, reads and faults of each scenario, up to the final fault.
+//! The schedule of each scenario: changes, reads and faults up to the final fault.
 
 use super::operator::MAX_PENDING_CHANGES;
 use super::{
@@ -8,22 +8,22 @@
 use rand::Rng;
 use std::time::Duration;
 
-/// Probability that an answer is lost while hundreds of changes follow each other; each loss costs a retry timeout.
+/// Probability that an answer is lost during a run of hundreds of changes, where each loss costs a retry timeout.
 const MANY_CHANGES_LOST_ANSWER_PROBABILITY: f64 = 0.005;
-/// Time in which all of them have to be acknowledged.
+/// Time within which all of these changes have to be acknowledged.
 const MANY_CHANGES_TIMEOUT: Duration = Duration::from_secs(1_200);
-/// Interval at which they are sent.
+/// Interval at which these changes are sent.
 const MANY_CHANGES_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Time that a sync takes on a slow disk.
 const SLOW_SYNC: Duration = Duration::from_millis(120);
-/// How long a disk is full or stalled.
+/// Duration for which a disk is full or stalled.
 const DISK_FAULT: Duration = Duration::from_millis(1_500);
-/// By then every machine has been started for the first time.
+/// Time by which every machine has been started for the first time.
 const FIRST_STARTS: Duration = Duration::from_millis(600);
 
 impl History {
-    /// One poll interval: at times changes, a read, a resent change and faults.
+    /// Simulates one poll interval, with random changes, reads, resent changes and faults.
     pub(super) fn run_interval(&mut self) {
         let races = self.settings.scenario == Scenario::Races;
         let proposes = self.cluster.rng.random_bool(if races { 0.3 } else { 0.15 });
@@ -45,7 +45,8 @@
         self.advance(until);
     }
 
-    /// At times a fault within the tolerance, and those of the scenario. The order of the arms is that of the draws.
+    /// Injects random faults within the tolerance, and those of the scenario. The guards draw random numbers in the order of
+    /// the arms.
     fn inject_faults(&mut self) {
         if self.cluster.rng.random_bool(0.06) {
             self.faults.inject(&mut self.cluster);
@@ -78,9 +79,9 @@
         }
     }
 
-    /// Outages, network splits and faults of single machines from the start until some time after the bootstrap. One disk
-    /// may be lost: if two of the three seeds are lost for good before the first record exists, nobody may bootstrap any
-    /// more, and there is nothing to lose.
+    /// Injects outages, network splits and faults of single machines from the start until some time after the bootstrap. At
+    /// most one disk may be lost: if two of the three seeds are lost before the first record exists, no machine may bootstrap
+    /// any more, and there are no changes to lose.
     pub(super) fn run_faulty_bootstrap(&mut self) {
         self.faults.limit_disk_losses(Some(1));
         let until = Duration::from_millis(self.cluster.rng.random_range(500..9_000));
@@ -104,14 +105,14 @@
             let next = self.cluster.now() + POLL_INTERVAL;
             self.advance(next);
         }
-        // These faults may overlap beyond the tolerance: everything has to come back before others begin.
+        // These faults may overlap beyond the tolerance, so all machines have to recover before other faults begin.
         let recovered_at = self.faults.recovered_at().max(self.cluster.now()) + BOOTSTRAP_TIMEOUT;
         self.advance(recovered_at);
         self.faults.limit_disk_losses(None);
     }
 
-    /// At times the list of seeds changes, and as often some machines restart, so that machines start with different lists.
-    /// At their first start all have the same one.
+    /// At times changes the list of seeds, and as often restarts some machines, so that machines start with different lists.
+    /// All receive the same list at their first start.
     fn change_seeds_and_restart(&mut self) {
         if self.cluster.now() < FIRST_STARTS {
             return;
@@ -124,7 +125,7 @@
         }
     }
 
-    /// Hundreds of changes in a row while a voter is down; it has to catch up in time when it is back.
+    /// Makes hundreds of changes in a row while a voter is down, and checks that the voter catches up in time once restarted.
     pub(super) fn run_many_changes(&mut self) {
         let changes = if self.settings.cluster.seed % 8 == 0 { 1_500 } else { 300 };
         let voters: Vec<usize> =
@@ -156,7 +157,7 @@
         }
     }
 
-    /// A disk is slow, full or stalled, each for a third of the seeds.
+    /// Makes a disk slow, full or stalled, each for a third of the seeds.
     fn inject_disk_fault(&mut self, machine: usize) {
         match self.settings.cluster.seed % 3 {
             0 => self.cluster.slow_disk(machine, SLOW_SYNC),
@@ -165,7 +166,7 @@
         }
     }
 
-    /// The index of the state that a machine's replica holds; 0 without one.
+    /// Returns the index of the state that a machine's replica holds, or 0 if it has no replica.
     fn index_at(&self, machine: usize) -> u64 {
         let replica = self.cluster.process(machine).and_then(|process| process.replica());
         replica.map_or(0, |replica| replica.state().version.index)
--- a/crates/testing/cluster-simulation/src/seeds.rs
+++ b/crates/testing/cluster-simulation/src/seeds.rs
@@ -1,9 +1,9 @@
-//! The seeds that a test plays.
+//! The range of seeds that a test simulates.
 
 use std::ops::Range;
 
-/// The seeds that the environment variable of this name gives as `FROM..TO`; the first `default` seeds if it isn't set or
-/// can't be read.
+/// Returns the range of seeds in an environment variable, written as `FROM..TO`, or `0..default` if the variable is unset or
+/// cannot be parsed.
 pub fn seeds_from_env(variable: &str, default: u64) -> Range<u64> {
     let value = std::env::var(variable).ok();
     let range = value.as_deref().and_then(|text| text.split_once(".."));
