--- a/crates/testing/cluster-simulation/examples/configuration_changes.rs
+++ b/crates/testing/cluster-simulation/examples/configuration_changes.rs
@@ -1,5 +1,5 @@
-//! Measures what a change of a large configuration costs, with and without deltas: bytes sent, processor time, the time until
-//! the operator is answered, and the time in which a member that was down catches up.
+//! Measures the cost of changing a large configuration, with and without deltas: bytes sent, processor time, time until the
+//! operator is answered, and time for a member that was down to catch up.
 //!
 //! `cargo run --release -p passrelay-cluster-simulation --example configuration_changes`
 
@@ -9,16 +9,17 @@
 use serde_json::{json, Value};
 use std::time::{Duration, Instant};
 
-/// Routes and tenants of the document.
+/// Number of routes in the document.
 const ROUTES: usize = 1_600;
+/// Number of tenants in the document.
 const TENANTS: usize = 250;
-/// Links of 10 Mbit/s, in bytes per second.
+/// Bandwidth of each uplink: 10 Mbit/s, in bytes per second.
 const LINK_BYTES_PER_S: u64 = 1_250_000;
-/// A change without an answer is sent again after this.
+/// Time without an answer after which a change is sent again.
 const RETRY_TIMEOUT: Duration = Duration::from_secs(3);
-/// Interval at which the simulation is advanced while something is awaited.
+/// Interval at which a condition is polled in simulated time.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// A member that has not caught up by then counts with this time.
+/// Time recorded for a member that has not caught up by then.
 const CATCH_UP_TIMEOUT: Duration = Duration::from_secs(60);
 
 fn route(number: usize, timeout_ms: u64) -> Value {
@@ -38,27 +39,27 @@
         .to_string()
 }
 
-/// The change of one route.
+/// Returns a patch that changes one route.
 fn patch(generation: u64) -> String {
     let changed = route(generation as usize % ROUTES, 2_000 + generation);
     json!({ "generation": generation, "upsert": { "routes": [changed] } }).to_string()
 }
 
-/// Sends a change until it is acknowledged; how long that took in simulated time.
+/// Sends a change until it is acknowledged. Returns the simulated time that this took.
 fn apply(cluster: &mut Cluster, change: &ConfigurationChange) -> Duration {
-    let began = cluster.now();
+    let started_at = cluster.now();
     loop {
         let primary = cluster.primary().unwrap_or(0);
         let sent_at = cluster.now();
         let call = cluster.call(primary, OperatorRequest::Change(change.clone()));
-        let mut seen = call.map(|(_, seen)| seen).unwrap_or_default();
+        let mut observations = call.map(|(_, observations)| observations).unwrap_or_default();
         while cluster.now() < sent_at + RETRY_TIMEOUT {
-            let acknowledged = |seen: &Observation| matches!(seen, Observation::Answered { answer, .. } if answer.status == 200);
-            if seen.iter().any(acknowledged) {
-                return cluster.now() - began;
+            let acknowledged = |observation: &Observation| matches!(observation, Observation::Answered { answer, .. } if answer.status == 200);
+            if observations.iter().any(acknowledged) {
+                return cluster.now() - started_at;
             }
             let next = cluster.now() + POLL_INTERVAL;
-            seen = cluster.run_until(next);
+            observations = cluster.run_until(next);
         }
     }
 }
@@ -68,24 +69,24 @@
     replica.map_or(0, |replica| replica.state().version.index)
 }
 
-/// Starts a member again and waits until it holds the newest state; how long that took.
+/// Restarts a member and waits until its state has reached `index`. Returns the simulated time that this took.
 fn catch_up(cluster: &mut Cluster, machine: usize, index: u64) -> Duration {
-    let began = cluster.now();
+    let started_at = cluster.now();
     cluster.start_after(machine, Duration::ZERO);
-    while index_at(cluster, machine) < index && cluster.now() < began + CATCH_UP_TIMEOUT {
+    while index_at(cluster, machine) < index && cluster.now() < started_at + CATCH_UP_TIMEOUT {
         let next = cluster.now() + POLL_INTERVAL;
         cluster.run_until(next);
     }
-    cluster.now() - began
+    cluster.now() - started_at
 }
 
-/// In milliseconds; `part` from 0 to 1.
+/// Returns the quantile `part`, from 0 to 1, in milliseconds.
 fn quantile(times: &mut [Duration], part: f64) -> u128 {
     times.sort_unstable();
     times[((times.len() - 1) as f64 * part) as usize].as_millis()
 }
 
-/// Prints a row of the table.
+/// Measures one configuration and prints its row of the table.
 fn measure(builds: Builds, voters: usize, machines: usize, changes: u64) {
     let settings = ClusterSettings {
         builds,
@@ -110,8 +111,8 @@
 
     cluster.counts_bytes = true;
     let before = cluster.bytes_sent.clone();
-    let began = Instant::now();
-    let began_at = cluster.now();
+    let started_at = Instant::now();
+    let simulated_start = cluster.now();
     let mut waits = Vec::new();
     for generation in 2..2 + changes {
         let body = patch(generation).into();
@@ -120,8 +121,8 @@
             &ConfigurationChange { kind: ChangeKind::Patch, base: generation - 1, body },
         ));
     }
-    let processor = began.elapsed();
-    let simulated = cluster.now() - began_at;
+    let processor = started_at.elapsed();
+    let simulated = cluster.now() - simulated_start;
     let sent: Vec<u64> =
         cluster.bytes_sent.iter().zip(&before).map(|(after, before)| after - before).collect();
     let sidecars = &sent[voters..];
--- a/crates/testing/cluster-simulation/examples/dissemination.rs
+++ b/crates/testing/cluster-simulation/examples/dissemination.rs
@@ -1,4 +1,5 @@
-//! Measures the time until all sidecars know a change, and the cost of dissemination and replication, by size and loss.
+//! Measures the time until all sidecars know of a change, and the cost of dissemination and replication, by cluster size and
+//! message loss.
 //!
 //! `cargo run --release -p passrelay-cluster-simulation --example dissemination`
 
@@ -11,11 +12,11 @@
 
 /// Endpoints per sidecar, as in the largest deployment planned (920 behind 330).
 const ENDPOINTS_PER_SIDECAR: f64 = 2.8;
-/// Changes and drained endpoints per cluster.
+/// Number of configuration changes, and of drained endpoints, per cluster.
 const CHANGES: u64 = 10;
-/// A machine that doesn't know a change by then counts with this time.
+/// Time recorded for a machine that does not know of a change by then.
 const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(30);
-/// Time without changes in which messages and bytes are counted.
+/// Duration of the phase without changes during which messages and bytes are counted.
 const IDLE_DURATION: Duration = Duration::from_secs(10);
 
 fn heartbeat_of(number: usize, state: EndpointState, sequence: u64) -> Heartbeat {
@@ -32,17 +33,17 @@
     Heartbeat { record }
 }
 
-/// Sends the heartbeats of all endpoints, spread over the machines.
+/// Sends the heartbeats of all endpoints, distributed over the machines.
 struct HeartbeatSender {
     endpoints: usize,
-    /// The endpoints with numbers from 1 up to this one are draining.
+    /// The endpoints numbered from 1 to this one, inclusive, are draining.
     draining: usize,
     sequence: u64,
     next: Duration,
 }
 
 impl HeartbeatSender {
-    /// Sends all heartbeats once per interval.
+    /// Sends the heartbeats of all endpoints if an interval has passed since the last ones.
     fn send_due(&mut self, cluster: &mut Cluster) {
         if cluster.now() < self.next {
             return;
@@ -58,7 +59,7 @@
     }
 }
 
-/// The generation in force at a machine; 0 for none.
+/// Returns the generation in force at a machine, or 0 if there is none.
 fn generation_at(cluster: &Cluster, machine: usize) -> u64 {
     cluster.process(machine).and_then(|p| p.gossip().configuration()).map_or(0, |c| c.generation)
 }
@@ -69,56 +70,57 @@
     })
 }
 
-/// Runs until a condition holds on all machines, for `PROPAGATION_TIMEOUT` at most; the time that each took.
-fn until_all(
+/// Runs until a condition holds on all machines, for at most `PROPAGATION_TIMEOUT`. Returns the time that each machine took.
+fn times_until_all(
     cluster: &mut Cluster,
     heartbeats: &mut HeartbeatSender,
     holds: impl Fn(&Cluster, usize) -> bool,
 ) -> Vec<Duration> {
-    let began = cluster.now();
+    let started_at = cluster.now();
     let mut times = vec![None; cluster.len()];
-    while times.iter().any(Option::is_none) && cluster.now() < began + PROPAGATION_TIMEOUT {
+    while times.iter().any(Option::is_none) && cluster.now() < started_at + PROPAGATION_TIMEOUT {
         let next = cluster.now() + Duration::from_millis(5);
         cluster.run_until(next);
         heartbeats.send_due(cluster);
         for (machine, time) in times.iter_mut().enumerate().filter(|(_, t)| t.is_none()) {
             if holds(cluster, machine) {
-                *time = Some(cluster.now() - began);
+                *time = Some(cluster.now() - started_at);
             }
         }
     }
     times.into_iter().map(|time| time.unwrap_or(PROPAGATION_TIMEOUT)).collect()
 }
 
-/// In milliseconds; `part` from 0 to 1.
+/// Returns the quantile `part`, from 0 to 1, in milliseconds.
 fn quantile(times: &mut [Duration], part: f64) -> u128 {
     times.sort_unstable();
     times[((times.len() - 1) as f64 * part) as usize].as_millis()
 }
 
-/// A cluster with heartbeats of all its endpoints.
-struct Measured {
+/// A cluster under measurement and the sender of its endpoints' heartbeats.
+struct MeasuredCluster {
     cluster: Cluster,
     heartbeats: HeartbeatSender,
 }
 
-/// Messages or bytes per second of each machine; voters come first.
+/// Messages and bytes sent per second by each machine, voters first.
 struct SendRates {
     messages: Vec<f64>,
     bytes: Vec<f64>,
 }
 
-impl Measured {
+impl MeasuredCluster {
     fn start(voters: usize, machines: usize, loss: f64) -> Self {
         let mut cluster = Cluster::new(ClusterSettings { loss, ..ClusterSettings::new(voters, machines, 1) });
         let endpoints = (machines as f64 * ENDPOINTS_PER_SIDECAR) as usize;
         cluster.run_until(Duration::from_secs(5));
         let mut heartbeats = HeartbeatSender { endpoints, draining: 0, sequence: 0, next: Duration::ZERO };
         heartbeats.send_due(&mut cluster);
-        Measured { cluster, heartbeats }
+        MeasuredCluster { cluster, heartbeats }
     }
 
-    /// Proposes a change at the primary until any machine has it; the times until each machine has it.
+    /// Proposes a change to the primary until a machine has applied it. Returns the time from then until each machine has
+    /// applied it.
     fn change(&mut self, generation: u64) -> Vec<Duration> {
         let document = json!({ "generation": generation, "routes": [], "services": [{ "name": "model" }] });
         let change = ConfigurationChange {
@@ -132,12 +134,12 @@
             let next = self.cluster.now() + Duration::from_millis(5);
             self.cluster.run_until(next);
         }
-        until_all(&mut self.cluster, &mut self.heartbeats, |cluster, machine| {
+        times_until_all(&mut self.cluster, &mut self.heartbeats, |cluster, machine| {
             generation_at(cluster, machine) >= generation
         })
     }
 
-    /// Drains one more endpoint; the times until each machine knows.
+    /// Drains one more endpoint. Returns the time until each machine knows.
     fn drain(&mut self) -> Vec<Duration> {
         self.heartbeats.sequence += 1;
         self.heartbeats.draining += 1;
@@ -146,22 +148,22 @@
         let heartbeat = heartbeat_of(number, EndpointState::Draining, self.heartbeats.sequence);
         self.cluster.heartbeat(machine, &heartbeat);
         let id = format!("i-{number:08x}");
-        until_all(&mut self.cluster, &mut self.heartbeats, |cluster, machine| {
+        times_until_all(&mut self.cluster, &mut self.heartbeats, |cluster, machine| {
             knows_draining(cluster, machine, &id)
         })
     }
 
-    /// What the machines send while nothing changes.
+    /// Measures the send rates of all machines while nothing changes.
     fn idle_rates(&mut self) -> SendRates {
         let before = self.cluster.messages_sent.clone();
-        let began = self.cluster.now();
+        let started_at = self.cluster.now();
         self.cluster.counts_bytes = true;
-        while self.cluster.now() < began + IDLE_DURATION {
+        while self.cluster.now() < started_at + IDLE_DURATION {
             let next = self.cluster.now() + Duration::from_millis(50);
             self.cluster.run_until(next);
             self.heartbeats.send_due(&mut self.cluster);
         }
-        let seconds = (self.cluster.now() - began).as_secs_f64();
+        let seconds = (self.cluster.now() - started_at).as_secs_f64();
         let messages = self.cluster.messages_sent.iter().zip(&before);
         SendRates {
             messages: messages.map(|(after, before)| (after - before) as f64 / seconds).collect(),
@@ -178,10 +180,10 @@
     values.iter().copied().fold(0.0, f64::max)
 }
 
-/// Prints a row of the table.
+/// Measures one cluster size and loss, and prints its row of the table.
 fn measure(machines: usize, loss: f64) {
     let voters = if machines < 30 { 3 } else { 8 };
-    let mut measured = Measured::start(voters, machines, loss);
+    let mut measured = MeasuredCluster::start(voters, machines, loss);
     let mut configured = Vec::new();
     let mut drained = Vec::new();
     for generation in 1..=CHANGES {
--- a/crates/testing/cluster-simulation/examples/failover.rs
+++ b/crates/testing/cluster-simulation/examples/failover.rs
@@ -1,4 +1,5 @@
-//! Time from the loss of the primary to the next acknowledgement, by kind of loss, size and loss of messages.
+//! Measures the time from the loss of the primary to the next acknowledgement, by kind of loss, cluster size and message
+//! loss.
 //!
 //! `cargo run --release -p passrelay-cluster-simulation --example failover -- [HISTORIES]`
 
@@ -6,7 +7,7 @@
 use passrelay_cluster_simulation::failover::{time_to_acknowledge, PrimaryLoss};
 use std::time::Duration;
 
-/// Voters, and machines in all.
+/// Number of voters and of all machines.
 const SIZES: [(usize, usize); 3] = [(3, 12), (5, 12), (8, 90)];
 const LOSSES: [PrimaryLoss; 6] = [
     PrimaryLoss::Crash,
@@ -17,7 +18,7 @@
     PrimaryLoss::CrashOfAll,
 ];
 
-/// How the table names a loss: the same words as in the tables published so far.
+/// Returns the table's label of a loss, unchanged from the tables published so far.
 fn label(loss: PrimaryLoss) -> &'static str {
     match loss {
         PrimaryLoss::Crash => "Crash",
--- a/crates/testing/cluster-simulation/src/faults.rs
+++ b/crates/testing/cluster-simulation/src/faults.rs
@@ -90,8 +90,8 @@
 }
 
 impl FaultInjector {
-    /// An injector for a cluster that tolerates so many losses of voters at the same time. A lost voter counts as lost for
-    /// `catch_up` after its return.
+    /// Creates an injector for a cluster that tolerates the loss of `tolerated` voters at the same time. A lost voter counts
+    /// as lost for `catch_up_time` after its return.
     pub fn new(tolerated: usize, catch_up_time: Duration) -> Self {
         FaultInjector {
             budget: LossBudget::new(tolerated, catch_up_time),
--- a/crates/testing/cluster-simulation/src/limit_checker.rs
+++ b/crates/testing/cluster-simulation/src/limit_checker.rs
@@ -1,45 +1,45 @@
-//! Checks the limits that bind the whole fleet, from what was sent and acknowledged alone: quotas, revocation of keys, the
-//! retry budget and draining endpoints.
+//! Checks the fleet-wide limits, solely from what was sent and acknowledged: quotas, revocation of keys, the retry budget and
+//! draining endpoints.
 //!
-//! It sees the requests of all sidecars on one clock, which none of them does, and knows nothing of how they share limits.
+//! Unlike any sidecar, the checker sees the requests of all sidecars on one clock. It does not know how they share limits.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// Bounds of a deployment.
+/// The limits of a deployment and the deviations that are tolerated.
 #[derive(Clone, Copy, Debug)]
 pub struct LimitBounds {
-    /// Sliding window of quotas.
+    /// Length of the sliding window over which quotas are checked.
     pub quota_window: Duration,
-    /// Relative overshoot that is tolerated, as a part of the quota.
+    /// Tolerated overshoot relative to the quota, from 0 to 1.
     pub quota_overshoot: f64,
-    /// Tokens of overshoot that are tolerated besides, per window.
+    /// Tolerated overshoot in addition to `quota_overshoot`, in tokens per window.
     pub quota_slack: f64,
-    /// Time after the acknowledgement of a key's removal in which the key may still be used.
+    /// Time after the acknowledgement of a key's removal during which the key may still be used.
     pub revocation_delay: Duration,
-    /// Sliding window of the retry budget.
+    /// Length of the sliding window over which the retry budget is checked.
     pub retry_window: Duration,
-    /// Retries per request.
+    /// Allowed ratio of retries to requests.
     pub retry_ratio: f64,
-    /// Retries that are tolerated besides, per window.
+    /// Retries allowed in addition to `retry_ratio`, per window.
     pub retry_slack: f64,
-    /// Time after the acknowledgement of an endpoint's draining in which requests may still be sent to it.
+    /// Time after the acknowledgement of an endpoint's draining during which requests may still be sent to it.
     pub drain_delay: Duration,
 }
 
 /// A limit that was exceeded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LimitViolation {
-    /// A tenant spent more tokens in a window than its quota allows.
+    /// A tenant spent more tokens in a window than its quota and the tolerated overshoot allow.
     QuotaExceeded {
-        /// The tenant.
+        /// Name of the tenant.
         tenant: String,
         /// Tokens spent in the window.
         tokens: u64,
     },
-    /// A revoked key was used too late.
+    /// A key was used after its removal was acknowledged and `revocation_delay` had passed.
     RevokedKeyUsed {
-        /// The key.
+        /// The revoked API key.
         key: String,
         /// Time since the acknowledgement of its removal.
         after: Duration,
@@ -51,9 +51,9 @@
         /// Requests in the window.
         requests: usize,
     },
-    /// A request was sent to a draining endpoint too late.
+    /// A request was sent to a draining endpoint after `drain_delay` had passed.
     DrainingEndpointUsed {
-        /// The endpoint.
+        /// Id of the endpoint.
         endpoint: String,
         /// Time since the acknowledgement of its draining.
         after: Duration,
@@ -63,56 +63,56 @@
 /// A tenant's quota.
 #[derive(Clone, Copy, Debug)]
 pub struct Quota {
-    /// Tokens per second.
+    /// Tokens added per second.
     pub rate_per_s: f64,
-    /// Tokens at once.
+    /// Tokens that may be spent at once.
     pub burst: f64,
 }
 
 /// A request that was sent to an endpoint.
 #[derive(Clone, Debug)]
 pub struct SentRequest<'a> {
-    /// The tenant.
+    /// Name of the tenant.
     pub tenant: &'a str,
     /// The tenant's quota; `None` if it has no limit.
     pub quota: Option<Quota>,
-    /// The client's key.
+    /// The API key that the client presented.
     pub key: &'a str,
-    /// Tokens that it is charged.
+    /// Tokens charged for the request.
     pub tokens: u64,
-    /// The endpoint.
+    /// Id of the endpoint.
     pub endpoint: &'a str,
-    /// Since when the sidecar that sent it can communicate with all others.
+    /// Time since which the sending sidecar has been able to communicate with all others.
     pub connected_since: Duration,
 }
 
-/// Tokens spent at a time.
+/// Tokens spent by one request.
 #[derive(Debug)]
 struct Spending {
     at: Duration,
     tokens: u64,
 }
 
-/// Collects what is sent and the violations among it.
+/// Records requests, retries and acknowledgements, and collects the violations.
 #[derive(Debug)]
 pub struct LimitChecker {
     bounds: LimitBounds,
-    /// By tenant, within the quota window.
+    /// Tokens spent within the quota window, by tenant.
     spent: BTreeMap<String, VecDeque<Spending>>,
-    /// When the removal of each key was first acknowledged.
+    /// Time of the first acknowledgement of each key's removal.
     revoked: BTreeMap<String, Duration>,
-    /// Arrivals within the retry window.
+    /// Arrival times of requests within the retry window.
     requests: VecDeque<Duration>,
-    /// Retries within the retry window.
+    /// Times of retries within the retry window.
     retries: VecDeque<Duration>,
-    /// When each endpoint's draining was first acknowledged, by whatever machine.
+    /// Time of the first acknowledgement of each endpoint's draining, by any machine.
     draining: BTreeMap<String, Duration>,
     /// All violations so far.
     pub violations: Vec<LimitViolation>,
 }
 
 impl LimitChecker {
-    /// A checker of these bounds.
+    /// Creates a checker with these bounds.
     pub fn new(bounds: LimitBounds) -> Self {
         LimitChecker {
             bounds,
@@ -125,22 +125,22 @@
         }
     }
 
-    /// A configuration without this key was acknowledged.
+    /// Records that a configuration without this key was acknowledged.
     pub fn key_revoked(&mut self, now: Duration, key: &str) {
         self.revoked.entry(key.to_owned()).or_insert(now);
     }
 
-    /// A machine acknowledged that an endpoint is draining.
+    /// Records that a machine acknowledged that an endpoint is draining.
     pub fn draining_acknowledged(&mut self, now: Duration, endpoint: &str) {
         self.draining.entry(endpoint.to_owned()).or_insert(now);
     }
 
-    /// A client's request arrived at a sidecar.
+    /// Records that a client's request arrived at a sidecar.
     pub fn request_arrived(&mut self, now: Duration) {
         self.requests.push_back(now);
     }
 
-    /// A request was retried at another endpoint. Checks the retry budget.
+    /// Records that a request was retried at another endpoint. Checks the retry budget.
     pub fn retry_sent(&mut self, now: Duration) {
         let from = now.saturating_sub(self.bounds.retry_window);
         self.retries.push_back(now);
@@ -153,7 +153,7 @@
         }
     }
 
-    /// A request was sent to its first endpoint. Checks its key, its endpoint and its tenant's quota.
+    /// Records that a request was sent to its first endpoint. Checks its key, its endpoint and its tenant's quota.
     pub fn request_sent(&mut self, now: Duration, request: &SentRequest) {
         self.check_key(now, request);
         self.check_endpoint(now, request);
@@ -170,7 +170,8 @@
         }
     }
 
-    /// Only machines that have been able to communicate since the acknowledgement have to know of it, whoever gave it.
+    /// Only sidecars that have been able to communicate since the acknowledgement have to respect it, whichever machine
+    /// gave it.
     fn check_endpoint(&mut self, now: Duration, request: &SentRequest) {
         let Some(at) = self.draining.get(request.endpoint) else { return };
         if request.connected_since <= *at && now > *at + self.bounds.drain_delay {
--- a/crates/testing/cluster-simulation/src/limits.rs
+++ b/crates/testing/cluster-simulation/src/limits.rs
@@ -1,9 +1,9 @@
-//! Random histories of the limits that bind the whole fleet: clients at all sidecars, tenants within and far over their
-//! quota, keys that are revoked, endpoints that drain, faults, and the checker's verdict.
+//! Random histories of the fleet-wide limits: clients at all sidecars, tenants within and far over their quota, revoked keys,
+//! draining endpoints, faults, and the checker's result.
 //!
-//! The control plane and dissemination are those of the program, and so are the data plane's parts that share limits
-//! (quota shares, retry budget, routing table). Connections to endpoints are reduced to a random delay. `clients` draws
-//! requests, `sidecar` admits and sends them, `endpoints` sends heartbeats and drains, `operator` replaces keys.
+//! The control plane, dissemination and the data plane's components that share limits (quota shares, retry budget, routing
+//! table) are those of the program. Connections to endpoints are simulated by a random delay. `clients` generates requests,
+//! `sidecar` admits and sends them, `endpoints` sends heartbeats and drains endpoints, `operator` replaces keys.
 
 mod clients;
 mod endpoints;
@@ -27,24 +27,24 @@
 
 /// Interval at which clients, sidecars, endpoints and operators act.
 const STEP_INTERVAL: Duration = Duration::from_millis(10);
-/// Time until the first configuration change.
+/// Time of the first configuration change.
 const FIRST_CHANGE_AT: Duration = Duration::from_secs(4);
-/// Time until the first requests and faults.
+/// Time from which clients send requests and faults are injected.
 const CLIENTS_START_AT: Duration = Duration::from_secs(6);
-/// Duration of a history.
-const LENGTH: Duration = Duration::from_secs(26);
-/// A machine can communicate with all others again this long after its last fault.
+/// Simulated time that a history covers.
+const DURATION: Duration = Duration::from_secs(26);
+/// Time after its last fault within which a machine can communicate with all others again.
 const RECONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// A lost voter counts as lost for this long after its return.
-const CATCH_UP: Duration = Duration::from_secs(4);
-/// Number of endpoints in service at a time.
+/// Time for which a lost voter counts as lost after its return.
+const CATCH_UP_TIME: Duration = Duration::from_secs(4);
+/// Number of endpoints at a time, including draining ones.
 const ENDPOINTS: usize = 6;
 const SERVICE: &str = "s";
 const HOST: &str = "lot.example";
 /// The tenant without a quota, whose keys are replaced.
 const UNLIMITED_TENANT: &str = "free";
 
-/// A tenant and the load that it offers.
+/// A tenant and its offered load.
 struct Tenant {
     name: &'static str,
     /// Quota in tokens per second, also its burst; 0 for unlimited.
@@ -53,14 +53,14 @@
     max_tokens_per_request: u64,
 }
 
-/// One tenant far over its quota, one within it, and one without.
+/// A tenant far over its quota, one within its quota, and one without a quota.
 const TENANTS: [Tenant; 3] = [
     Tenant { name: "hot", quota_per_s: 220_000.0, requests_per_s: 66.0, max_tokens_per_request: 20_000 },
     Tenant { name: "fair", quota_per_s: 60_000.0, requests_per_s: 9.0, max_tokens_per_request: 8_000 },
     Tenant { name: UNLIMITED_TENANT, quota_per_s: 0.0, requests_per_s: 8.0, max_tokens_per_request: 4_000 },
 ];
 
-/// Bounds as in the small deployments.
+/// Limits and tolerances of the small deployments.
 const BOUNDS: LimitBounds = LimitBounds {
     quota_window: Duration::from_secs(8),
     quota_overshoot: 0.1,
@@ -72,40 +72,40 @@
     drain_delay: Duration::from_secs(2),
 };
 
-/// How sidecars are made to exceed the limits, for testing the checker.
+/// A way in which sidecars are made to exceed the limits, to test the checker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitMutation {
     /// Keys and freshness are checked before the wait for a connection and not again before sending.
     ChecksBeforeWaitOnly,
-    /// Each sidecar has the slack of the whole fleet's retry budget.
+    /// Each sidecar has the slack of the fleet-wide retry budget.
     RetrySlackPerSidecar,
-    /// Requests are sent to draining endpoints as long as they are registered.
+    /// Requests are sent to endpoints that are draining, as long as they are registered.
     SendsToDraining,
-    /// An endpoint's draining is acknowledged whether or not other sidecars know of it.
+    /// An endpoint's draining is acknowledged without waiting for a quorum to know of it.
     AcknowledgesDrainingWithoutQuorum,
 }
 
-/// What a history consists of.
+/// Settings of a history.
 #[derive(Clone, Debug)]
 pub struct LimitSettings {
-    /// The machines and the network.
+    /// Machines, network and mutations of the control plane.
     pub cluster: ClusterSettings,
-    /// Whether machines have no faults.
+    /// Whether to inject no faults.
     pub fault_free: bool,
-    /// Mutation of all sidecars, for testing the checker.
+    /// Mutation of all sidecars, to test the checker.
     pub mutation: Option<LimitMutation>,
 }
 
 /// The result of a history.
 #[derive(Debug, Default)]
 pub struct LimitOutcome {
-    /// Limits exceeded.
+    /// Exceeded limits; empty for a correct fleet.
     pub violations: Vec<LimitViolation>,
-    /// Requests sent, by tenant.
+    /// Number of requests sent, by tenant.
     pub sent: BTreeMap<String, usize>,
-    /// Requests rejected, by tenant.
+    /// Number of requests rejected, by tenant; tenants without rejections are absent.
     pub rejected: BTreeMap<String, usize>,
-    /// Number of keys revoked.
+    /// Number of keys whose removal was acknowledged.
     pub revoked: usize,
     /// Number of endpoints whose draining was acknowledged.
     pub drained: usize,
@@ -116,26 +116,26 @@
     faults: FaultInjector,
     checker: LimitChecker,
     settings: LimitSettings,
-    /// By machine.
+    /// State of the sidecar on each machine.
     sidecars: BTreeMap<usize, Sidecar>,
     endpoints: Vec<Endpoint>,
     next_endpoint: usize,
-    /// The configuration change in flight.
+    /// The configuration change that has not been acknowledged yet.
     pending_change: Option<PendingChange>,
     next_change_at: Duration,
     generation: u64,
-    /// Endpoints whose draining was announced and not confirmed yet.
+    /// Ids of endpoints whose draining was announced and not confirmed yet.
     announced: BTreeMap<AnnouncementKey, String>,
-    /// All keys that the unlimited tenant ever had; the last one is in force.
+    /// All keys of the unlimited tenant so far, of which the last one is current.
     keys: Vec<String>,
     outcome: LimitOutcome,
 }
 
-/// Plays a history.
+/// Runs a history and returns its outcome.
 pub fn simulate(settings: &LimitSettings) -> LimitOutcome {
     let mut history = LimitHistory::new(settings.clone());
     (0..ENDPOINTS).for_each(|_| history.start_endpoint());
-    while history.cluster.now() < LENGTH {
+    while history.cluster.now() < DURATION {
         history.step();
     }
     history.outcome.violations = history.checker.violations;
@@ -146,7 +146,7 @@
     fn new(settings: LimitSettings) -> Self {
         LimitHistory {
             cluster: Cluster::new(settings.cluster.clone()),
-            faults: FaultInjector::new(settings.cluster.tolerated_losses, CATCH_UP),
+            faults: FaultInjector::new(settings.cluster.tolerated_losses, CATCH_UP_TIME),
             checker: LimitChecker::new(BOUNDS),
             settings,
             sidecars: BTreeMap::new(),
@@ -216,7 +216,8 @@
         self.sidecar_of(machine, incarnation).shares.apply_grants(now, request_id, &grants);
     }
 
-    /// Since when a machine can communicate with all others, so that it has to know what they acknowledge.
+    /// Returns the time since which a machine can communicate with all others, so that it has to respect what they have
+    /// acknowledged.
     fn connected_since(&self, machine: usize) -> Duration {
         let started_at = self.cluster.started_at(machine);
         self.faults.faulty_until(machine).max(started_at) + RECONNECT_TIMEOUT
--- a/crates/testing/cluster-simulation/src/limits/clients.rs
+++ b/crates/testing/cluster-simulation/src/limits/clients.rs
@@ -1,11 +1,11 @@
-//! Clients: random requests of each tenant at random machines.
+//! Clients, which send random requests of each tenant to random machines.
 
 use super::sidecar::ClientRequest;
 use super::{LimitHistory, STEP_INTERVAL, TENANTS, UNLIMITED_TENANT};
 use rand::seq::IndexedRandom;
 use rand::Rng;
 
-/// Probability that a client of the unlimited tenant uses any of its keys, mostly revoked ones.
+/// Probability that a client of the unlimited tenant uses a random one of its keys so far, mostly a revoked one.
 const OLD_KEY_PROBABILITY: f64 = 0.3;
 
 impl LimitHistory {
--- a/crates/testing/cluster-simulation/src/limits/endpoints.rs
+++ b/crates/testing/cluster-simulation/src/limits/endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoints: heartbeats to random machines, and draining with its acknowledgement.
+//! Endpoints, which send heartbeats to random machines and drain until that is acknowledged.
 
 use super::{LimitHistory, LimitMutation, CLIENTS_START_AT, SERVICE};
 use crate::cluster::HEARTBEAT_INTERVAL;
@@ -7,26 +7,27 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// The first heartbeat is sent within this time, in milliseconds: one heartbeat interval.
+/// Upper bound of the delay before an endpoint's first heartbeat, in milliseconds: one heartbeat interval.
 const MAX_FIRST_HEARTBEAT_DELAY_MS: u64 = 1_200;
 /// Probability, per step, that an endpoint starts to drain.
 const DRAIN_PROBABILITY: f64 = 0.002;
-/// An endpoint ends this long after the acknowledgement of its draining, and another takes its place.
+/// Time after the acknowledgement of its draining after which an endpoint is replaced.
 const REMOVE_DRAINED_AFTER: Duration = Duration::from_secs(5);
 
-/// An endpoint in service or draining.
+/// An endpoint, ready or draining.
 pub(super) struct Endpoint {
     id: String,
     index: usize,
     state: EndpointState,
-    /// Number of its last heartbeat.
+    /// Sequence number of the last heartbeat.
     sequence: u64,
     next_heartbeat: Duration,
-    /// When its draining was first acknowledged.
+    /// When the draining was first acknowledged; `None` before.
     drained_at: Option<Duration>,
 }
 
-/// Identifies an announcement in a history: its number is unique only within one incarnation of a process.
+/// Uniquely identifies an announcement in a history; announcement ids alone are unique only within one incarnation of a
+/// process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct AnnouncementKey {
     pub(super) machine: usize,
@@ -49,7 +50,7 @@
         });
     }
 
-    /// Sends the heartbeats that are due. At times an endpoint starts to drain, and is replaced some time later.
+    /// Sends the heartbeats that are due, at times starts to drain an endpoint, and replaces drained ones.
     pub(super) fn drive_endpoints(&mut self) {
         let now = self.cluster.now();
         if now > CLIENTS_START_AT && self.cluster.rng.random_bool(DRAIN_PROBABILITY) {
@@ -68,8 +69,8 @@
         (self.endpoints.len()..before).for_each(|_| self.start_endpoint());
     }
 
-    /// Sends an endpoint's heartbeat to a random machine. As long as its draining isn't acknowledged, the machine is asked
-    /// to acknowledge it.
+    /// Sends an endpoint's heartbeat to a random machine. If the endpoint is draining and that is not acknowledged yet, also
+    /// makes the machine announce it.
     fn send_heartbeat(&mut self, index: usize) {
         let now = self.cluster.now();
         let endpoint = &mut self.endpoints[index];
@@ -102,7 +103,7 @@
         self.observe(observations);
     }
 
-    /// A quorum knows what a machine announced: it acknowledges that the endpoint is draining.
+    /// Handles the confirmation of an announcement by a quorum: the machine acknowledges that the endpoint is draining.
     pub(super) fn handle_confirmation(&mut self, announcement: AnnouncementKey) {
         if let Some(id) = self.announced.remove(&announcement) {
             self.acknowledge_draining(&id);
--- a/crates/testing/cluster-simulation/src/limits/operator.rs
+++ b/crates/testing/cluster-simulation/src/limits/operator.rs
@@ -1,4 +1,4 @@
-//! The operator: replaces the unlimited tenant's key every few seconds, and retries each change until it is acknowledged.
+//! The operator, who replaces the unlimited tenant's key every few seconds and retries each change until it is acknowledged.
 
 use super::{LimitHistory, HOST, SERVICE, TENANTS, UNLIMITED_TENANT};
 use crate::cluster::CallKey;
@@ -8,16 +8,16 @@
 use serde_json::json;
 use std::time::Duration;
 
-/// A change without an answer is sent again after this.
+/// Time without an answer after which a change is sent again.
 const RETRY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A change in flight.
+/// A change that has not been acknowledged yet.
 pub(super) struct PendingChange {
     change: ConfigurationChange,
-    /// The last call; `None` if it failed or was answered without an acknowledgement.
+    /// The last call; `None` if none was made, it failed or it was answered without an acknowledgement.
     call: Option<CallKey>,
     called_at: Duration,
-    /// The key that it revokes.
+    /// The key that the change revokes; `None` for the first change.
     revokes: Option<String>,
 }
 
@@ -40,7 +40,7 @@
         self.observe(called.map(|(_, observations)| observations).unwrap_or_default());
     }
 
-    /// The change that gives the unlimited tenant a new key in place of its last one.
+    /// Creates the change that replaces the unlimited tenant's key with a new one.
     fn replace_key(&mut self) -> PendingChange {
         let revokes = self.keys.last().cloned();
         let base = self.generation;
@@ -69,7 +69,7 @@
     }
 }
 
-/// A configuration with all tenants, of which the unlimited one has this key.
+/// Returns a configuration of all tenants in which `unlimited_key` is the unlimited tenant's key.
 fn document(generation: u64, unlimited_key: &str) -> String {
     let tenants: Vec<_> = TENANTS
         .iter()
--- a/crates/testing/cluster-simulation/src/limits/sidecar.rs
+++ b/crates/testing/cluster-simulation/src/limits/sidecar.rs
@@ -1,8 +1,8 @@
-//! Sidecars: admit requests by key and freshness, wait for quota, connect to an endpoint, send, and retry within the
+//! Sidecars, which admit requests by key and freshness, wait for quota, connect to an endpoint, send, and retry within the
 //! budget.
 //!
-//! A request goes through `admit`, the quota queue (tenants with a quota only), `connect` and `send`. Key and freshness
-//! are checked again before sending, because both may have changed meanwhile.
+//! A request passes through `admit`, the quota queue (tenants with a quota only), `connect` and `send`. Key and freshness
+//! are checked again before sending, because both may have changed in the meantime.
 
 use super::{LimitHistory, LimitMutation, BOUNDS, HOST, SERVICE, TENANTS};
 use crate::limit_checker::{Quota, SentRequest};
@@ -16,15 +16,15 @@
 use rand::Rng;
 use std::time::Duration;
 
-/// Margin of the freshness check below the bound on revocation, as in the program.
+/// Margin by which the freshness check stays below the revocation delay, as in the program.
 const REVOCATION_MARGIN: Duration = Duration::from_millis(600);
-/// A request waits for quota tokens at most this long.
+/// Maximum time that a request waits for quota tokens.
 const QUOTA_TIMEOUT: Duration = Duration::from_millis(100);
-/// Probability that a connection to an endpoint takes time.
+/// Probability that connecting to an endpoint is delayed.
 const SLOW_CONNECT_PROBABILITY: f64 = 0.2;
-/// Upper bound of that time, in milliseconds.
+/// Upper bound of that delay, in milliseconds.
 const MAX_CONNECT_MS: u64 = 200;
-/// Probability that an endpoint rejects a request, so that it may be retried.
+/// Probability that an endpoint rejects a request, which may then be retried.
 const REJECTED_PROBABILITY: f64 = 0.6;
 
 /// A request of a client.
@@ -38,8 +38,9 @@
 /// A request that waits for quota tokens.
 struct QueuedRequest {
     request: ClientRequest,
+    /// Hash of the tenant's name, as in `TenantKey`.
     tenant: u64,
-    /// On the clock of the process.
+    /// Time on the process's local clock.
     queued_at: Duration,
 }
 
@@ -47,7 +48,7 @@
 struct ConnectingRequest {
     request: ClientRequest,
     endpoint: String,
-    /// On the clock of the process.
+    /// Time on the process's local clock.
     connected_at: Duration,
 }
 
@@ -59,7 +60,7 @@
     table: Option<RoutingTable>,
     queued: Vec<QueuedRequest>,
     connecting: Vec<ConnectingRequest>,
-    /// Retries beyond the budget, which only a mutation grants.
+    /// Remaining retries beyond the budget; 0 unless a mutation grants some.
     extra_retries: f64,
 }
 
@@ -96,7 +97,7 @@
 }
 
 impl LimitHistory {
-    /// The sidecar of a machine's process; a new one for a new incarnation.
+    /// Returns the sidecar of a machine's process, creating a new one for a new incarnation.
     pub(super) fn sidecar_of(&mut self, machine: usize, incarnation: u64) -> &mut Sidecar {
         let mutation = self.settings.mutation;
         let sidecar = self.sidecars.entry(machine).or_insert_with(|| Sidecar::new(incarnation, mutation));
@@ -106,7 +107,7 @@
         sidecar
     }
 
-    /// The sidecar of the process that runs on a machine now.
+    /// Returns the sidecar of the process that runs on a machine now.
     fn sidecar(&mut self, machine: usize) -> &mut Sidecar {
         let incarnation = self.cluster.incarnation(machine);
         self.sidecar_of(machine, incarnation)
@@ -135,7 +136,7 @@
         *self.outcome.rejected.entry(request.tenant.clone()).or_default() += 1;
     }
 
-    /// Whether a machine may send a request with this key now: its configuration is fresh and has the key.
+    /// Returns whether a machine may send a request with this key now: its configuration must be fresh and contain the key.
     fn may_send(&mut self, machine: usize, key: &str) -> bool {
         let now = self.cluster.local_now(machine);
         let process = self.cluster.process(machine);
@@ -144,7 +145,7 @@
         now.saturating_sub(fresh_at) < max_age && self.sidecar(machine).tenant(key).is_some()
     }
 
-    /// Selects an endpoint and connects to it, which takes time at times.
+    /// Selects an endpoint and starts to connect to it, at times with a delay.
     fn connect(&mut self, machine: usize, request: ClientRequest) {
         let is_slow = self.cluster.rng.random_bool(SLOW_CONNECT_PROBABILITY);
         let delay = if is_slow { self.cluster.rng.random_range(0..MAX_CONNECT_MS) } else { 0 };
@@ -165,7 +166,7 @@
         ids.choose(&mut self.cluster.rng).cloned()
     }
 
-    /// Advances the requests of one sidecar; none while its process is paused or down.
+    /// Advances the requests of one sidecar. Does nothing while its process is paused or down.
     pub(super) fn drive_sidecar(&mut self, machine: usize) {
         if !self.cluster.is_responsive(machine) {
             return;
@@ -186,23 +187,23 @@
         }
     }
 
-    /// Requests the quota tokens that are wanted now from the grantor.
+    /// Requests the quota tokens in demand from the grantor, if a request is due.
     fn request_quota(&mut self, machine: usize) {
         let now = self.cluster.local_now(machine);
-        let Some(question) = self.sidecar(machine).shares.next_request(now) else { return };
+        let Some(next_request) = self.sidecar(machine).shares.next_request(now) else { return };
         let keyed = |amounts: Vec<TenantTokens>| {
             amounts.into_iter().map(|amount| (TenantKey(amount.tenant), amount.tokens).into()).collect()
         };
         let request = QuotaMessage::Request {
-            request_id: question.request_id,
-            wanted: keyed(question.wanted),
-            overdrawn: keyed(question.overdrawn),
+            request_id: next_request.request_id,
+            wanted: keyed(next_request.wanted),
+            overdrawn: keyed(next_request.overdrawn),
         };
         let observations = self.cluster.request_tokens(machine, request).unwrap_or_default();
         self.observe(observations);
     }
 
-    /// Connects a request that gets its tokens, and rejects one that gets none in time.
+    /// Connects a queued request that gets its tokens, and rejects one that does not get them in time.
     fn advance_queued(&mut self, machine: usize, now: Duration, queued: QueuedRequest) {
         let sidecar = self.sidecar(machine);
         let tokens = queued.request.tokens;
@@ -236,7 +237,7 @@
         }
     }
 
-    /// Whether a request that is connected to an endpoint may still be sent to it.
+    /// Returns whether a request with a connection to an endpoint may still be sent to it.
     fn is_usable(&self, machine: usize, endpoint: &str) -> bool {
         let sends_to_draining = self.settings.mutation == Some(LimitMutation::SendsToDraining);
         let is_usable = |record: &EndpointRecord| {
--- a/crates/testing/cluster-simulation/tests/rollouts.rs
+++ b/crates/testing/cluster-simulation/tests/rollouts.rs
@@ -23,11 +23,11 @@
 const EXPOSURE_RATIO: f64 = 0.1;
 const EXPOSURE_SLACK: f64 = 50.0;
 /// Time between two reports of a sidecar.
-const REPORT: Duration = Duration::from_millis(300);
+const REPORT_INTERVAL: Duration = Duration::from_millis(300);
 /// Time between two requests of a sidecar.
-const REQUEST: Duration = Duration::from_millis(50);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(50);
 /// A cluster is whole again after this time.
-const RECOVERY: Duration = Duration::from_secs(15);
+const RECOVERY_TIME: Duration = Duration::from_secs(15);
 
 /// How requests at the new version end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -48,70 +48,70 @@
     incarnation: u64,
     shares: RolloutShares,
     target_in_service: bool,
-    seen_target: bool,
+    target_was_used: bool,
 }
 
 /// A cluster with sidecars that send requests, and endpoints of two versions.
-struct Story {
+struct TestCluster {
     cluster: Cluster,
     sidecars: BTreeMap<usize, SidecarState>,
     answers: BTreeMap<CallKey, (u16, String)>,
     quality: Quality,
     has_target_endpoints: bool,
-    beats: u64,
-    ordered_at: Option<Duration>,
+    heartbeat_sequence: u64,
+    order_sent_at: Option<Duration>,
     requests: f64,
-    exposed: f64,
-    next_beat: Duration,
+    target_requests: f64,
+    next_heartbeat: Duration,
     next_report: Duration,
 }
 
-impl Story {
-    fn begin(voters: usize, machines: usize, seed: u64, quality: Quality) -> Self {
+impl TestCluster {
+    fn start(voters: usize, machines: usize, seed: u64, quality: Quality) -> Self {
         let settings =
             ClusterSettings { records_versions: true, ..ClusterSettings::new(voters, machines, seed) };
-        let mut story = Story {
+        let mut test = TestCluster {
             cluster: Cluster::new(settings),
             sidecars: BTreeMap::new(),
             answers: BTreeMap::new(),
             quality,
             has_target_endpoints: false,
-            beats: 0,
-            ordered_at: None,
+            heartbeat_sequence: 0,
+            order_sent_at: None,
             requests: 0.0,
-            exposed: 0.0,
-            next_beat: Duration::ZERO,
+            target_requests: 0.0,
+            next_heartbeat: Duration::ZERO,
             next_report: Duration::ZERO,
         };
-        story.run(Duration::from_secs(4));
+        test.run(Duration::from_secs(4));
         let document = json!({ "generation": 1, "routes": [], "services": [{ "name": SERVICE }] });
         let change =
             ConfigurationChange { kind: ChangeKind::Replace, base: 0, body: document.to_string().into() };
-        assert_eq!(story.call_until_answered(&OperatorRequest::Change(change)).0, 200);
-        story.run(Duration::from_secs(3));
-        story
+        assert_eq!(test.call_until_answered(&OperatorRequest::Change(change)).0, 200);
+        test.run(Duration::from_secs(3));
+        test
     }
 
     fn run(&mut self, time: Duration) {
         let until = self.cluster.now() + time;
         while self.cluster.now() < until {
             let now = self.cluster.now();
-            if now >= self.next_beat {
-                self.next_beat = now + HEARTBEAT_INTERVAL / 2;
-                self.beat();
+            if now >= self.next_heartbeat {
+                self.next_heartbeat = now + HEARTBEAT_INTERVAL / 2;
+                self.send_heartbeats();
             }
             if now >= self.next_report {
-                self.next_report = now + REPORT;
+                self.next_report = now + REPORT_INTERVAL;
                 self.report();
             }
             self.send_requests();
-            let seen = self.cluster.run_until((now + REQUEST).min(until));
+            let seen = self.cluster.run_until((now + REQUEST_INTERVAL).min(until));
             self.observe(seen);
         }
     }
 
-    fn beat(&mut self) {
-        self.beats += 1;
+    fn send_heartbeats(&mut self) {
+        self.heartbeat_sequence += 1;
         let versions = if self.has_target_endpoints { vec!["v1", "v2"] } else { vec!["v1"] };
         for (group, version) in versions.into_iter().enumerate() {
             for index in 0..4 {
@@ -128,7 +128,7 @@
                     zone: "z".to_owned(),
                     capacity: 64,
                     state: EndpointState::Ready,
-                    sequence: self.beats,
+                    sequence: self.heartbeat_sequence,
                     version: version.to_owned(),
                 };
                 let seen = self.cluster.heartbeat(machine, &Heartbeat { record }).unwrap_or_default();
@@ -156,7 +156,7 @@
 
     /// Every sidecar sends one request.
     fn send_requests(&mut self) {
-        let since_order = self.ordered_at.map(|at| self.cluster.now().saturating_sub(at));
+        let since_order = self.order_sent_at.map(|at| self.cluster.now().saturating_sub(at));
         for machine in 0..self.cluster.len() {
             let now = self.cluster.local_now(machine);
             let incarnation = self.cluster.incarnation(machine);
@@ -172,23 +172,27 @@
             let features = RequestFeatures { route: "r", prefill_tokens: 100, is_load_test };
             let is_canary = choice.is_some_and(|choice| choice.version == "v2");
             let is_target = is_canary || sidecar.target_in_service;
-            sidecar.seen_target |= is_target;
+            sidecar.target_was_used |= is_target;
             if since_order.is_some_and(|time| time < DEADLINE) {
                 self.requests += 1.0;
-                self.exposed += f64::from(u8::from(is_target));
+                self.target_requests += f64::from(u8::from(is_target));
             }
             let chance: f64 = self.cluster.rng.random();
-            let late = since_order.is_some_and(|time| time > Duration::from_millis(3_400));
+            let is_late = since_order.is_some_and(|time| time > Duration::from_millis(3_400));
             let fails = match self.quality {
                 Quality::Failing => chance < 0.33,
-                Quality::FailingLate => late && chance < 0.33,
+                Quality::FailingLate => is_late && chance < 0.33,
                 Quality::FailingUnderLoad => is_load_test && chance < 0.5,
                 Quality::Good | Quality::Slow => false,
             };
-            let slow = if self.quality == Quality::Slow && chance < 0.5 { 8.0 } else { 1.0 };
-            let usual = 0.05 * (1.0 + self.cluster.rng.random::<f64>());
+            let latency_factor = if self.quality == Quality::Slow && chance < 0.5 { 8.0 } else { 1.0 };
+            let base_latency_s = 0.05 * (1.0 + self.cluster.rng.random::<f64>());
             let version = if is_target { "v2" } else { "v1" };
-            let latency = Duration::from_secs_f64(if is_target { usual * slow } else { usual });
+            let latency = Duration::from_secs_f64(if is_target {
+                base_latency_s * latency_factor
+            } else {
+                base_latency_s
+            });
             if let Some(request) = sidecar.shares.observe(SERVICE, version, features) {
                 sidecar.shares.record_latency(&request, LatencyMeasure::FirstByte, latency);
                 sidecar.shares.record_end(&request, is_target && fails);
@@ -242,15 +246,15 @@
         panic!("no clear answer to {request:?}");
     }
 
-    fn order(&mut self) {
-        self.ordered_at = Some(self.cluster.now());
-        let (status, body) = self.call_until_answered(&OperatorRequest::OrderRollout(order_of("v2")));
+    fn order_rollout(&mut self) {
+        self.order_sent_at = Some(self.cluster.now());
+        let (status, body) = self.call_until_answered(&OperatorRequest::OrderRollout(rollout_order("v2")));
         assert_eq!(status, 200, "{body}");
         self.has_target_endpoints = true;
     }
 
     /// State and version that operators are told.
-    fn read(&mut self) -> (String, String) {
+    fn read_rollout(&mut self) -> (String, String) {
         let request = OperatorRequest::ReadRollout { service: SERVICE.to_owned() };
         let (status, body) = self.call_until_answered(&request);
         assert_eq!(status, 200, "{body}");
@@ -271,19 +275,24 @@
         }
     }
 
-    fn assert_exposure(&self, what: &str) {
+    fn assert_exposure(&self, context: &str) {
         let bound = EXPOSURE_RATIO * self.requests + EXPOSURE_SLACK;
-        assert!(self.exposed <= bound, "{what}: {} of {} requests", self.exposed, self.requests);
+        assert!(
+            self.target_requests <= bound,
+            "{context}: {} of {} requests",
+            self.target_requests,
+            self.requests
+        );
     }
 
     /// All processes have the same end, and the version that belongs to it.
-    fn assert_agreed(&self, phase: RolloutPhase, version: &str, what: &str) {
+    fn assert_outcome(&self, phase: RolloutPhase, version: &str, context: &str) {
         for machine in (0..self.cluster.len()).filter(|machine| self.cluster.is_running(*machine)) {
             let status = self.cluster.process(machine).expect("a process").status(Duration::ZERO);
             let current = status.rollouts.get(SERVICE).and_then(|rollouts| rollouts.current.clone());
             let found = current.as_ref().map(|one| one.phase);
-            assert_eq!(found, Some(phase), "{what}, machine {machine}: {current:?}");
-            assert_eq!(status.service_versions.get(SERVICE), Some(version), "{what}, machine {machine}");
+            assert_eq!(found, Some(phase), "{context}, machine {machine}: {current:?}");
+            assert_eq!(status.service_versions.get(SERVICE), Some(version), "{context}, machine {machine}");
         }
     }
 }
@@ -291,11 +300,11 @@
 impl SidecarState {
     fn new(incarnation: u64) -> Self {
         let shares = RolloutShares::new(0.5);
-        SidecarState { incarnation, shares, target_in_service: false, seen_target: false }
+        SidecarState { incarnation, shares, target_in_service: false, target_was_used: false }
     }
 }
 
-fn order_of(version: &str) -> RolloutOrder {
+fn rollout_order(version: &str) -> RolloutOrder {
     RolloutOrder {
         service: SERVICE.to_owned(),
         target_version: version.to_owned(),
@@ -308,16 +317,16 @@
 #[case::six_voters(6, 9)]
 fn a_good_version_is_completed_by_its_deadline(#[case] voters: usize, #[case] machines: usize) {
     for seed in 0..SEEDS {
-        let mut story = Story::begin(voters, machines, seed, Quality::Good);
-        story.order();
-        let ordered_at = story.ordered_at.expect("ordered");
-        while story.read().0 == "running" {
-            story.run(Duration::from_millis(200));
+        let mut test = TestCluster::start(voters, machines, seed, Quality::Good);
+        test.order_rollout();
+        let order_sent_at = test.order_sent_at.expect("ordered");
+        while test.read_rollout().0 == "running" {
+            test.run(Duration::from_millis(200));
         }
-        let after = story.cluster.now() - ordered_at;
+        let after = test.cluster.now() - order_sent_at;
         assert!(after < DEADLINE, "seed {seed}: {after:?}");
-        story.run(Duration::from_secs(2));
-        story.assert_agreed(RolloutPhase::Completed, "v2", &format!("seed {seed}"));
+        test.run(Duration::from_secs(2));
+        test.assert_outcome(RolloutPhase::Completed, "v2", &format!("seed {seed}"));
     }
 }
 
@@ -328,12 +337,12 @@
 #[case::failing_under_load(Quality::FailingUnderLoad)]
 fn a_bad_version_is_rolled_back_and_gets_little_until_then(#[case] quality: Quality) {
     for seed in 0..SEEDS {
-        let mut story = Story::begin(3, 12, seed, quality);
-        story.order();
-        story.run(DEADLINE);
-        story.assert_exposure(&format!("seed {seed}"));
-        assert!(story.exposed > 0.0, "seed {seed}: it was tried");
-        story.assert_agreed(RolloutPhase::RolledBack, "v1", &format!("seed {seed}"));
+        let mut test = TestCluster::start(3, 12, seed, quality);
+        test.order_rollout();
+        test.run(DEADLINE);
+        test.assert_exposure(&format!("seed {seed}"));
+        assert!(test.target_requests > 0.0, "seed {seed}: it was tried");
+        test.assert_outcome(RolloutPhase::RolledBack, "v1", &format!("seed {seed}"));
     }
 }
 
@@ -345,30 +354,30 @@
 #[case::failing_late(Quality::FailingLate)]
 fn a_roll_out_survives_the_loss_of_its_controller_at_any_moment(#[case] quality: Quality) {
     for seed in 0..SEEDS {
-        let what = format!("seed {seed}");
-        let mut story = Story::begin(6, 9, seed, quality);
-        story.order();
+        let context = format!("seed {seed}");
+        let mut test = TestCluster::start(6, 9, seed, quality);
+        test.order_rollout();
         for _ in 0..3 {
-            let wait = story.cluster.rng.random_range(0..4_000);
-            story.run(Duration::from_millis(wait));
-            let primary = story.cluster.primary();
-            let machine = primary.unwrap_or_else(|| story.cluster.rng.random_range(0..6));
-            if story.cluster.rng.random_bool(0.3) {
-                story.cluster.pause(machine, Duration::from_millis(2_500));
+            let wait = test.cluster.rng.random_range(0..4_000);
+            test.run(Duration::from_millis(wait));
+            let primary = test.cluster.primary();
+            let machine = primary.unwrap_or_else(|| test.cluster.rng.random_range(0..6));
+            if test.cluster.rng.random_bool(0.3) {
+                test.cluster.pause(machine, Duration::from_millis(2_500));
             } else {
-                let down = Duration::from_millis(story.cluster.rng.random_range(100..2_000));
-                story.crash_and_start(&[machine], &[], down);
+                let down = Duration::from_millis(test.cluster.rng.random_range(100..2_000));
+                test.crash_and_start(&[machine], &[], down);
             }
         }
-        story.run(DEADLINE + RECOVERY);
-        let (state, version) = story.read();
-        assert!(version == "v2" && state != "running", "{what}: {state} {version}");
+        test.run(DEADLINE + RECOVERY_TIME);
+        let (state, version) = test.read_rollout();
+        assert!(version == "v2" && state != "running", "{context}: {state} {version}");
         if quality == Quality::Good {
             let phase = if state == "completed" { RolloutPhase::Completed } else { RolloutPhase::RolledBack };
-            story.assert_agreed(phase, if state == "completed" { "v2" } else { "v1" }, &what);
+            test.assert_outcome(phase, if state == "completed" { "v2" } else { "v1" }, &context);
         } else {
-            story.assert_exposure(&what);
-            story.assert_agreed(RolloutPhase::RolledBack, "v1", &what);
+            test.assert_exposure(&context);
+            test.assert_outcome(RolloutPhase::RolledBack, "v1", &context);
         }
     }
 }
@@ -376,38 +385,41 @@
 #[test]
 fn an_acknowledged_order_outlives_all_machines_and_tolerated_disks() {
     for seed in 0..SEEDS {
-        let mut story = Story::begin(6, 9, seed, Quality::Good);
-        story.order();
-        story.has_target_endpoints = false;
+        let mut test = TestCluster::start(6, 9, seed, Quality::Good);
+        test.order_rollout();
+        test.has_target_endpoints = false;
         let mut wiped: Vec<usize> = (0..6).collect();
-        wiped.shuffle(&mut story.cluster.rng);
+        wiped.shuffle(&mut test.cluster.rng);
         wiped.truncate(2);
         let all: Vec<usize> = (0..9).collect();
-        story.crash_and_start(&all, &wiped, Duration::from_millis(700));
-        story.run(Duration::from_secs(3));
-        let (_, version) = story.read();
+        test.crash_and_start(&all, &wiped, Duration::from_millis(700));
+        test.run(Duration::from_secs(3));
+        let (_, version) = test.read_rollout();
         assert_eq!(version, "v2", "seed {seed}");
-        story.run(DEADLINE + RECOVERY);
-        story.assert_agreed(RolloutPhase::RolledBack, "v1", &format!("seed {seed}"));
-        assert!(story.sidecars.values().all(|sidecar| !sidecar.seen_target), "seed {seed}: it got nothing");
+        test.run(DEADLINE + RECOVERY_TIME);
+        test.assert_outcome(RolloutPhase::RolledBack, "v1", &format!("seed {seed}"));
+        assert!(
+            test.sidecars.values().all(|sidecar| !sidecar.target_was_used),
+            "seed {seed}: it got nothing"
+        );
     }
 }
 
 #[test]
 fn the_same_order_again_is_acknowledged_and_another_one_waits_for_it() {
     for seed in 0..SEEDS {
-        let mut story = Story::begin(3, 6, seed, Quality::Failing);
-        story.order();
-        let again = story.call_until_answered(&OperatorRequest::OrderRollout(order_of("v2")));
-        assert_eq!(again.0, 200, "seed {seed}: {}", again.1);
-        let next = story.call_until_answered(&OperatorRequest::OrderRollout(order_of("v3")));
+        let mut test = TestCluster::start(3, 6, seed, Quality::Failing);
+        test.order_rollout();
+        let repeated = test.call_until_answered(&OperatorRequest::OrderRollout(rollout_order("v2")));
+        assert_eq!(repeated.0, 200, "seed {seed}: {}", repeated.1);
+        let next = test.call_until_answered(&OperatorRequest::OrderRollout(rollout_order("v3")));
         assert_eq!(next.0, 200, "seed {seed}: {}", next.1);
-        assert_eq!(story.read().1, "v2", "seed {seed}: the first is judged first");
-        story.run(DEADLINE + Duration::from_secs(4));
-        assert_eq!(story.read(), ("rolled_back".to_owned(), "v3".to_owned()), "seed {seed}");
-        let again = story.call_until_answered(&OperatorRequest::OrderRollout(order_of("v3")));
-        assert_eq!(again.0, 200, "seed {seed}: {}", again.1);
-        story.run(Duration::from_secs(1));
-        assert!(story.cluster.primary().is_some());
+        assert_eq!(test.read_rollout().1, "v2", "seed {seed}: the first is judged first");
+        test.run(DEADLINE + Duration::from_secs(4));
+        assert_eq!(test.read_rollout(), ("rolled_back".to_owned(), "v3".to_owned()), "seed {seed}");
+        let repeated = test.call_until_answered(&OperatorRequest::OrderRollout(rollout_order("v3")));
+        assert_eq!(repeated.0, 200, "seed {seed}: {}", repeated.1);
+        test.run(Duration::from_secs(1));
+        assert!(test.cluster.primary().is_some());
     }
 }
--- a/crates/testing/cluster-simulation/tests/service_versions.rs
+++ b/crates/testing/cluster-simulation/tests/service_versions.rs
@@ -13,9 +13,9 @@
 const SERVICE: &str = "s";
 const SEEDS: u64 = 40;
 /// A change is in force everywhere after this time, on a calm cluster.
-const APPLY: Duration = Duration::from_millis(2_500);
+const APPLY_TIME: Duration = Duration::from_millis(2_500);
 /// A cluster is whole again after this time.
-const RECOVERY: Duration = Duration::from_secs(15);
+const RECOVERY_TIME: Duration = Duration::from_secs(15);
 
 /// Endpoints of one version, which report to machines drawn at random.
 struct Endpoints {
@@ -24,38 +24,39 @@
 }
 
 /// A cluster, its endpoints and the configuration's generation.
-struct Story {
+struct TestCluster {
     cluster: Cluster,
     endpoints: Vec<Endpoints>,
-    beats: u64,
+    heartbeat_sequence: u64,
     generation: u64,
 }
 
-impl Story {
+impl TestCluster {
     /// A cluster whose service has a configuration and endpoints of `v1`.
-    fn begin(voters: usize, machines: usize, seed: u64) -> Self {
+    fn start(voters: usize, machines: usize, seed: u64) -> Self {
         let settings =
             ClusterSettings { records_versions: true, ..ClusterSettings::new(voters, machines, seed) };
         let endpoints = vec![Endpoints { version: "v1", count: 3 }];
-        let mut story = Story { cluster: Cluster::new(settings), endpoints, beats: 0, generation: 0 };
-        story.run(Duration::from_secs(4));
-        story.change(None);
-        story.run(APPLY);
-        story
+        let mut test =
+            TestCluster { cluster: Cluster::new(settings), endpoints, heartbeat_sequence: 0, generation: 0 };
+        test.run(Duration::from_secs(4));
+        test.change(None);
+        test.run(APPLY_TIME);
+        test
     }
 
     /// Runs the cluster for a time, while the endpoints report.
     fn run(&mut self, time: Duration) {
         let until = self.cluster.now() + time;
         while self.cluster.now() < until {
-            self.beat();
+            self.send_heartbeats();
             let next = self.cluster.now() + HEARTBEAT_INTERVAL / 2;
             self.cluster.run_until(next.min(until));
         }
     }
 
-    fn beat(&mut self) {
-        self.beats += 1;
+    fn send_heartbeats(&mut self) {
+        self.heartbeat_sequence += 1;
         let running: Vec<usize> =
             (0..self.cluster.len()).filter(|m| self.cluster.is_responsive(*m)).collect();
         for (group, endpoints) in self.endpoints.iter().enumerate() {
@@ -70,7 +71,7 @@
                     zone: "z".to_owned(),
                     capacity: 4,
                     state: EndpointState::Ready,
-                    sequence: self.beats,
+                    sequence: self.heartbeat_sequence,
                     version: endpoints.version.to_owned(),
                 };
                 self.cluster.heartbeat(*machine, &Heartbeat { record });
@@ -137,41 +138,41 @@
 #[case::six_voters(6, 9)]
 fn a_second_version_stays_out_of_service_through_losses(#[case] voters: usize, #[case] machines: usize) {
     for seed in 0..SEEDS {
-        let mut story = Story::begin(voters, machines, seed);
-        story.assert_in_service("v1", &format!("seed {seed}, after the start"));
-        story.endpoints.push(Endpoints { version: "v2", count: 5 });
-        story.run(Duration::from_secs(2));
-        let primary = story.cluster.primary().expect("a primary");
-        story.crash_and_start(&[primary], &[]);
-        story.run(RECOVERY);
-        story.change(None);
-        story.run(APPLY);
-        story.assert_in_service("v1", &format!("seed {seed}, after the loss of the primary"));
+        let mut test = TestCluster::start(voters, machines, seed);
+        test.assert_in_service("v1", &format!("seed {seed}, after the start"));
+        test.endpoints.push(Endpoints { version: "v2", count: 5 });
+        test.run(Duration::from_secs(2));
+        let primary = test.cluster.primary().expect("a primary");
+        test.crash_and_start(&[primary], &[]);
+        test.run(RECOVERY_TIME);
+        test.change(None);
+        test.run(APPLY_TIME);
+        test.assert_in_service("v1", &format!("seed {seed}, after the loss of the primary"));
         let all: Vec<usize> = (0..machines).collect();
         let mut wiped: Vec<usize> = (0..voters).collect();
-        wiped.shuffle(&mut story.cluster.rng);
+        wiped.shuffle(&mut test.cluster.rng);
         wiped.truncate(if voters >= 5 { 2 } else { 1 });
-        story.crash_and_start(&all, &wiped);
+        test.crash_and_start(&all, &wiped);
         // The endpoints of the first version are late.
-        let first = story.endpoints.remove(0);
-        story.run(Duration::from_secs(3));
-        story.endpoints.push(first);
-        story.run(RECOVERY);
-        story.assert_in_service("v1", &format!("seed {seed}, after the loss of all"));
+        let first = test.endpoints.remove(0);
+        test.run(Duration::from_secs(3));
+        test.endpoints.push(first);
+        test.run(RECOVERY_TIME);
+        test.assert_in_service("v1", &format!("seed {seed}, after the loss of all"));
     }
 }
 
 #[test]
 fn the_configuration_moves_a_service_to_another_version_which_stays_when_it_no_longer_names_one() {
     for seed in 0..SEEDS {
-        let mut story = Story::begin(3, 5, seed);
-        story.endpoints.push(Endpoints { version: "v2", count: 2 });
-        story.run(Duration::from_secs(2));
-        story.change(Some("v2"));
-        story.run(APPLY);
-        story.assert_in_service("v2", &format!("seed {seed}, after the change"));
-        story.change(None);
-        story.run(APPLY);
-        story.assert_in_service("v2", &format!("seed {seed}, after the next change"));
+        let mut test = TestCluster::start(3, 5, seed);
+        test.endpoints.push(Endpoints { version: "v2", count: 2 });
+        test.run(Duration::from_secs(2));
+        test.change(Some("v2"));
+        test.run(APPLY_TIME);
+        test.assert_in_service("v2", &format!("seed {seed}, after the change"));
+        test.change(None);
+        test.run(APPLY_TIME);
+        test.assert_in_service("v2", &format!("seed {seed}, after the next change"));
     }
 }
--- a/crates/testing/cluster-simulation/tests/traces.rs
+++ b/crates/testing/cluster-simulation/tests/traces.rs
@@ -23,8 +23,8 @@
 use std::time::Duration;
 
 /// Seeds of the first digest, and of the second.
-const FEW: u64 = 20;
-const MANY: u64 = 100;
+const FIRST_SEEDS: u64 = 20;
+const ALL_SEEDS: u64 = 100;
 
 /// FNV-1a, 64 bits.
 struct Digest(u64);
@@ -47,7 +47,7 @@
         }
     }
 
-    fn time(&mut self, time: Duration) {
+    fn duration(&mut self, time: Duration) {
         self.number(time.as_nanos() as u64);
     }
 
@@ -60,13 +60,13 @@
 }
 
 /// Plays the seeds one after the other and compares the digest after the first few, and after many if asked for.
-fn same_as_before(expected: [u64; 2], mut play: impl FnMut(u64, &mut Digest)) {
-    let many = std::env::var("TRACE_SEEDS").is_ok_and(|seeds| seeds == MANY.to_string());
+fn assert_digests(expected: [u64; 2], mut run: impl FnMut(u64, &mut Digest)) {
+    let runs_all = std::env::var("TRACE_SEEDS").is_ok_and(|seeds| seeds == ALL_SEEDS.to_string());
     let mut digest = Digest::new();
     let mut found = Vec::new();
-    for seed in 0..if many { MANY } else { FEW } {
-        play(seed, &mut digest);
-        if [FEW, MANY].contains(&(seed + 1)) {
+    for seed in 0..if runs_all { ALL_SEEDS } else { FIRST_SEEDS } {
+        run(seed, &mut digest);
+        if [FIRST_SEEDS, ALL_SEEDS].contains(&(seed + 1)) {
             found.push(digest.0);
         }
     }
@@ -79,81 +79,81 @@
 #[case::mixed_3_of_12(Scenario::Mixed, 3, 12, [0x3e68_658c_b1e0_c2f0, 0x7a15_65b1_ede4_d07f])]
 #[case::mixed_5_of_12(Scenario::Mixed, 5, 12, [0x59d0_8358_3f97_a853, 0x3469_c811_1121_c6ea])]
 #[case::mixed_8_of_20(Scenario::Mixed, 8, 20, [0xa897_7b20_899d_b69f, 0x9b30_ff35_e063_9faa])]
-#[case::long_cuts_3_of_6(Scenario::LongPartitions, 3, 6, [0x4e1b_1e37_a555_2e1c, 0x1b9b_59eb_e7aa_f64e])]
-#[case::long_cuts_5_of_8(Scenario::LongPartitions, 5, 8, [0xa8e3_8ffa_9f0b_0d9f, 0x9731_8890_a3af_9715])]
-#[case::long_cuts_8_of_12(Scenario::LongPartitions, 8, 12, [0xca13_075e_fece_5b04, 0x4ad8_086b_3693_d5a2])]
+#[case::long_partitions_3_of_6(Scenario::LongPartitions, 3, 6, [0x4e1b_1e37_a555_2e1c, 0x1b9b_59eb_e7aa_f64e])]
+#[case::long_partitions_5_of_8(Scenario::LongPartitions, 5, 8, [0xa8e3_8ffa_9f0b_0d9f, 0x9731_8890_a3af_9715])]
+#[case::long_partitions_8_of_12(Scenario::LongPartitions, 8, 12, [0xca13_075e_fece_5b04, 0x4ad8_086b_3693_d5a2])]
 #[case::races_3_of_6(Scenario::Races, 3, 6, [0x1777_f14a_a682_a682, 0xa2a0_c2c2_f645_8203])]
 #[case::races_5_of_8(Scenario::Races, 5, 8, [0x02ee_e393_036e_83dd, 0xb122_61b4_f16f_065b])]
 #[case::races_8_of_12(Scenario::Races, 8, 12, [0x6cad_4bae_ea79_1745, 0xf259_54e7_81d6_3962])]
 #[case::repairs_3_of_6(Scenario::Repairs, 3, 6, [0x3fe3_0300_596e_30d0, 0x2e0a_5a24_9f34_561b])]
 #[case::repairs_5_of_8(Scenario::Repairs, 5, 8, [0xfbb4_1259_4a45_929b, 0x8033_45ab_aa12_5e78])]
 #[case::repairs_8_of_12(Scenario::Repairs, 8, 12, [0xbd89_4165_634c_76c1, 0xeadc_0a58_42b2_7573])]
-#[case::founding_3_of_6(Scenario::Bootstrap, 3, 6, [0x0867_4282_da1b_0763, 0x8848_60e2_dcdf_9407])]
-#[case::founding_5_of_8(Scenario::Bootstrap, 5, 8, [0x9fe2_6268_bb71_fe69, 0xb7be_a20d_126a_c4b1])]
-#[case::founding_8_of_12(Scenario::Bootstrap, 8, 12, [0x52ca_7b8d_0779_c3e3, 0xd700_fe07_ba3d_5a2f])]
-fn histories_end_as_before(
+#[case::bootstrap_3_of_6(Scenario::Bootstrap, 3, 6, [0x0867_4282_da1b_0763, 0x8848_60e2_dcdf_9407])]
+#[case::bootstrap_5_of_8(Scenario::Bootstrap, 5, 8, [0x9fe2_6268_bb71_fe69, 0xb7be_a20d_126a_c4b1])]
+#[case::bootstrap_8_of_12(Scenario::Bootstrap, 8, 12, [0x52ca_7b8d_0779_c3e3, 0xd700_fe07_ba3d_5a2f])]
+fn histories_match_recorded_digests(
     #[case] scenario: Scenario,
-    #[case] counted: usize,
+    #[case] voters: usize,
     #[case] machines: usize,
     #[case] expected: [u64; 2],
 ) {
-    histories_are_as_before(scenario, counted, machines, None, expected);
+    assert_history_digests(scenario, voters, machines, None, expected);
 }
 
 /// Disks that take the seeds of each start for those of the first one: founding goes as it did before seeds were kept.
 #[rstest]
-#[case::founding_3_of_6(3, 6, [0x0867_4282_da1b_0763, 0xdbf5_17d5_ad5e_6001])]
-#[case::founding_5_of_8(5, 8, [0x8dda_7b24_671c_782a, 0x1919_61d8_7183_01b3])]
-#[case::founding_8_of_12(8, 12, [0x52ca_7b8d_0779_c3e3, 0xd700_fe07_ba3d_5a2f])]
-fn founding_by_the_seeds_of_each_start_ends_as_before(
-    #[case] counted: usize,
+#[case::bootstrap_3_of_6(3, 6, [0x0867_4282_da1b_0763, 0xdbf5_17d5_ad5e_6001])]
+#[case::bootstrap_5_of_8(5, 8, [0x8dda_7b24_671c_782a, 0x1919_61d8_7183_01b3])]
+#[case::bootstrap_8_of_12(8, 12, [0x52ca_7b8d_0779_c3e3, 0xd700_fe07_ba3d_5a2f])]
+fn bootstrap_from_the_seeds_of_each_start_matches_recorded_digests(
+    #[case] voters: usize,
     #[case] machines: usize,
     #[case] expected: [u64; 2],
 ) {
-    let forgetful = Some(DiskMutation::ForgetsSeeds);
-    histories_are_as_before(Scenario::Bootstrap, counted, machines, forgetful, expected);
+    let disk_mutation = Some(DiskMutation::ForgetsSeeds);
+    assert_history_digests(Scenario::Bootstrap, voters, machines, disk_mutation, expected);
 }
 
-fn histories_are_as_before(
+fn assert_history_digests(
     scenario: Scenario,
-    counted: usize,
+    voters: usize,
     machines: usize,
     disk_mutation: Option<DiskMutation>,
     expected: [u64; 2],
 ) {
-    same_as_before(expected, |seed, digest| {
+    assert_digests(expected, |seed, digest| {
         let settings = HistorySettings {
-            cluster: ClusterSettings { disk_mutation, ..ClusterSettings::new(counted, machines, seed) },
+            cluster: ClusterSettings { disk_mutation, ..ClusterSettings::new(voters, machines, seed) },
             scenario,
             catch_up_time: Duration::from_secs(4),
             duration: Duration::from_secs(20),
             padding: 0,
             items: 0,
         };
-        history_into(&settings, digest);
+        add_history(&settings, digest);
     });
 }
 
-fn history_into(settings: &HistorySettings, digest: &mut Digest) {
+fn add_history(settings: &HistorySettings, digest: &mut Digest) {
     let outcome = history::simulate(settings);
     digest.number(outcome.violations.len() as u64);
     digest.number(outcome.acknowledged as u64);
-    digest.time(outcome.max_acknowledge_time);
+    digest.duration(outcome.max_acknowledge_time);
 }
 
 /// Hundreds of changes over narrow links; these take long, so there are few.
 #[rstest]
 #[case(3, 4, 0xdb69_5085_aa7d_2e68)]
 #[case(5, 6, 0x6bbf_f707_1cce_fc1a)]
-fn histories_of_many_changes_end_as_before(
-    #[case] counted: usize,
+fn histories_of_many_changes_match_recorded_digests(
+    #[case] voters: usize,
     #[case] machines: usize,
     #[case] expected: u64,
 ) {
     let mut digest = Digest::new();
     for seed in 1..4 {
         let mut settings = HistorySettings {
-            cluster: ClusterSettings::new(counted, machines, seed),
+            cluster: ClusterSettings::new(voters, machines, seed),
             scenario: Scenario::ManyChanges,
             catch_up_time: Duration::from_secs(4),
             duration: Duration::from_secs(5),
@@ -161,7 +161,7 @@
             items: 0,
         };
         settings.cluster.link_bytes_per_s = 1_250_000;
-        history_into(&settings, &mut digest);
+        add_history(&settings, &mut digest);
     }
     assert_eq!(digest.0, expected, "found {:#x}", digest.0);
 }
@@ -171,9 +171,13 @@
 #[rstest]
 #[case::three_of_twelve(3, 12, [0x96fd_492f_1b19_43dd, 0x299e_ba15_edb5_ed45])]
 #[case::five_of_twelve(5, 12, [0xe696_26c0_8bd1_1f0a, 0x847d_e3e3_7060_a93d])]
-fn limits_are_kept_as_before(#[case] counted: usize, #[case] machines: usize, #[case] expected: [u64; 2]) {
-    same_as_before(expected, |seed, digest| {
-        let cluster = ClusterSettings::new(counted, machines, seed);
+fn limit_histories_match_recorded_digests(
+    #[case] voters: usize,
+    #[case] machines: usize,
+    #[case] expected: [u64; 2],
+) {
+    assert_digests(expected, |seed, digest| {
+        let cluster = ClusterSettings::new(voters, machines, seed);
         let outcome = limits::simulate(&LimitSettings { cluster, fault_free: false, mutation: None });
         digest.number(outcome.violations.len() as u64);
         for by_tenant in [&outcome.sent, &outcome.rejected] {
@@ -191,29 +195,29 @@
 #[rstest]
 #[case::crash(PrimaryLoss::Crash, [0x7905_e993_e163_5851, 0xfafd_208b_3482_3513])]
 #[case::wipe(PrimaryLoss::Wipe, [0x8f82_6e72_8da9_8a44, 0xfa5c_a282_0f8c_4bb8])]
-#[case::cut(PrimaryLoss::Partition, [0x9d56_c354_f8cc_4c29, 0x14bb_a852_5eb1_5b60])]
-#[case::freeze(PrimaryLoss::Pause, [0x715e_0eb7_e426_6127, 0xc2da_12ae_993a_1819])]
+#[case::partition(PrimaryLoss::Partition, [0x9d56_c354_f8cc_4c29, 0x14bb_a852_5eb1_5b60])]
+#[case::pause(PrimaryLoss::Pause, [0x715e_0eb7_e426_6127, 0xc2da_12ae_993a_1819])]
 #[case::disk_stall(PrimaryLoss::DiskStall, [0x0c10_b324_8b95_ec40, 0x105d_c010_52a6_a779])]
 #[case::crash_of_all(PrimaryLoss::CrashOfAll, [0xfa87_b40a_2fa7_fad3, 0x180c_6742_1e6e_000f])]
-fn a_lost_primary_is_replaced_as_before(#[case] loss: PrimaryLoss, #[case] expected: [u64; 2]) {
-    same_as_before(expected, |seed, digest| {
+fn failover_times_match_recorded_digests(#[case] loss: PrimaryLoss, #[case] expected: [u64; 2]) {
+    assert_digests(expected, |seed, digest| {
         let settings = ClusterSettings { loss: 0.0, ..ClusterSettings::new(3, 12, seed) };
         let time = time_to_acknowledge(&settings, loss);
         digest.number(u64::from(time.is_some()));
-        digest.time(time.unwrap_or_default());
+        digest.duration(time.unwrap_or_default());
     });
 }
 
-/// A cluster with orders, reads, endpoints, questions for tokens and faults, all of it watched: each thing seen from
+/// A cluster with orders, reads, endpoints, last_request_id for tokens and faults, all of it watched: each thing seen from
 /// outside and when, the messages and bytes of each machine, and what each knows in the end.
-struct Watched<'a> {
+struct ObservedCluster<'a> {
     cluster: Cluster,
     faults: FaultInjector,
     digest: &'a mut Digest,
     /// How often each kind of thing was seen, so that none goes without comparison.
     seen: &'a mut [usize; 4],
     generation: u64,
-    questions: u64,
+    last_request_id: u64,
 }
 
 /// The part of a status that the digests on record were made of, field by field in that order.
@@ -250,28 +254,28 @@
 }
 
 /// How long a watched cluster is played, and the pause between happenings of its outside.
-const LENGTH: Duration = Duration::from_secs(15);
-const PAUSE: Duration = Duration::from_millis(50);
-const WATCHED_ENDPOINTS: u64 = 5;
+const DURATION: Duration = Duration::from_secs(15);
+const INPUT_INTERVAL: Duration = Duration::from_millis(50);
+const ENDPOINTS: u64 = 5;
 
-impl Watched<'_> {
-    fn play(&mut self) {
+impl ObservedCluster<'_> {
+    fn run(&mut self) {
         self.cluster.counts_bytes = true;
         let mut at = Duration::ZERO;
-        while at < LENGTH {
-            at += PAUSE;
+        while at < DURATION {
+            at += INPUT_INTERVAL;
             while let Some(seen) = self.cluster.step(at) {
-                self.take(seen);
+                self.record(seen);
             }
             self.faults.apply_due(&mut self.cluster);
-            if at > LENGTH / 5 {
-                self.act();
+            if at > DURATION / 5 {
+                self.inject_input();
             }
         }
         for machine in 0..self.cluster.len() {
             self.digest.number(self.cluster.messages_sent[machine]);
             self.digest.number(self.cluster.bytes_sent[machine]);
-            self.digest.time(self.cluster.fresh_at(machine).unwrap_or_default());
+            self.digest.duration(self.cluster.fresh_at(machine).unwrap_or_default());
             let now = self.cluster.local_now(machine);
             let Some(process) = self.cluster.process(machine) else { continue };
             self.digest.encoded(&RecordedStatus::from(process.status(now)));
@@ -282,12 +286,12 @@
     }
 
     /// Something from outside, at a machine drawn at random.
-    fn act(&mut self) {
+    fn inject_input(&mut self) {
         let machine = self.cluster.rng.random_range(0..self.cluster.len());
         let seen = match self.cluster.rng.random_range(0..10) {
             0 => self.cluster.call(machine, OperatorRequest::Read).map(|(_, seen)| seen),
-            1 | 2 => self.order(machine),
-            3..=5 => self.beat(machine),
+            1 | 2 => self.propose_change(machine),
+            3..=5 => self.send_heartbeat(machine),
             6..=8 => self.request_tokens(machine),
             _ => {
                 if self.cluster.rng.random_bool(0.5) {
@@ -297,10 +301,10 @@
             }
         };
         self.digest.number(u64::from(seen.is_some()));
-        self.take(seen.unwrap_or_default());
+        self.record(seen.unwrap_or_default());
     }
 
-    fn order(&mut self, machine: usize) -> Option<Vec<Observation>> {
+    fn propose_change(&mut self, machine: usize) -> Option<Vec<Observation>> {
         let base = self.generation;
         let document = json!({
             "generation": base + 1,
@@ -308,13 +312,13 @@
             "services": [{ "name": "s" }],
             "tenants": [{ "name": "t", "api-keys": ["k"], "unit": "requests", "rate-per-s": 100.0, "burst": 50.0 }],
         });
-        let order =
+        let change =
             ConfigurationChange { kind: ChangeKind::Replace, base, body: document.to_string().into() };
-        Some(self.cluster.call(machine, OperatorRequest::Change(order))?.1)
+        Some(self.cluster.call(machine, OperatorRequest::Change(change))?.1)
     }
 
-    fn beat(&mut self, machine: usize) -> Option<Vec<Observation>> {
-        let number = self.cluster.rng.random_range(0..WATCHED_ENDPOINTS);
+    fn send_heartbeat(&mut self, machine: usize) -> Option<Vec<Observation>> {
+        let number = self.cluster.rng.random_range(0..ENDPOINTS);
         let draining = self.cluster.rng.random_bool(0.1);
         let sequence = (self.cluster.now().as_millis() / HEARTBEAT_INTERVAL.as_millis()) as u64;
         let id = format!("e{number}");
@@ -338,47 +342,47 @@
     }
 
     fn request_tokens(&mut self, machine: usize) -> Option<Vec<Observation>> {
-        self.questions += 1;
+        self.last_request_id += 1;
         let wanted = vec![(TenantKey::of("t"), self.cluster.rng.random_range(1..40))];
-        let question = QuotaMessage::Request {
-            request_id: self.questions,
+        let request = QuotaMessage::Request {
+            request_id: self.last_request_id,
             wanted: wanted.into_iter().map(Into::into).collect(),
             overdrawn: Vec::new(),
         };
-        self.cluster.request_tokens(machine, question)
+        self.cluster.request_tokens(machine, request)
     }
 
-    fn saw(&mut self, kind: usize) {
+    fn count_observation(&mut self, kind: usize) {
         self.digest.number(kind as u64);
         self.seen[kind - 1] += 1;
     }
 
-    fn take(&mut self, seen: Vec<Observation>) {
-        for one in seen {
-            self.digest.time(self.cluster.now());
-            match one {
+    fn record(&mut self, observations: Vec<Observation>) {
+        for observation in observations {
+            self.digest.duration(self.cluster.now());
+            match observation {
                 Observation::Configured { machine, incarnation, configuration } => {
-                    self.saw(1);
+                    self.count_observation(1);
                     self.digest.number(machine as u64);
                     self.digest.number(incarnation);
                     self.digest.encoded(&configuration);
                     self.generation = self.generation.max(configuration.generation);
                 }
                 Observation::Answered { call, answer } => {
-                    self.saw(2);
+                    self.count_observation(2);
                     self.digest.number(call.machine as u64);
                     self.digest.number(call.incarnation);
                     self.digest.number(call.call.0);
                     self.digest.encoded(&answer);
                 }
                 Observation::AnnouncementConfirmed { machine, incarnation, announcement } => {
-                    self.saw(3);
+                    self.count_observation(3);
                     self.digest.number(machine as u64);
                     self.digest.number(incarnation);
                     self.digest.number(announcement.0);
                 }
                 Observation::QuotaGranted { machine, incarnation, grant } => {
-                    self.saw(4);
+                    self.count_observation(4);
                     self.digest.number(machine as u64);
                     self.digest.number(incarnation);
                     self.digest.encoded(&grant);
@@ -394,18 +398,18 @@
 #[case::five_of_twelve(Builds::Earlier, 5, 12, [0x5a90_898e_bee0_e451, 0x93f7_ad35_054c_9893])]
 #[case::three_of_six_with_deltas(Builds::Current, 3, 6, [0xb364_eb04_a2aa_cc05, 0x01d6_6f4e_d50f_9188])]
 #[case::five_of_twelve_with_deltas(Builds::Current, 5, 12, [0xdd5f_56ca_49bf_19be, 0x55d4_6ca3_6b79_6b1d])]
-fn everything_seen_of_a_cluster_is_as_before(
+fn cluster_observations_match_recorded_digests(
     #[case] builds: Builds,
-    #[case] counted: usize,
+    #[case] voters: usize,
     #[case] machines: usize,
     #[case] expected: [u64; 2],
 ) {
     let mut seen = [0; 4];
-    same_as_before(expected, |seed, digest| {
-        let settings = ClusterSettings { builds, ..ClusterSettings::new(counted, machines, seed) };
+    assert_digests(expected, |seed, digest| {
+        let settings = ClusterSettings { builds, ..ClusterSettings::new(voters, machines, seed) };
         let faults = FaultInjector::new(settings.tolerated_losses, Duration::from_secs(4));
         let cluster = Cluster::new(settings);
-        Watched { cluster, faults, digest, seen: &mut seen, generation: 0, questions: 0 }.play();
+        ObservedCluster { cluster, faults, digest, seen: &mut seen, generation: 0, last_request_id: 0 }.run();
     });
     assert!(seen.iter().all(|times| *times >= 100), "{seen:?}");
 }
