--- a/crates/testing/cluster-simulation/src/limit_checker.rs
+++ b/crates/testing/cluster-simulation/src/limit_checker.rs
@@ -11,7 +11,7 @@
 pub struct LimitBounds {
     /// Length of the sliding window over which quotas are checked.
     pub quota_window: Duration,
-    /// Tolerated overshoot relative to the quota, from 0 to 1.
+    /// Tolerated overshoot as a fraction of the quota.
     pub quota_overshoot: f64,
     /// Tolerated overshoot in addition to `quota_overshoot`, in tokens per window.
     pub quota_slack: f64,
--- a/crates/testing/cluster-simulation/src/limits/sidecar.rs
+++ b/crates/testing/cluster-simulation/src/limits/sidecar.rs
@@ -38,7 +38,7 @@
 /// A request that waits for quota tokens.
 struct QueuedRequest {
     request: ClientRequest,
-    /// Hash of the tenant's name, as in `TenantKey`.
+    /// Key of the tenant, as in `TenantKey`.
     tenant: u64,
     /// Time on the process's local clock.
     queued_at: Duration,
--- a/crates/testing/cluster-simulation/tests/histories.rs
+++ b/crates/testing/cluster-simulation/tests/histories.rs
@@ -1,4 +1,4 @@
-//! Random histories violate no property, and the checker detects broken protocols and disks.
+//! Random histories violate no property, and the checker detects mutated protocols and disks.
 
 use passrelay_cluster_simulation::cluster::{Builds, ClusterSettings};
 use passrelay_cluster_simulation::disk::DiskMutation;
@@ -8,8 +8,8 @@
 use rstest::rstest;
 use std::time::Duration;
 
-/// Every second history has documents that are long enough for changes to travel as deltas, and half of these have machines
-/// that know none.
+/// Returns the settings of a history. Every second history has documents that are long enough for changes to be sent as
+/// deltas, and half of these have machines without support for deltas.
 fn settings(scenario: Scenario, voters: usize, machines: usize, seed: u64) -> HistorySettings {
     let builds = if seed % 4 == 3 { Builds::Mixed } else { Builds::Current };
     HistorySettings {
@@ -22,11 +22,11 @@
     }
 }
 
-/// Items of a document that no change touches.
+/// Number of items in a document that no change modifies.
 const ITEMS: usize = 15;
-/// Padding of a document where links are slow, in bytes.
+/// Padding of a document in histories with slow links, in bytes.
 const LARGE_PADDING: usize = 60_000;
-/// As many items make a document of about that length.
+/// Number of items that make a document about as long as `LARGE_PADDING` does.
 const MANY_ITEMS: usize = 550;
 /// Bandwidths of slow links: 10 and 100 Mbit/s, in bytes per second.
 const SLOW_LINKS: [u64; 2] = [1_250_000, 12_500_000];
@@ -34,18 +34,19 @@
 /// Number of histories within which a mutation has to be detected.
 const MAX_HISTORIES_TO_DETECT: u64 = 500;
 
-/// The first seeds, so many as histories; `FLEET_HISTORIES=FROM..TO` plays these instead.
+/// Returns the first `histories` seeds, or those that `FLEET_HISTORIES=FROM..TO` selects instead.
 fn seeds(histories: u64) -> std::ops::Range<u64> {
     seeds_from_env("FLEET_HISTORIES", histories)
 }
 
-/// Plays the seeds of a scenario; a seed with a violation is named with the variable that repeats it.
+/// Checks that no history of a scenario violates a property. The message of a violation contains the variable that repeats
+/// its seed.
 fn violates_nothing(scenario: Scenario, voters: usize, machines: usize, histories: u64) {
     let mut acknowledged = 0;
     for seed in seeds(histories) {
         let mut settings = settings(scenario, voters, machines, seed);
         if scenario == Scenario::ManyChanges {
-            // In one piece, so that each change ships the whole document.
+            // A single string, so that each change sends the whole document.
             (settings.padding, settings.items) = (LARGE_PADDING, 0);
             settings.cluster.link_bytes_per_s = SLOW_LINKS[seed as usize % SLOW_LINKS.len()];
         }
@@ -70,7 +71,7 @@
 #[case::three_voters_of_twelve(3, 12, 300)]
 #[case::five_voters_of_twelve(5, 12, 200)]
 #[case::eight_voters_of_twenty(8, 20, 100)]
-fn no_promise_is_broken(#[case] voters: usize, #[case] machines: usize, #[case] histories: u64) {
+fn mixed_faults_violate_no_property(#[case] voters: usize, #[case] machines: usize, #[case] histories: u64) {
     violates_nothing(Scenario::Mixed, voters, machines, histories);
 }
 
@@ -78,7 +79,7 @@
 #[case::three_voters_of_six(3, 6, 200)]
 #[case::five_voters_of_eight(5, 8, 150)]
 #[case::eight_voters_of_twelve(8, 12, 100)]
-fn a_control_machine_cut_off_for_long_answers_nothing_old(
+fn a_voter_in_a_long_partition_returns_no_stale_reads(
     #[case] voters: usize,
     #[case] machines: usize,
     #[case] histories: u64,
@@ -90,7 +91,7 @@
 #[case::three_voters_of_six(3, 6, 200)]
 #[case::five_voters_of_eight(5, 8, 150)]
 #[case::eight_voters_of_twelve(8, 12, 100)]
-fn a_primary_without_the_others_confirms_nothing(
+fn an_isolated_primary_confirms_nothing(
     #[case] voters: usize,
     #[case] machines: usize,
     #[case] histories: u64,
@@ -102,7 +103,7 @@
 #[case::three_voters_of_six(3, 6, 200)]
 #[case::five_voters_of_eight(5, 8, 150)]
 #[case::eight_voters_of_twelve(8, 12, 100)]
-fn two_orders_under_one_number_are_never_both_confirmed(
+fn two_changes_with_the_same_generation_are_never_both_acknowledged(
     #[case] voters: usize,
     #[case] machines: usize,
     #[case] histories: u64,
@@ -114,7 +115,7 @@
 #[case::three_voters_of_six(3, 6, 200)]
 #[case::five_voters_of_eight(5, 8, 150)]
 #[case::eight_voters_of_twelve(8, 12, 100)]
-fn a_second_loss_after_a_repair_loses_nothing(
+fn a_second_loss_after_a_repair_loses_no_acknowledged_change(
     #[case] voters: usize,
     #[case] machines: usize,
     #[case] histories: u64,
@@ -138,7 +139,7 @@
 #[case::three_voters_of_four(3, 4, 24)]
 #[case::five_voters_of_six(5, 6, 12)]
 #[case::eight_voters_of_nine(8, 9, 8)]
-fn a_member_catches_up_on_a_slow_a_full_and_a_stalled_disk(
+fn a_member_catches_up_on_a_slow_full_or_stalled_disk(
     #[case] voters: usize,
     #[case] machines: usize,
     #[case] histories: u64,
@@ -150,7 +151,7 @@
 #[case::three_voters_of_six(3, 6, 200)]
 #[case::five_voters_of_eight(5, 8, 150)]
 #[case::eight_voters_of_twelve(8, 12, 100)]
-fn the_system_is_founded_once_whatever_happens_in_the_first_seconds(
+fn the_cluster_bootstraps_once_despite_faults_in_the_first_seconds(
     #[case] voters: usize,
     #[case] machines: usize,
     #[case] histories: u64,
@@ -162,7 +163,7 @@
 #[case::three_voters_of_six(3, 6, 200)]
 #[case::five_voters_of_eight(5, 8, 150)]
 #[case::eight_voters_of_twelve(8, 12, 100)]
-fn the_system_is_founded_once_where_machines_restart_with_other_seeds(
+fn the_cluster_bootstraps_once_if_machines_restart_with_other_seeds(
     #[case] voters: usize,
     #[case] machines: usize,
     #[case] histories: u64,
@@ -171,7 +172,7 @@
 }
 
 #[test]
-fn machines_that_return_catch_up_well_before_they_have_to() {
+fn returning_machines_catch_up_within_1500_ms() {
     for seed in seeds(100) {
         let catch_up_time = Duration::from_millis(1_500);
         let outcome = simulate(&HistorySettings { catch_up_time, ..settings(Scenario::Mixed, 3, 6, seed) });
@@ -197,11 +198,11 @@
 #[case(ProtocolMutation::DropsAppliedChangesAtFailover, Scenario::Races)]
 #[case(ProtocolMutation::RepliesAfterFailedWrite, Scenario::Races)]
 #[case(ProtocolMutation::SkipsDeltas, Scenario::Mixed)]
-fn a_broken_protocol_is_found_out(#[case] mutation: ProtocolMutation, #[case] scenario: Scenario) {
+fn a_protocol_mutation_is_detected(#[case] mutation: ProtocolMutation, #[case] scenario: Scenario) {
     is_detected(&format!("{mutation:?}"), scenario, |cluster| cluster.protocol_mutation = Some(mutation));
 }
 
-/// The mutated cluster has to violate a property in some history in which the sound one violates none.
+/// Checks that the mutated cluster violates a property in some history in which the unmodified one violates none.
 fn is_detected(name: &str, scenario: Scenario, mutate: impl Fn(&mut ClusterSettings)) {
     let found = (0..MAX_HISTORIES_TO_DETECT).any(|seed| {
         let catch_up_time = Duration::from_millis(800);
@@ -224,6 +225,6 @@
 #[case(DiskMutation::DropsAppliedChanges, Scenario::Mixed)]
 #[case(DiskMutation::ForgetsBootstrap, Scenario::Bootstrap)]
 #[case(DiskMutation::ForgetsSeeds, Scenario::BootstrapWithOtherSeeds)]
-fn a_broken_disk_is_found_out(#[case] mutation: DiskMutation, #[case] scenario: Scenario) {
+fn a_disk_mutation_is_detected(#[case] mutation: DiskMutation, #[case] scenario: Scenario) {
     is_detected(&format!("{mutation:?}"), scenario, |cluster| cluster.disk_mutation = Some(mutation));
 }
--- a/crates/testing/cluster-simulation/tests/limits.rs
+++ b/crates/testing/cluster-simulation/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Random histories exceed no limit that binds the whole fleet, and the checker detects broken sidecars.
+//! Random histories exceed no fleet-wide limit, and the checker detects mutated sidecars, gossip and grantors.
 
 use passrelay_cluster_simulation::cluster::ClusterSettings;
 use passrelay_cluster_simulation::limits::{simulate, LimitMutation, LimitSettings};
@@ -11,7 +11,7 @@
     LimitSettings { cluster: ClusterSettings::new(voters, machines, seed), fault_free: false, mutation: None }
 }
 
-/// The first seeds, so many as histories; `LIMIT_HISTORIES=FROM..TO` plays these instead.
+/// Returns the first `histories` seeds, or those that `LIMIT_HISTORIES=FROM..TO` selects instead.
 fn seeds(histories: u64) -> std::ops::Range<u64> {
     seeds_from_env("LIMIT_HISTORIES", histories)
 }
@@ -20,7 +20,7 @@
 #[case::three_voters_of_twelve(3, 12, 600)]
 #[case::five_voters_of_twelve(5, 12, 300)]
 #[case::eight_voters_of_thirty(8, 30, 100)]
-fn no_limit_is_passed(#[case] voters: usize, #[case] machines: usize, #[case] histories: u64) {
+fn no_limit_is_exceeded(#[case] voters: usize, #[case] machines: usize, #[case] histories: u64) {
     let mut revoked = 0;
     let mut drained = 0;
     let mut sent = 0;
@@ -40,14 +40,14 @@
 }
 
 #[test]
-fn without_faults_nothing_within_a_quota_is_refused() {
+fn without_faults_no_request_within_a_quota_is_rejected() {
     for seed in seeds(40) {
         let mut settings = LimitSettings { fault_free: true, ..settings(3, 12, seed) };
         settings.cluster.loss = 0.0;
         let outcome = simulate(&settings);
         assert!(outcome.violations.is_empty(), "seed {seed}: {:?}", outcome.violations);
         assert_eq!(outcome.rejected.get("fair"), None, "seed {seed}");
-        // The tenant far over its quota gets all of the quota.
+        // The tenant far over its quota gets its full quota.
         assert!(outcome.sent["hot"] as f64 * 10_000.0 > 220_000.0 * 18.0, "seed {seed}: {:?}", outcome.sent);
     }
 }
@@ -57,7 +57,7 @@
 #[case(LimitMutation::RetrySlackPerSidecar)]
 #[case(LimitMutation::SendsToDraining)]
 #[case(LimitMutation::AcknowledgesDrainingWithoutQuorum)]
-fn a_broken_sidecar_is_found_out(#[case] mutation: LimitMutation) {
+fn a_sidecar_mutation_is_detected(#[case] mutation: LimitMutation) {
     let found = (0..500).find(|seed| {
         let settings = LimitSettings { mutation: Some(mutation), ..settings(3, 12, *seed) };
         !simulate(&settings).violations.is_empty()
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn an_age_counted_from_the_arrival_of_news_is_found_out() {
+fn an_age_counted_from_arrival_is_detected() {
     let found = (0..500).find(|seed| {
         let mut mutated = settings(3, 12, *seed);
         mutated.cluster.gossip_mutation = Some(GossipMutation::IgnoreReportedAge);
@@ -78,12 +78,12 @@
 }
 
 #[test]
-fn a_grantor_without_a_fence_is_found_out() {
+fn a_grantor_without_quorum_confirmation_is_detected() {
     let found = (0..500).find(|seed| {
         let mut mutated = settings(3, 12, *seed);
         mutated.cluster.protocol_mutation = Some(ProtocolMutation::GrantsUnconfirmed);
         !simulate(&mutated).violations.is_empty()
     });
     println!("seed {found:?}");
-    assert!(found.is_some(), "a grantor without a fence was not detected in 500 histories");
+    assert!(found.is_some(), "a grantor without quorum confirmation was not detected in 500 histories");
 }
--- a/crates/testing/cluster-simulation/tests/repairs.rs
+++ b/crates/testing/cluster-simulation/tests/repairs.rs
@@ -1,4 +1,4 @@
-//! Losses in a sequence that leaves one voter with the only replica of a change for a while.
+//! A sequence of losses that temporarily leaves one voter with the only replica of a change.
 
 use passrelay_cluster_simulation::cluster::{CallKey, Cluster, ClusterSettings, Observation};
 use passrelay_control_plane::configuration_change::{ChangeKind, ConfigurationChange};
@@ -8,12 +8,12 @@
 use std::time::Duration;
 
 const SEEDS: u64 = 16;
-/// Padding of a document that takes a second or two on a slow link, in bytes.
+/// Padding of a document, in bytes, large enough for it to take a second or two on a slow link.
 const LARGE_PADDING: usize = 8_000_000;
 /// Bandwidth of a slow link: 10 Mbit/s, in bytes per second.
 const SLOW_LINK: u64 = 1_250_000;
 
-/// Generations that a scenario ended with.
+/// The newest acknowledged generation of a scenario, and the one read at its end.
 struct LastGenerations {
     acknowledged: u64,
     read: u64,
@@ -36,7 +36,7 @@
     })
 }
 
-/// Calls a machine and runs the cluster for a time; the answer, if one came.
+/// Calls a machine and runs the cluster for `wait` unless the answer is immediate. Returns the answer, if there was one.
 fn call(
     cluster: &mut Cluster,
     machine: usize,
@@ -49,7 +49,7 @@
 }
 
 /// Sends a change to the primary until it is acknowledged.
-fn until_acknowledged(cluster: &mut Cluster, generation: u64, base: u64) {
+fn change_until_acknowledged(cluster: &mut Cluster, generation: u64, base: u64) {
     for _ in 0..40 {
         if let Some(primary) = cluster.primary() {
             let answer = call(cluster, primary, change_request(generation, base), Duration::from_millis(900));
@@ -59,11 +59,11 @@
         }
         cluster.run_until(cluster.now() + Duration::from_millis(200));
     }
-    panic!("change {generation} was never acknowledged");
+    panic!("generation {generation} was never acknowledged");
 }
 
-/// One voter crashes and comes back; while it still fetches the state another crashes; the third, which alone holds the
-/// newest state, gets one more change, and its disk is lost. Returns the generations acknowledged and read in the end.
+/// Crashes and restarts one voter, and crashes another while the first still fetches the state. The third, which alone holds
+/// the newest state, then receives another change and loses its disk. Returns the generations acknowledged and read.
 fn lose_second_replica(seed: u64, protocol_mutation: Option<ProtocolMutation>) -> LastGenerations {
     let mut cluster = Cluster::new(ClusterSettings {
         link_bytes_per_s: SLOW_LINK,
@@ -72,13 +72,13 @@
         ..ClusterSettings::new(3, 3, seed)
     });
     cluster.run_until(Duration::from_secs(5));
-    until_acknowledged(&mut cluster, 1, 0);
+    change_until_acknowledged(&mut cluster, 1, 0);
     cluster.run_until(cluster.now() + Duration::from_secs(6));
     let primary = cluster.primary().expect("a primary");
     let others: Vec<usize> = (0..3).filter(|m| *m != primary).collect();
     cluster.crash(others[1]);
     cluster.run_until(cluster.now() + Duration::from_secs(2));
-    until_acknowledged(&mut cluster, 2, 1);
+    change_until_acknowledged(&mut cluster, 2, 1);
     cluster.start_after(others[1], Duration::ZERO);
     cluster.run_until(cluster.now() + Duration::from_millis(300));
     cluster.crash(others[0]);
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn nothing_is_acknowledged_that_one_member_alone_holds() {
+fn a_change_held_by_a_single_member_is_not_acknowledged() {
     for seed in 0..SEEDS {
         let LastGenerations { acknowledged, read } = lose_second_replica(seed, None);
         assert!(read >= acknowledged, "seed {seed}: {acknowledged} was acknowledged, {read} was read");
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn a_member_removed_while_it_holds_the_only_second_copy_is_found_out() {
+fn removing_the_member_with_the_last_second_replica_is_detected() {
     let loses_change = |seed: &u64| {
         let LastGenerations { acknowledged, read } =
             lose_second_replica(*seed, Some(ProtocolMutation::RemovesLastReplicas));
--- a/crates/testing/cluster-simulation/tests/rollouts.rs
+++ b/crates/testing/cluster-simulation/tests/rollouts.rs
@@ -1,5 +1,6 @@
-//! Roll-outs through the losses of a cluster: an acknowledged order is never lost, all processes agree on its end, a bad version never comes
-//! into service and gets no more than its bound, and a good one is completed by its deadline on a calm cluster.
+//! Roll-outs despite the losses of a cluster: an acknowledged order is never lost, all processes agree on its outcome, a bad
+//! version never comes into service and gets no more requests than its bound, and the roll-out of a good version is completed
+//! by its deadline on a cluster without faults.
 
 use passrelay_cluster_simulation::cluster::{
     CallKey, Cluster, ClusterSettings, Observation, HEARTBEAT_INTERVAL,
@@ -22,28 +23,28 @@
 const DEADLINE: Duration = Duration::from_secs(14);
 const EXPOSURE_RATIO: f64 = 0.1;
 const EXPOSURE_SLACK: f64 = 50.0;
-/// Time between two reports of a sidecar.
+/// Interval between two reports of a sidecar.
 const REPORT_INTERVAL: Duration = Duration::from_millis(300);
-/// Time between two requests of a sidecar.
+/// Interval between two requests of a sidecar.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(50);
-/// A cluster is whole again after this time.
+/// Time after which a cluster has recovered from its losses.
 const RECOVERY_TIME: Duration = Duration::from_secs(15);
 
-/// How requests at the new version end.
+/// The behavior of requests at the target version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Quality {
     Good,
-    /// A third of them fails.
+    /// A third of the requests fail.
     Failing,
-    /// Half of them takes eight times as long.
+    /// Half of the requests take eight times as long.
     Slow,
-    /// Half of them fails at an endpoint that is busy.
+    /// Half of the requests fail at an endpoint under a load test.
     FailingUnderLoad,
-    /// A third fails from some time after the order on.
+    /// A third of the requests fail from 3.4 s after the order on.
     FailingLate,
 }
 
-/// A sidecar's part, of one incarnation of a process.
+/// The roll-out state of a sidecar, for one incarnation of its process.
 struct SidecarState {
     incarnation: u64,
     shares: RolloutShares,
@@ -154,7 +155,7 @@
         }
     }
 
-    /// Every sidecar sends one request.
+    /// Sends one request at each responsive sidecar and records its outcome.
     fn send_requests(&mut self) {
         let since_order = self.order_sent_at.map(|at| self.cluster.now().saturating_sub(at));
         for machine in 0..self.cluster.len() {
@@ -228,7 +229,7 @@
         }
     }
 
-    /// Calls machines drawn at random until one has a clear answer.
+    /// Calls random machines until one answers with a status below 500.
     fn call_until_answered(&mut self, request: &OperatorRequest) -> (u16, String) {
         for _ in 0..80 {
             let machine = self.cluster.rng.random_range(0..self.cluster.len());
@@ -243,7 +244,7 @@
             }
             self.run(Duration::from_millis(200));
         }
-        panic!("no clear answer to {request:?}");
+        panic!("no answer with a status below 500 to {request:?}");
     }
 
     fn order_rollout(&mut self) {
@@ -253,7 +254,7 @@
         self.has_target_endpoints = true;
     }
 
-    /// State and version that operators are told.
+    /// Reads the state and target version of the current roll-out, as operators see them.
     fn read_rollout(&mut self) -> (String, String) {
         let request = OperatorRequest::ReadRollout { service: SERVICE.to_owned() };
         let (status, body) = self.call_until_answered(&request);
@@ -285,12 +286,12 @@
         );
     }
 
-    /// All processes have the same end, and the version that belongs to it.
+    /// Checks that all running processes agree on the phase of the roll-out and on the version in service.
     fn assert_outcome(&self, phase: RolloutPhase, version: &str, context: &str) {
         for machine in (0..self.cluster.len()).filter(|machine| self.cluster.is_running(*machine)) {
             let status = self.cluster.process(machine).expect("a process").status(Duration::ZERO);
             let current = status.rollouts.get(SERVICE).and_then(|rollouts| rollouts.current.clone());
-            let found = current.as_ref().map(|one| one.phase);
+            let found = current.as_ref().map(|rollout| rollout.phase);
             assert_eq!(found, Some(phase), "{context}, machine {machine}: {current:?}");
             assert_eq!(status.service_versions.get(SERVICE), Some(version), "{context}, machine {machine}");
         }
@@ -335,19 +336,19 @@
 #[case::failing_late(Quality::FailingLate)]
 #[case::slow(Quality::Slow)]
 #[case::failing_under_load(Quality::FailingUnderLoad)]
-fn a_bad_version_is_rolled_back_and_gets_little_until_then(#[case] quality: Quality) {
+fn a_bad_version_is_rolled_back_within_its_exposure_bound(#[case] quality: Quality) {
     for seed in 0..SEEDS {
         let mut test = TestCluster::start(3, 12, seed, quality);
         test.order_rollout();
         test.run(DEADLINE);
         test.assert_exposure(&format!("seed {seed}"));
-        assert!(test.target_requests > 0.0, "seed {seed}: it was tried");
+        assert!(test.target_requests > 0.0, "seed {seed}: the target version got no request");
         test.assert_outcome(RolloutPhase::RolledBack, "v1", &format!("seed {seed}"));
     }
 }
 
-// Guards against a controller without a term, evidence that counts twice after a failover, an order that is acknowledged before it is
-// durable, and a share that outlives its controller.
+// Guards against a controller without a term, evidence that is counted twice after a failover, an order that is acknowledged
+// before it is durable, and a share that outlives its controller.
 #[rstest]
 #[case::good(Quality::Good)]
 #[case::failing(Quality::Failing)]
@@ -383,7 +384,7 @@
 }
 
 #[test]
-fn an_acknowledged_order_outlives_all_machines_and_tolerated_disks() {
+fn an_acknowledged_order_survives_a_crash_of_all_machines_and_tolerated_disk_losses() {
     for seed in 0..SEEDS {
         let mut test = TestCluster::start(6, 9, seed, Quality::Good);
         test.order_rollout();
@@ -400,13 +401,13 @@
         test.assert_outcome(RolloutPhase::RolledBack, "v1", &format!("seed {seed}"));
         assert!(
             test.sidecars.values().all(|sidecar| !sidecar.target_was_used),
-            "seed {seed}: it got nothing"
+            "seed {seed}: the target version got a request"
         );
     }
 }
 
 #[test]
-fn the_same_order_again_is_acknowledged_and_another_one_waits_for_it() {
+fn a_repeated_order_is_acknowledged_and_another_one_waits_for_it() {
     for seed in 0..SEEDS {
         let mut test = TestCluster::start(3, 6, seed, Quality::Failing);
         test.order_rollout();
@@ -414,7 +415,7 @@
         assert_eq!(repeated.0, 200, "seed {seed}: {}", repeated.1);
         let next = test.call_until_answered(&OperatorRequest::OrderRollout(rollout_order("v3")));
         assert_eq!(next.0, 200, "seed {seed}: {}", next.1);
-        assert_eq!(test.read_rollout().1, "v2", "seed {seed}: the first is judged first");
+        assert_eq!(test.read_rollout().1, "v2", "seed {seed}: the second order did not wait for the first");
         test.run(DEADLINE + Duration::from_secs(4));
         assert_eq!(test.read_rollout(), ("rolled_back".to_owned(), "v3".to_owned()), "seed {seed}");
         let repeated = test.call_until_answered(&OperatorRequest::OrderRollout(rollout_order("v3")));
--- a/crates/testing/cluster-simulation/tests/service_versions.rs
+++ b/crates/testing/cluster-simulation/tests/service_versions.rs
@@ -1,5 +1,5 @@
-//! The version in service through the losses of a cluster: endpoints of another one must not come in by a new primary, a lost disk or
-//! a start of all machines.
+//! The version in service survives the losses of a cluster: endpoints of another version must not be put in service by a
+//! failover, a lost disk or a restart of all machines.
 
 use passrelay_cluster_simulation::cluster::{Cluster, ClusterSettings, HEARTBEAT_INTERVAL};
 use passrelay_control_plane::configuration_change::{ChangeKind, ConfigurationChange};
@@ -12,18 +12,18 @@
 
 const SERVICE: &str = "s";
 const SEEDS: u64 = 40;
-/// A change is in force everywhere after this time, on a calm cluster.
+/// Time after which a change is in force on all machines of a cluster without faults.
 const APPLY_TIME: Duration = Duration::from_millis(2_500);
-/// A cluster is whole again after this time.
+/// Time after which a cluster has recovered from its losses.
 const RECOVERY_TIME: Duration = Duration::from_secs(15);
 
-/// Endpoints of one version, which report to machines drawn at random.
+/// Endpoints of one version, which send heartbeats to random machines.
 struct Endpoints {
     version: &'static str,
     count: u16,
 }
 
-/// A cluster, its endpoints and the configuration's generation.
+/// A cluster, its endpoints and the generation of its configuration.
 struct TestCluster {
     cluster: Cluster,
     endpoints: Vec<Endpoints>,
@@ -32,7 +32,7 @@
 }
 
 impl TestCluster {
-    /// A cluster whose service has a configuration and endpoints of `v1`.
+    /// Starts a cluster with a configuration and with endpoints of `v1`.
     fn start(voters: usize, machines: usize, seed: u64) -> Self {
         let settings =
             ClusterSettings { records_versions: true, ..ClusterSettings::new(voters, machines, seed) };
@@ -45,7 +45,7 @@
         test
     }
 
-    /// Runs the cluster for a time, while the endpoints report.
+    /// Runs the cluster for a time while the endpoints send heartbeats.
     fn run(&mut self, time: Duration) {
         let until = self.cluster.now() + time;
         while self.cluster.now() < until {
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Changes the configuration until that is in force at the primary; `version` is set for the service, if any.
+    /// Sends a configuration with `version` for the service, if given, until it is in force at the primary.
     fn change(&mut self, version: Option<&str>) {
         let (base, generation) = (self.generation, self.generation + 1);
         let document: Value = json!({ "generation": generation, "routes": [],
@@ -101,7 +101,7 @@
         panic!("generation {generation} was never in force");
     }
 
-    /// The version that each running machine takes for the one in service.
+    /// Returns the version in service according to each running machine.
     fn versions(&self) -> Vec<Option<String>> {
         let processes = (0..self.cluster.len()).filter_map(|machine| self.cluster.process(machine));
         let version = |process: &passrelay_control_plane::Coordinator| {
@@ -131,8 +131,9 @@
     }
 }
 
-// Guards against a primary that takes the endpoints of the moment for the version in service: the new one, all machines after a
-// loss of power in which tolerated disks were lost, at a moment when the endpoints of the second version are in the majority.
+// Guards against a primary that derives the version in service from the endpoints registered at the moment. This may happen
+// after a failover, or after a crash of all machines that loses as many disks as tolerated, while the endpoints of the second
+// version are in the majority.
 #[rstest]
 #[case::three_voters(3, 6)]
 #[case::six_voters(6, 9)]
@@ -153,7 +154,7 @@
         wiped.shuffle(&mut test.cluster.rng);
         wiped.truncate(if voters >= 5 { 2 } else { 1 });
         test.crash_and_start(&all, &wiped);
-        // The endpoints of the first version are late.
+        // The endpoints of the first version send heartbeats only 3 s after the crash.
         let first = test.endpoints.remove(0);
         test.run(Duration::from_secs(3));
         test.endpoints.push(first);
@@ -163,7 +164,7 @@
 }
 
 #[test]
-fn the_configuration_moves_a_service_to_another_version_which_stays_when_it_no_longer_names_one() {
+fn a_version_set_by_the_configuration_stays_when_the_next_one_names_none() {
     for seed in 0..SEEDS {
         let mut test = TestCluster::start(3, 5, seed);
         test.endpoints.push(Endpoints { version: "v2", count: 2 });
--- a/crates/testing/cluster-simulation/tests/traces.rs
+++ b/crates/testing/cluster-simulation/tests/traces.rs
@@ -1,8 +1,8 @@
-//! What simulated clusters showed in version 0.2.0 before the renaming: digests over random histories, which a program
-//! that behaves the same has to bring about again.
+//! Regression tests against digests of random histories, recorded with version 0.2.0: a program with the same behavior has
+//! to reproduce them.
 //!
-//! Into the digests go numbers and what stands on the wire, never a name out of the source. A table holds two digests a
-//! row, over the first 20 seeds and over 100; only the former are played unless `TRACE_SEEDS=100` is set.
+//! The digests cover numbers and encoded messages, never names from the source. Each case has two digests, over the first 20
+//! seeds and over 100; only the former are checked unless `TRACE_SEEDS=100` is set.
 
 use passrelay_cluster_simulation::cluster::{
     Builds, Cluster, ClusterSettings, Observation, HEARTBEAT_INTERVAL,
@@ -22,11 +22,12 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// Seeds of the first digest, and of the second.
+/// Number of seeds of the first digest.
 const FIRST_SEEDS: u64 = 20;
+/// Number of seeds of the second digest.
 const ALL_SEEDS: u64 = 100;
 
-/// FNV-1a, 64 bits.
+/// A 64-bit FNV-1a hash.
 struct Digest(u64);
 
 impl Digest {
@@ -51,7 +52,7 @@
         self.number(time.as_nanos() as u64);
     }
 
-    /// The form that a value has on the wire.
+    /// Adds the CBOR encoding of a value, as it is sent on the wire.
     fn encoded<T: serde::Serialize>(&mut self, value: &T) {
         let mut bytes = Vec::new();
         ciborium::into_writer(value, &mut bytes).expect("it can be written");
@@ -59,7 +60,7 @@
     }
 }
 
-/// Plays the seeds one after the other and compares the digest after the first few, and after many if asked for.
+/// Runs the seeds one after the other and compares the digest after the first 20 and, if requested, after 100.
 fn assert_digests(expected: [u64; 2], mut run: impl FnMut(u64, &mut Digest)) {
     let runs_all = std::env::var("TRACE_SEEDS").is_ok_and(|seeds| seeds == ALL_SEEDS.to_string());
     let mut digest = Digest::new();
@@ -73,8 +74,8 @@
     assert_eq!(found, expected[..found.len()], "found {found:#x?}");
 }
 
-/// Random histories as the tests of the promises play them: whether promises were kept, how many orders were
-/// acknowledged, and the longest wait to the nanosecond.
+/// Digests of random histories as in `histories`: the number of violations, the number of acknowledged changes, and the
+/// longest time to an acknowledgement in nanoseconds.
 #[rstest]
 #[case::mixed_3_of_12(Scenario::Mixed, 3, 12, [0x3e68_658c_b1e0_c2f0, 0x7a15_65b1_ede4_d07f])]
 #[case::mixed_5_of_12(Scenario::Mixed, 5, 12, [0x59d0_8358_3f97_a853, 0x3469_c811_1121_c6ea])]
@@ -100,7 +101,8 @@
     assert_history_digests(scenario, voters, machines, None, expected);
 }
 
-/// Disks that take the seeds of each start for those of the first one: founding goes as it did before seeds were kept.
+/// With disks that take the seeds of each start for those of the first one, the bootstrap has to proceed as it did before
+/// the seeds of the first start were stored.
 #[rstest]
 #[case::bootstrap_3_of_6(3, 6, [0x0867_4282_da1b_0763, 0xdbf5_17d5_ad5e_6001])]
 #[case::bootstrap_5_of_8(5, 8, [0x8dda_7b24_671c_782a, 0x1919_61d8_7183_01b3])]
@@ -141,7 +143,7 @@
     digest.duration(outcome.max_acknowledge_time);
 }
 
-/// Hundreds of changes over narrow links; these take long, so there are few.
+/// Histories of hundreds of changes over slow links; only three seeds, because they take long.
 #[rstest]
 #[case(3, 4, 0xdb69_5085_aa7d_2e68)]
 #[case(5, 6, 0x6bbf_f707_1cce_fc1a)]
@@ -166,8 +168,7 @@
     assert_eq!(digest.0, expected, "found {:#x}", digest.0);
 }
 
-/// Histories of the limits that bind the whole fleet: what was sent and refused of each tenant, keys taken away,
-/// endpoints drained.
+/// Histories of the fleet-wide limits: requests sent and rejected by tenant, keys revoked, endpoints drained.
 #[rstest]
 #[case::three_of_twelve(3, 12, [0x96fd_492f_1b19_43dd, 0x299e_ba15_edb5_ed45])]
 #[case::five_of_twelve(5, 12, [0xe696_26c0_8bd1_1f0a, 0x847d_e3e3_7060_a93d])]
@@ -191,7 +192,7 @@
     });
 }
 
-/// The time that operators wait after the primary was lost.
+/// The time that operators wait for an acknowledgement after the loss of the primary.
 #[rstest]
 #[case::crash(PrimaryLoss::Crash, [0x7905_e993_e163_5851, 0xfafd_208b_3482_3513])]
 #[case::wipe(PrimaryLoss::Wipe, [0x8f82_6e72_8da9_8a44, 0xfa5c_a282_0f8c_4bb8])]
@@ -208,19 +209,19 @@
     });
 }
 
-/// A cluster with orders, reads, endpoints, last_request_id for tokens and faults, all of it watched: each thing seen from
-/// outside and when, the messages and bytes of each machine, and what each knows in the end.
+/// A cluster with changes, reads, endpoints, quota requests and faults. The digest covers each observation and its time, the
+/// messages and bytes sent by each machine, and the final state of each process.
 struct ObservedCluster<'a> {
     cluster: Cluster,
     faults: FaultInjector,
     digest: &'a mut Digest,
-    /// How often each kind of thing was seen, so that none goes without comparison.
+    /// Number of observations of each kind, to check that all kinds are covered.
     seen: &'a mut [usize; 4],
     generation: u64,
     last_request_id: u64,
 }
 
-/// The part of a status that the digests on record were made of, field by field in that order.
+/// The part of a status that the recorded digests cover; the order of the fields is that of the encoding.
 #[derive(serde::Serialize)]
 struct RecordedStatus {
     generation: u64,
@@ -237,7 +238,10 @@
 
 impl From<Status> for RecordedStatus {
     fn from(status: Status) -> Self {
-        assert!(status.service_versions.is_empty(), "these clusters record no versions");
+        assert!(
+            status.service_versions.is_empty(),
+            "service versions recorded by a cluster that records none"
+        );
         RecordedStatus {
             generation: status.generation,
             index: status.index,
@@ -253,8 +257,9 @@
     }
 }
 
-/// How long a watched cluster is played, and the pause between happenings of its outside.
+/// Simulated time for which an observed cluster runs.
 const DURATION: Duration = Duration::from_secs(15);
+/// Interval between inputs to the cluster.
 const INPUT_INTERVAL: Duration = Duration::from_millis(50);
 const ENDPOINTS: u64 = 5;
 
@@ -285,7 +290,7 @@
         }
     }
 
-    /// Something from outside, at a machine drawn at random.
+    /// Passes a random input to a random machine, or injects a fault.
     fn inject_input(&mut self) {
         let machine = self.cluster.rng.random_range(0..self.cluster.len());
         let seen = match self.cluster.rng.random_range(0..10) {
@@ -387,7 +392,9 @@
                     self.digest.number(incarnation);
                     self.digest.encoded(&grant);
                 }
-                Observation::RolloutSharesGranted { .. } => panic!("these clusters roll nothing out"),
+                Observation::RolloutSharesGranted { .. } => {
+                    panic!("a roll-out in a cluster without roll-outs")
+                }
             }
         }
     }
