--- a/crates/testing/test-support/src/caller.rs
+++ b/crates/testing/test-support/src/caller.rs
@@ -1,4 +1,4 @@
-//! Callers of the sidecar in service, and their requests.
+//! Callers, which send requests to a sidecar in service.
 
 use crate::process_state::is_fin_acknowledged;
 use crate::{wait_until, Message};
@@ -8,7 +8,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// A request of class `look` or `pay` as text.
+/// Returns a request of class `look` or `pay` as text, with a unique call id. `budget` is the value of `X-Budget`.
 pub fn request(class: &str, budget: f64, body: &[u8]) -> String {
     static NUMBER: AtomicUsize = AtomicUsize::new(0);
     let number = NUMBER.fetch_add(1, Ordering::SeqCst);
@@ -23,69 +23,73 @@
     )
 }
 
-/// A caller's connection.
+/// A caller's connection to a sidecar.
 pub struct Caller {
     pub(crate) reader: BufReader<TcpStream>,
 }
 
 impl Caller {
-    /// Writes this text.
+    /// Writes `text` and ignores errors.
     pub fn send(&mut self, text: &str) {
-        // The other side may have closed already; what matters is then what it answered.
+        // The peer may have closed the connection already; tests then check the response that it sent before.
         let _ = self.reader.get_mut().write_all(text.as_bytes());
     }
 
-    /// Reads one answer; `None` at the end of the connection.
+    /// Reads one response. Returns `None` at the end of the connection.
     pub fn receive(&mut self) -> Option<Message> {
         Message::read(&mut self.reader)
     }
 
-    /// Writes this text and reads the answer.
+    /// Writes `text` and reads the response.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the connection ends without a response.
     pub fn exchange(&mut self, text: &str) -> Message {
         self.send(text);
-        self.receive().expect("an answer")
+        self.receive().expect("the connection ended without a response")
     }
 
-    /// Ends its side of the connection and goes on hearing.
+    /// Shuts down the write half of the connection; responses can still be received.
     pub fn shutdown_write(&mut self) {
         let _ = self.reader.get_ref().shutdown(Shutdown::Write);
     }
 
-    /// Ends the connection; returns once the other side's system has acknowledged the end, and with it all that was sent.
+    /// Closes the connection. Returns once the peer's kernel has acknowledged the FIN, and with it all data sent before.
     pub fn close(mut self) {
         let own = self.reader.get_ref().local_addr().unwrap();
         self.shutdown_write();
-        wait_until("the end of the connection has arrived", || is_fin_acknowledged(own));
+        wait_until(&format!("the FIN of {own} is acknowledged"), || is_fin_acknowledged(own));
     }
 
-    /// Leaves by a reset.
+    /// Closes the connection with a reset.
     pub fn reset(self) {
         let _ = SockRef::from(self.reader.get_ref()).set_linger(Some(Duration::ZERO));
     }
 
-    /// Reads to the end of the connection, however it ends: how much came, and its last bytes.
+    /// Reads to the end of the connection, whether it is closed or reset. Returns the number of bytes read and the last chunk.
     pub fn drain(&mut self) -> (usize, Vec<u8>) {
-        let (mut heard, mut last, mut piece) = (0, Vec::new(), vec![0; 1 << 16]);
-        while let Ok(n @ 1..) = self.reader.read(&mut piece) {
-            heard += n;
-            last = piece[..n].to_vec();
+        let (mut total, mut last, mut chunk) = (0, Vec::new(), vec![0; 1 << 16]);
+        while let Ok(n @ 1..) = self.reader.read(&mut chunk) {
+            total += n;
+            last = chunk[..n].to_vec();
         }
-        (heard, last)
+        (total, last)
     }
 
-    /// All that still comes up to the other side's end.
+    /// Reads all remaining bytes until the peer closes the connection.
     ///
     /// # Errors
     ///
-    /// Fails where the connection is reset instead.
+    /// Fails if reading fails, for example because the connection is reset instead.
     pub fn read_to_end(&mut self) -> std::io::Result<Vec<u8>> {
         let mut rest = Vec::new();
         self.reader.read_to_end(&mut rest).map(|_| rest)
     }
 
-    /// Whether the other side ends the connection, after whatever it still sends.
+    /// Reads all remaining bytes and returns whether the peer then closed or reset the connection.
     pub fn is_closed_by_peer(&mut self) -> bool {
-        let end = self.read_to_end();
-        end.is_ok() || end.is_err_and(|e| e.kind() == ErrorKind::ConnectionReset)
+        let result = self.read_to_end();
+        result.is_ok() || result.is_err_and(|e| e.kind() == ErrorKind::ConnectionReset)
     }
 }
--- a/crates/testing/test-support/src/fleet.rs
+++ b/crates/testing/test-support/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Processes of the router fleet on loopback: each fleet has addresses of its own, one for each machine.
+//! Processes of the router fleet on loopback. Each fleet uses its own loopback subnet, with one address per machine.
 
 use crate::process_state::wait_until_stopped;
 use crate::{wait_until, Message};
@@ -17,35 +17,35 @@
 const READINESS: u16 = 8_663;
 const CONTROL: u16 = 8_665;
 const INTERNAL: u16 = 7_680;
-/// A client waits so long for bytes.
-const READ_WITHIN: Duration = Duration::from_secs(20);
-/// Grace time of processes where a test doesn't set another.
+/// Time after which a client's read fails.
+const READ_TIMEOUT: Duration = Duration::from_secs(20);
+/// Grace period of processes, in seconds, unless a test sets another.
 const DEFAULT_GRACE_S: u32 = 4;
 
 static FLEETS: AtomicU8 = AtomicU8::new(1);
 
-/// A fleet's addresses and files.
+/// The addresses and files of a fleet; the directory is removed when it is dropped.
 pub struct Fleet {
     program: &'static str,
     folder: PathBuf,
     network: String,
     machines: u8,
-    /// Machines with a vote and a disk, the first ones; all by default.
+    /// Number of voters, which have a disk. They are the first machines; by default all are voters.
     pub voters: u8,
-    /// Time between SIGTERM and SIGKILL that the processes are told, in seconds.
+    /// Time between SIGTERM and SIGKILL that is configured for the processes, in seconds.
     pub grace_s: u32,
-    /// Further lines of every settings file.
+    /// Additional lines of every settings file.
     pub more_settings: Vec<String>,
 }
 
 impl Fleet {
-    /// A fleet of so many machines; none runs yet.
+    /// Creates a fleet of this many machines without starting a process.
     pub fn new(program: &'static str, machines: u8) -> Self {
         let number = FLEETS.fetch_add(1, Ordering::SeqCst);
         let id = std::process::id();
         let network = format!("127.{}.{}", 1 + id % 250, number);
         let folder = std::env::temp_dir().join(format!("passrelay-lease-consensus-{id}-{number}"));
-        std::fs::create_dir_all(&folder).expect("a folder for the fleet");
+        std::fs::create_dir_all(&folder).expect("cannot create the fleet's directory");
         Fleet {
             program,
             folder,
@@ -57,19 +57,19 @@
         }
     }
 
-    /// Starts one machine's process, machines counted from 1, with the first three as its seeds.
+    /// Starts one machine's process, with the first three machines as its seeds. Machines are numbered from 1.
     pub fn start(&self, machine: u8, bootstrap: bool) -> Sidecar {
         let seeds: Vec<u8> = (1..=self.machines.min(3)).collect();
         self.write_settings(machine, bootstrap, &seeds);
         self.spawn(machine)
     }
 
-    /// Voters that may be lost at one time.
+    /// Returns how many voters may be lost at the same time.
     pub fn tolerated_losses(&self) -> u8 {
         (self.voters - 1) / 2
     }
 
-    /// Removes the disk of a machine whose process doesn't run.
+    /// Removes the data directory of a machine whose process is not running.
     pub fn wipe_disk(&self, machine: u8) {
         let _ = std::fs::remove_dir_all(self.data_dir(machine));
     }
@@ -78,7 +78,7 @@
         self.folder.join(format!("data-{machine}"))
     }
 
-    /// Path of one machine's settings file.
+    /// Returns the path of one machine's settings file.
     pub fn settings_path(&self, machine: u8) -> PathBuf {
         self.folder.join(format!("node-{machine}.conf"))
     }
@@ -87,7 +87,7 @@
         format!("{}.{machine}", self.network)
     }
 
-    /// Writes one machine's settings file, with these machines as its seeds.
+    /// Writes one machine's settings file, with `seeds` as the machines that are its seeds.
     pub fn write_settings(&self, machine: u8, bootstrap: bool, seeds: &[u8]) {
         let ip = self.ip(machine);
         let seeds: Vec<String> = seeds.iter().map(|seed| format!("{}:{CONTROL}", self.ip(*seed))).collect();
@@ -112,44 +112,47 @@
             settings.push(format!("data-dir={}", self.data_dir(machine).display()));
         }
         settings.extend(self.more_settings.iter().cloned());
-        std::fs::write(self.settings_path(machine), settings.join("\n")).expect("the settings are written");
+        std::fs::write(self.settings_path(machine), settings.join("\n"))
+            .expect("cannot write the settings file");
     }
 
-    /// Starts one machine's process with the settings file that is there.
+    /// Starts one machine's process with its current settings file and collects its log.
     pub fn spawn(&self, machine: u8) -> Sidecar {
         let mut child = Command::new(self.program)
             .arg("node")
             .env("PASSRELAY_CONFIG", self.settings_path(machine))
             .stderr(Stdio::piped())
             .spawn()
-            .expect("the program starts");
+            .expect("cannot start the program");
         let log = Arc::new(Mutex::new(Vec::new()));
-        let lines = BufReader::new(child.stderr.take().expect("its log"));
-        let kept = log.clone();
-        thread::spawn(move || lines.lines().map_while(Result::ok).for_each(|l| kept.lock().unwrap().push(l)));
+        let lines = BufReader::new(child.stderr.take().expect("standard error is not piped"));
+        let log_lines = log.clone();
+        thread::spawn(move || {
+            lines.lines().map_while(Result::ok).for_each(|l| log_lines.lock().unwrap().push(l))
+        });
         Sidecar { child, ip: self.ip(machine), log }
     }
 
-    /// Writes a file beside the fleet's; returns its path.
+    /// Writes a file to the fleet's directory and returns its path.
     pub fn write_file(&self, name: &str, text: &str) -> String {
         let path = self.folder.join(name);
-        std::fs::write(&path, text).expect("the file is written");
+        std::fs::write(&path, text).expect("cannot write a file of the fleet");
         path.display().to_string()
     }
 
-    /// Starts all machines for the first time and waits until one leads.
+    /// Starts all machines for the first time and waits until one of them is primary.
     pub fn start_all(&self) -> Vec<Sidecar> {
         let sidecars: Vec<Sidecar> = (1..=self.machines).map(|m| self.start(m, true)).collect();
-        wait_until("a primary leads", || sidecars.iter().any(|s| s.status()["leads"] == json!(true)));
+        wait_until("a primary is elected", || sidecars.iter().any(|s| s.status()["leads"] == json!(true)));
         sidecars
     }
 
-    /// Starts all machines of a fleet, registers a ready endpoint of service `bays` at each of these addresses, with ids
-    /// from `i-0` up, puts the first configuration and waits until the first machine accepts clients. Returns that one.
+    /// Starts all machines, registers a ready endpoint of service `bays` at each of `endpoints`, with ids from `i-0` up, puts
+    /// the first configuration and waits until the first machine accepts clients. Returns that machine's process.
     ///
     /// # Panics
     ///
-    /// Panics where a heartbeat or the configuration is rejected, or the machine isn't ready in time.
+    /// Panics if a heartbeat or the configuration is rejected, or the machine is not ready in time.
     pub fn start_serving(&self, endpoints: &[SocketAddr], configuration: &Value) -> Sidecar {
         let sidecar = self.start_all().remove(0);
         for (index, address) in endpoints.iter().enumerate() {
@@ -167,7 +170,7 @@
     }
 }
 
-/// One process of a fleet.
+/// A process of a fleet; killed when dropped. If the test panics, its log is printed.
 pub struct Sidecar {
     child: Child,
     ip: String,
@@ -175,59 +178,63 @@
 }
 
 impl Sidecar {
-    /// Its log so far.
+    /// Returns the log lines so far.
     pub fn log(&self) -> Vec<String> {
         self.log.lock().unwrap().clone()
     }
 
-    /// Where clients connect.
+    /// Returns the address to which clients connect.
     pub fn front_address(&self) -> SocketAddr {
         format!("{}:{FRONT}", self.ip).parse().expect("an address")
     }
 
-    /// Whether the process has ended, by itself or by a signal.
+    /// Returns whether the process has exited, by itself or by a signal.
     pub fn has_exited(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(Some(_)))
     }
 
-    /// Where operators call.
+    /// Returns the address of the control API, which operators call.
     pub fn control_address(&self) -> SocketAddr {
         format!("{}:{CONTROL}", self.ip).parse().expect("an address")
     }
 
-    /// A new connection to a port of it.
+    /// Opens a connection to one of the process's ports. Returns `None` if that fails.
     fn connect(&self, port: u16) -> Option<TcpStream> {
         let address: SocketAddr = format!("{}:{port}", self.ip).parse().ok()?;
         let stream = TcpStream::connect_timeout(&address, Duration::from_secs(2)).ok()?;
-        stream.set_read_timeout(Some(READ_WITHIN)).ok()?;
+        stream.set_read_timeout(Some(READ_TIMEOUT)).ok()?;
         stream.set_nodelay(true).ok()?;
         Some(stream)
     }
 
-    /// A connection like a client's.
+    /// Opens a client connection.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the port for clients cannot be reached.
     pub fn client(&self) -> TcpStream {
-        self.connect(FRONT).expect("the clients' port is open")
+        self.connect(FRONT).expect("cannot connect to the port for clients")
     }
 
-    /// A client's connection that stays open after the answer to a request.
+    /// Sends a request on a new client connection, reads the response, and returns the connection, which stays open.
     pub fn keep_alive_client(&self, request: &[u8]) -> TcpStream {
         let mut stream = self.client();
         let text = String::from_utf8_lossy(request).replace("Connection: close\r\n", "");
-        stream.write_all(text.as_bytes()).expect("the request is written");
-        let mut reader = BufReader::new(stream.try_clone().expect("a second handle"));
-        Message::read(&mut reader).expect("an answer");
+        stream.write_all(text.as_bytes()).expect("cannot write the request");
+        let mut reader = BufReader::new(stream.try_clone().expect("cannot duplicate the socket"));
+        Message::read(&mut reader).expect("the connection ended without a response");
         stream
     }
 
-    /// Writes bytes as a client and reads everything up to the end of the connection.
+    /// Writes `bytes` on a new client connection and reads the response up to the end of the connection.
     pub fn exchange(&self, bytes: &[u8]) -> String {
         let mut stream = self.client();
-        // The other side may end while it is still being written to.
+        // The peer may close the connection before all bytes are written.
         let _ = stream.write_all(bytes);
         read_all(&mut stream)
     }
 
-    /// A call to its control port.
+    /// Sends a request to the control API. Returns `None` if there is no response.
     pub fn call_control(&self, method: &str, path: &str, headers: &str, body: &str) -> Option<Message> {
         let mut stream = self.connect(CONTROL)?;
         let length = body.len();
@@ -237,19 +244,19 @@
         Message::read(&mut BufReader::new(stream))
     }
 
-    /// What it says of itself; null while it doesn't.
+    /// Returns the process's status, or null if it does not respond.
     pub fn status(&self) -> Value {
         let answer = self.call_control("GET", "/status", "", "");
         answer.and_then(|a| serde_json::from_slice(&a.body).ok()).unwrap_or(Value::Null)
     }
 
-    /// Sends a whole configuration; the status of the answer, 0 for none.
+    /// Replaces the configuration. Returns the status of the response, or 0 if there is none.
     pub fn put_configuration(&self, base: u64, configuration: &Value) -> u16 {
         let headers = format!("If-Match: {base}\r\n");
         self.call_control("PUT", "/config", &headers, &configuration.to_string()).map_or(0, |a| a.status())
     }
 
-    /// Sends an endpoint's heartbeat; the status of the answer, 0 for none.
+    /// Sends an endpoint's heartbeat. Returns the status of the response, or 0 if there is none.
     pub fn heartbeat(&self, id: &str, service: &str, address: SocketAddr, state: &str, sequence: u64) -> u16 {
         let body = json!({ "backend": service, "address": address.to_string(), "zone": "here", "capacity": 8,
             "state": state, "sequence": sequence });
@@ -257,23 +264,23 @@
         self.call_control("PUT", &path, "", &body.to_string()).map_or(0, |a| a.status())
     }
 
-    /// Whether clients may come.
+    /// Returns whether the readiness endpoint responds with 200.
     pub fn is_ready(&self) -> bool {
         let Some(mut stream) = self.connect(READINESS) else { return false };
-        let asked = stream.write_all(b"GET /ready HTTP/1.1\r\nHost: r\r\n\r\n");
-        asked.is_ok() && Message::read(&mut BufReader::new(stream)).is_some_and(|a| a.status() == 200)
+        let written = stream.write_all(b"GET /ready HTTP/1.1\r\nHost: r\r\n\r\n");
+        written.is_ok() && Message::read(&mut BufReader::new(stream)).is_some_and(|a| a.status() == 200)
     }
 
-    /// Waits until clients may come.
+    /// Waits until the process is ready to accept clients.
     pub fn wait_until_ready(&self) {
-        wait_until("it is ready", || self.is_ready());
+        wait_until(&format!("{} is ready", self.ip), || self.is_ready());
     }
 
-    /// Sends a signal by its name without SIG.
+    /// Sends a signal, named without the prefix `SIG`.
     ///
     /// # Panics
     ///
-    /// Panics where the name is none of those that the tests send, or the process has ended and was waited for.
+    /// Panics if the tests send no signal of this name, or the process has exited and was waited for.
     pub fn signal(&self, name: &str) {
         let signal = match name {
             "CONT" => Signal::CONT,
@@ -282,23 +289,23 @@
             "KILL" => Signal::KILL,
             "STOP" => Signal::STOP,
             "TERM" => Signal::TERM,
-            other => panic!("no signal for tests: {other}"),
+            other => panic!("unsupported signal name: {other}"),
         };
-        kill_process(Pid::from_child(&self.child), signal).expect("the signal is sent");
+        kill_process(Pid::from_child(&self.child), signal).expect("cannot send the signal");
     }
 
-    /// Stops the process; returns once it stands still.
+    /// Stops the process with SIGSTOP. Returns once it is stopped.
     pub fn pause(&self) {
         self.signal("STOP");
         wait_until_stopped(self.child.id());
     }
 
-    /// Lets a paused process go on.
+    /// Resumes a paused process.
     pub fn resume(&self) {
         self.signal("CONT");
     }
 
-    /// Waits for its end; true if it ended well.
+    /// Waits until the process exits. Returns whether it exited with status 0.
     pub fn wait_for_success(&mut self) -> bool {
         self.child.wait().is_ok_and(|status| status.success())
     }
@@ -314,7 +321,7 @@
     }
 }
 
-/// Everything that still comes.
+/// Reads all remaining bytes until the connection ends, and then shuts it down.
 pub fn read_all(stream: &mut TcpStream) -> String {
     let mut bytes = Vec::new();
     let _ = stream.read_to_end(&mut bytes);
--- a/crates/testing/test-support/src/lib.rs
+++ b/crates/testing/test-support/src/lib.rs
@@ -1,4 +1,4 @@
-//! The real program as a process, with nodes, discovery and callers round it, all on loopback.
+//! Runs the program as a process on loopback, together with test nodes, a discovery service and callers.
 
 mod caller;
 mod discovery;
@@ -18,14 +18,18 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Generous: a test that waits so long has failed.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Time after which a wait or a read fails the test; generous, so that a slow machine does not cause failures.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Waits for a condition.
+/// Waits until a condition holds. `what` completes the sentence "waiting until ..." in the failure message.
+///
+/// # Panics
+///
+/// Panics if the condition does not hold within 20 s.
 pub fn wait_until(what: &str, condition: impl Fn() -> bool) {
-    let began = Instant::now();
+    let started_at = Instant::now();
     while !condition() {
-        assert!(began.elapsed() < PATIENCE, "waited in vain until {what}");
+        assert!(started_at.elapsed() < WAIT_TIMEOUT, "timed out after {WAIT_TIMEOUT:?} waiting until {what}");
         thread::sleep(Duration::from_millis(5));
     }
 }
--- a/crates/testing/test-support/src/message.rs
+++ b/crates/testing/test-support/src/message.rs
@@ -1,39 +1,40 @@
-//! HTTP messages as they came.
+//! HTTP messages, parsed without interpretation.
 
 use std::io::{BufRead, BufReader, Read};
 use std::net::TcpStream;
 
-/// A message as it came: its first line, its headers in lower case, its body.
+/// An HTTP request or response.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
-    /// The first line.
+    /// The request line or status line.
     pub start_line: String,
-    /// Names in lower case, with their values.
+    /// Names, in lower case, and values of the headers, in the order received.
     pub headers: Vec<(String, String)>,
-    /// The body.
+    /// The body; empty without a `Content-Length`.
     pub body: Vec<u8>,
-    /// Number of the connection at its server.
+    /// Index of the connection at the server that received the message, from 0; 0 for other messages.
     pub connection: usize,
 }
 
 impl Message {
-    /// The first value of a header, named in lower case.
+    /// Returns the first value of a header; `name` must be in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str())
     }
 
-    /// The status of an answer; 0 if it has none.
+    /// Returns the status code of a response, or 0 if it has none.
     pub fn status(&self) -> u16 {
         self.start_line.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
     }
 
-    /// Reads one message framed by a length; `None` at the end of the connection.
+    /// Reads one message, with a body of `Content-Length` bytes. Returns `None` if the connection ends or fails before the
+    /// message is complete.
     pub fn read(from: &mut BufReader<TcpStream>) -> Option<Message> {
         let mut line = String::new();
         let mut message = Message::default();
         loop {
             line.clear();
-            // Guards against a head that was cut in its last line, taken for a whole one.
+            // A line without a line feed was truncated by the end of the connection; the head is incomplete.
             if from.read_line(&mut line).ok()? == 0 || !line.ends_with('\n') {
                 return None;
             }
--- a/crates/testing/test-support/src/relay.rs
+++ b/crates/testing/test-support/src/relay.rs
@@ -1,7 +1,7 @@
-//! The sidecar in service as a process, with its configuration.
+//! The load-balancing sidecar as a process, and its configuration.
 
 use crate::process_state::wait_until_stopped;
-use crate::{node_entry, request, wait_until, Caller, Discovery, Message, Server, PATIENCE};
+use crate::{node_entry, request, wait_until, Caller, Discovery, Message, Server, WAIT_TIMEOUT};
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-/// Settings with a safe class `look` and an unsafe class `pay`.
+/// Returns settings with a safe class `look` and an unsafe class `pay`.
 pub fn settings() -> Value {
     let class = |name: &str, kind: &str| json!({"Name": name, "Aim": 2.5, "GiveUp": 6.0, "Gain": 1.0, "Idempotency": kind});
     json!({
@@ -25,16 +25,17 @@
     })
 }
 
-/// An address of loopback that was free a moment ago, below the ports that the system gives out itself. Guards against
-/// a process that can't come back to its address since a connection of somebody else's has got its port meanwhile.
+/// Returns a loopback address whose port was free when checked and lies below the ephemeral port range of the system. An
+/// ephemeral port could be assigned to a connection of another process while the program restarts, which then could not bind
+/// to its address again.
 ///
 /// # Errors
 ///
-/// Fails when there is none.
+/// Fails if no port of the range is free.
 pub fn free_address() -> std::io::Result<SocketAddr> {
     const PORTS: std::ops::Range<u32> = 12_000..32_000;
     static NEXT: AtomicUsize = AtomicUsize::new(0);
-    // Processes that run side by side begin far from each other; in one process none is given twice in a row.
+    // Concurrent processes start at distant ports; within a process, ports are taken in turn and not reused immediately.
     let first = std::process::id().wrapping_mul(7919);
     for _ in PORTS {
         let next = first.wrapping_add(NEXT.fetch_add(1, Ordering::Relaxed) as u32);
@@ -44,19 +45,19 @@
             return Ok(address);
         }
     }
-    Err(std::io::Error::other("no port is free"))
+    Err(std::io::Error::other("no port from 12000 to 31999 is free on loopback"))
 }
 
-/// The configuration of a sidecar that listens on a free port.
+/// Returns the configuration of a sidecar that listens on a free port and uses this discovery service.
 pub fn config(discovery: SocketAddr) -> Value {
     let listen = free_address().unwrap();
     json!({"name": "n1", "listen": listen.to_string(), "discovery": discovery.to_string(), "seed": "8c1f30d27a5be964",
            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "known": null, "settings": settings()})
 }
 
-/// The program as a process; killed when dropped.
+/// A sidecar process; killed when dropped.
 pub struct Relay {
-    /// Where it listens.
+    /// The address on which the sidecar accepts callers.
     pub address: SocketAddr,
     operator: Option<SocketAddr>,
     child: Child,
@@ -66,12 +67,12 @@
 }
 
 impl Relay {
-    /// Starts the program and waits until it listens.
+    /// Starts the program and waits until it logs that it has started.
     pub fn start(program: &str, config: &Value) -> Relay {
         Relay::start_with_fd_limit(program, config, 1024)
     }
 
-    /// The same under a limit of the system on descriptors.
+    /// Like `start`, with a limit on the number of open file descriptors.
     pub fn start_with_fd_limit(program: &str, config: &Value, descriptors: u32) -> Relay {
         let path = config_file(config);
         let mut child = Command::new("/bin/sh")
@@ -96,13 +97,13 @@
         relay
     }
 
-    /// Starts a sidecar with these nodes, all in service, and waits until it is ready.
+    /// Starts a discovery service with these nodes, all in service, and a sidecar, and waits until the sidecar is ready.
     pub fn start_with_nodes(program: &str, nodes: &[&Server]) -> (Relay, Discovery) {
         let addresses: Vec<_> = nodes.iter().map(|s| s.address).collect();
         Relay::start_configured(program, &addresses, |_| {})
     }
 
-    /// The same before nodes at these addresses, with a change to its configuration.
+    /// Like `start_with_nodes`, with the addresses of the nodes and a function that modifies the sidecar's configuration.
     pub fn start_configured(
         program: &str,
         nodes: &[SocketAddr],
@@ -110,69 +111,77 @@
     ) -> (Relay, Discovery) {
         let lines = nodes.iter().enumerate().map(|(n, at)| node_entry(&format!("s-{n}"), *at, "in_service"));
         let discovery = Discovery::start(lines.collect());
-        let mut told = config(discovery.server.address);
-        change(&mut told);
-        let relay = Relay::start(program, &told);
+        let mut config = config(discovery.server.address);
+        change(&mut config);
+        let relay = Relay::start(program, &config);
         relay.wait_until_ready();
         (relay, discovery)
     }
 
-    /// Waits until it says that it is ready.
+    /// Waits until `/ready` responds with 200.
     pub fn wait_until_ready(&self) {
-        wait_until("it is ready", || self.caller().exchange("GET /ready HTTP/1.1\r\n\r\n").status() == 200);
+        wait_until(&format!("{} is ready", self.address), || {
+            self.caller().exchange("GET /ready HTTP/1.1\r\n\r\n").status() == 200
+        });
     }
 
-    /// The first log line that holds this text.
+    /// Returns the first log line that contains `text`.
     pub fn find_log(&self, text: &str) -> Option<String> {
         self.log.lock().unwrap().iter().find(|l| l.contains(text)).cloned()
     }
 
-    /// All log lines so far.
+    /// Returns all log lines so far.
     pub fn log(&self) -> Vec<String> {
         self.log.lock().unwrap().clone()
     }
 
-    /// Waits for a log line that holds this text.
+    /// Waits for a log line that contains `text` and returns it.
     pub fn wait_for_log(&self, text: &str) -> String {
         wait_until(&format!("'{text}' is logged"), || self.find_log(text).is_some());
         self.find_log(text).unwrap()
     }
 
-    /// A call to its operators' address, which its configuration has to name, on a connection of its own.
+    /// Sends a request to the operators' address on a new connection and returns the response.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the configuration has no operators' address or there is no response.
     pub fn call_operator(&self, text: &str) -> Message {
-        let mut sock = TcpStream::connect(self.operator.expect("an operators' address")).unwrap();
-        sock.set_read_timeout(Some(PATIENCE)).unwrap();
+        let mut sock =
+            TcpStream::connect(self.operator.expect("the configuration has no operators' address")).unwrap();
+        sock.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         sock.write_all(text.as_bytes()).unwrap();
-        Message::read(&mut BufReader::new(sock)).expect("an answer to an operator's call")
+        Message::read(&mut BufReader::new(sock))
+            .expect("the connection ended without a response to the operator")
     }
 
-    /// What it says of itself there.
+    /// Returns the response to `/status` at the operators' address.
     pub fn status(&self) -> Value {
         let reply = self.call_operator("GET /status HTTP/1.1\r\nHost: x\r\n\r\n");
         serde_json::from_slice(&reply.body).unwrap()
     }
 
-    /// Waits until it owes no answer and holds no client's connection.
+    /// Waits until the sidecar owes no responses and has no client connections.
     pub fn wait_until_idle(&self) {
-        wait_until("all clients have gone", || {
+        wait_until("no response is owed and no client is connected", || {
             let status = self.status();
             (status["owed"].as_u64(), status["clients"].as_u64()) == (Some(0), Some(0))
         });
     }
 
-    /// A new connection to it.
+    /// Opens a caller's connection.
     pub fn caller(&self) -> Caller {
         let sock = TcpStream::connect(self.address).unwrap();
-        sock.set_read_timeout(Some(PATIENCE)).unwrap();
+        sock.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         Caller { reader: BufReader::new(sock) }
     }
 
-    /// One request on a connection of its own.
+    /// Sends one request on a new connection and returns the response.
     pub fn call(&self, class: &str, budget: f64) -> Message {
         self.caller().exchange(&request(class, budget, b""))
     }
 
-    /// Its process.
+    /// Returns the id of the process.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
@@ -182,36 +191,36 @@
         self.signal("TERM");
     }
 
-    /// Sends a signal by its name without SIG.
+    /// Sends a signal, named without the prefix `SIG`.
     pub fn signal(&self, name: &str) {
         let kill = Command::new("kill").args(["-s", name, &self.child.id().to_string()]).status().unwrap();
         assert!(kill.success());
     }
 
-    /// Stops the process; returns once it stands still.
+    /// Stops the process with SIGSTOP. Returns once it is stopped.
     pub fn pause(&self) {
         self.signal("STOP");
         wait_until_stopped(self.child.id());
     }
 
-    /// Lets a paused process go on.
+    /// Resumes a paused process.
     pub fn resume(&self) {
         self.signal("CONT");
     }
 
-    /// Replaces its configuration and says so.
+    /// Replaces the configuration file and sends SIGHUP.
     pub fn reload(&self, text: &str) {
         std::fs::write(&self.file, text).unwrap();
         self.signal("HUP");
     }
 
-    /// Waits for the end; true if the program ended well.
+    /// Waits until the process exits. Returns whether it exited with status 0.
     pub fn wait_for_success(&mut self) -> bool {
-        wait_until("its log ends", || self.log_ended.load(Ordering::SeqCst));
+        wait_until("the log ends", || self.log_ended.load(Ordering::SeqCst));
         self.child.wait().unwrap().success()
     }
 
-    /// Whether the process is there.
+    /// Returns whether the process has not exited yet.
     pub fn is_running(&mut self) -> bool {
         self.child.try_wait().unwrap().is_none()
     }
@@ -225,7 +234,7 @@
     }
 }
 
-/// Writes a configuration to a file of its own.
+/// Writes a configuration to a new temporary file and returns its path.
 pub fn config_file(config: &Value) -> std::path::PathBuf {
     static NUMBER: AtomicUsize = AtomicUsize::new(0);
     let number = NUMBER.fetch_add(1, Ordering::SeqCst);
--- a/crates/testing/test-support/src/server.rs
+++ b/crates/testing/test-support/src/server.rs
@@ -1,4 +1,4 @@
-//! Servers whose answers the test decides.
+//! HTTP servers whose responses are defined by the test.
 
 use crate::Message;
 use socket2::SockRef;
@@ -9,49 +9,50 @@
 use std::thread;
 use std::time::Duration;
 
-/// What a server does with a request.
+/// The reaction of a server to a request.
 pub enum Reply {
-    /// Writes this and keeps the connection.
+    /// Writes these bytes and keeps the connection open.
     Bytes(Vec<u8>),
-    /// Writes this, then closes.
+    /// Writes these bytes, then closes the connection.
     BytesThenClose(Vec<u8>),
-    /// Writes this, then resets the connection.
+    /// Writes these bytes, then resets the connection.
     BytesThenReset(Vec<u8>),
-    /// Says nothing and keeps the connection.
+    /// Writes nothing and keeps the connection open.
     NoResponse,
 }
 
-/// An answer with a length.
-pub fn response(status: u16, more: &str, body: &[u8]) -> Reply {
-    let head = format!("HTTP/1.1 {status} X\r\nContent-Length: {}\r\n{more}\r\n", body.len());
+/// Returns a response with a `Content-Length`. `extra_headers` holds further header lines, each with its line break.
+pub fn response(status: u16, extra_headers: &str, body: &[u8]) -> Reply {
+    let head = format!("HTTP/1.1 {status} X\r\nContent-Length: {}\r\n{extra_headers}\r\n", body.len());
     Reply::Bytes([head.as_bytes(), body].concat())
 }
 
-/// A server whose answers the test decides; used as a node and as discovery.
+/// A server whose responses are defined by the test; used as a node and for discovery.
 pub struct Server {
-    /// Where it listens.
+    /// The address on which the server listens.
     pub address: SocketAddr,
-    seen: Arc<Mutex<Vec<Message>>>,
-    ended: Arc<AtomicUsize>,
+    received_requests: Arc<Mutex<Vec<Message>>>,
+    closed_count: Arc<AtomicUsize>,
 }
 
 impl Server {
-    /// A server on a free port of loopback.
+    /// Starts a server on a free loopback port.
     pub fn start(reply: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> Server {
         Server::from_listener(TcpListener::bind("127.0.0.1:0").unwrap(), reply)
     }
 
-    /// A server on this listener.
+    /// Starts a server on an existing listener.
     pub fn from_listener(
         listener: TcpListener,
         reply: impl Fn(&Message) -> Reply + Send + Sync + 'static,
     ) -> Server {
-        let (seen, ended) = (Arc::new(Mutex::new(Vec::new())), Arc::new(AtomicUsize::new(0)));
-        let (coming, gone) = (seen.clone(), ended.clone());
+        let (received_requests, closed_count) =
+            (Arc::new(Mutex::new(Vec::new())), Arc::new(AtomicUsize::new(0)));
+        let (received, closed) = (received_requests.clone(), closed_count.clone());
         let address = serve_connections(listener, move |number, mut sock| {
             let mut reader = BufReader::new(sock.try_clone().unwrap());
             while let Some(message) = Message::read(&mut reader) {
-                coming.lock().unwrap().push(Message { connection: number, ..message.clone() });
+                received.lock().unwrap().push(Message { connection: number, ..message.clone() });
                 match reply(&message) {
                     Reply::Bytes(bytes) => drop(sock.write_all(&bytes)),
                     Reply::BytesThenClose(bytes) => {
@@ -62,34 +63,35 @@
                         let _ = sock.write_all(&bytes);
                         let _ = SockRef::from(&sock).set_linger(Some(Duration::ZERO));
                         drop((reader, sock));
-                        gone.fetch_add(1, Ordering::SeqCst);
+                        closed.fetch_add(1, Ordering::SeqCst);
                         return;
                     }
                     Reply::NoResponse => {}
                 }
             }
-            // Counted only once the other side can see the end. A process that another test starts just
-            // now holds a copy of the socket until it runs its program: closing alone may come late.
+            // Shuts the connection down before counting it, so that the peer can observe the end by then. Closing
+            // alone may take effect late: a process being started by another test holds a copy of the socket
+            // until its exec.
             let _ = sock.shutdown(Shutdown::Both);
             drop((reader, sock));
-            gone.fetch_add(1, Ordering::SeqCst);
+            closed.fetch_add(1, Ordering::SeqCst);
         });
-        Server { address, seen, ended }
+        Server { address, received_requests, closed_count }
     }
 
-    /// What has come in so far.
+    /// Returns the requests received so far, in the order of arrival.
     pub fn requests(&self) -> Vec<Message> {
-        self.seen.lock().unwrap().clone()
+        self.received_requests.lock().unwrap().clone()
     }
 
-    /// Connections that have ended.
+    /// Returns the number of connections that have ended.
     pub fn closed_connections(&self) -> usize {
-        self.ended.load(Ordering::SeqCst)
+        self.closed_count.load(Ordering::SeqCst)
     }
 }
 
-/// Serves each connection to this listener by a script of the test's own, on a thread of its own; the script gets the
-/// connection's number.
+/// Runs `script` for each connection to a listener, on a separate thread, with the connection's index from 0. Returns the
+/// listener's address.
 pub fn serve_connections(
     listener: TcpListener,
     script: impl Fn(usize, TcpStream) + Send + Sync + 'static,
@@ -104,12 +106,12 @@
     address
 }
 
-/// A listener whose queue is full, so that no further connection to it comes up before somebody accepts; and the
-/// connections that fill it, which are accepted first.
+/// Returns a listener whose accept queue is full, so that no further connection is established before one is accepted, and
+/// the connections that fill the queue, which are accepted first.
 ///
 /// # Panics
 ///
-/// Panics where the system doesn't let the queue fill.
+/// Panics if the queue does not fill up after four connections.
 pub fn full_listener() -> (TcpListener, Vec<TcpStream>) {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
@@ -120,6 +122,6 @@
         .map(|_| TcpStream::connect_timeout(&address, Duration::from_millis(100)))
         .map_while(Result::ok)
         .collect();
-    assert!(fillers.len() < 4, "the queue should be full");
+    assert!(fillers.len() < 4, "the accept queue is not full after {} connections", fillers.len());
     (listener, fillers)
 }
