--- a/crates/testing/cluster-simulation/examples/dissemination.rs
+++ b/crates/testing/cluster-simulation/examples/dissemination.rs
@@ -23,7 +23,9 @@
     let record = EndpointRecord {
         id: format!("i-{number:08x}"),
         service: "model".to_owned(),
-        address: format!("10.9.{}.{}:8000", number / 250, number % 250 + 1).parse().expect("an address"),
+        address: format!("10.9.{}.{}:8000", number / 250, number % 250 + 1)
+            .parse()
+            .expect("invalid endpoint address"),
         zone: "zone-1".to_owned(),
         capacity: 64,
         state,
--- a/crates/testing/cluster-simulation/tests/repairs.rs
+++ b/crates/testing/cluster-simulation/tests/repairs.rs
@@ -74,7 +74,7 @@
     cluster.run_until(Duration::from_secs(5));
     change_until_acknowledged(&mut cluster, 1, 0);
     cluster.run_until(cluster.now() + Duration::from_secs(6));
-    let primary = cluster.primary().expect("a primary");
+    let primary = cluster.primary().expect("no primary is established");
     let others: Vec<usize> = (0..3).filter(|m| *m != primary).collect();
     cluster.crash(others[1]);
     cluster.run_until(cluster.now() + Duration::from_secs(2));
@@ -91,7 +91,8 @@
     cluster.start_after(others[0], Duration::from_millis(300));
     cluster.run_until(cluster.now() + Duration::from_secs(25));
     let read = (0..3).find_map(|m| call(&mut cluster, m, OperatorRequest::Read, Duration::from_secs(1)));
-    let body: serde_json::Value = serde_json::from_str(&read.expect("an answer").body).expect("it is JSON");
+    let body: serde_json::Value = serde_json::from_str(&read.expect("no machine answered the read").body)
+        .expect("the body is not JSON");
     LastGenerations { acknowledged, read: body["generation"].as_u64().unwrap_or(0) }
 }
 
--- a/crates/testing/cluster-simulation/tests/rollouts.rs
+++ b/crates/testing/cluster-simulation/tests/rollouts.rs
@@ -106,8 +106,8 @@
                 self.report();
             }
             self.send_requests();
-            let seen = self.cluster.run_until((now + REQUEST_INTERVAL).min(until));
-            self.observe(seen);
+            let observations = self.cluster.run_until((now + REQUEST_INTERVAL).min(until));
+            self.observe(observations);
         }
     }
 
@@ -125,15 +125,17 @@
                 let record = EndpointRecord {
                     id: format!("{version}-{index}"),
                     service: SERVICE.to_owned(),
-                    address: format!("10.9.{group}.1:{}", 1_000 + index).parse().expect("an address"),
+                    address: format!("10.9.{group}.1:{}", 1_000 + index)
+                        .parse()
+                        .expect("invalid endpoint address"),
                     zone: "z".to_owned(),
                     capacity: 64,
                     state: EndpointState::Ready,
                     sequence: self.heartbeat_sequence,
                     version: version.to_owned(),
                 };
-                let seen = self.cluster.heartbeat(machine, &Heartbeat { record }).unwrap_or_default();
-                self.observe(seen);
+                let observations = self.cluster.heartbeat(machine, &Heartbeat { record }).unwrap_or_default();
+                self.observe(observations);
             }
         }
     }
@@ -150,8 +152,8 @@
                 continue;
             }
             let (request_id, reports) = sidecar.shares.next_report(now, |_, _| 0);
-            let seen = self.cluster.report_rollouts(machine, request_id, reports).unwrap_or_default();
-            self.observe(seen);
+            let observations = self.cluster.report_rollouts(machine, request_id, reports).unwrap_or_default();
+            self.observe(observations);
         }
     }
 
@@ -201,8 +203,8 @@
         }
     }
 
-    fn observe(&mut self, seen: Vec<Observation>) {
-        for observation in seen {
+    fn observe(&mut self, observations: Vec<Observation>) {
+        for observation in observations {
             match observation {
                 Observation::Configured { machine, incarnation, configuration } => {
                     let now = self.cluster.local_now(machine);
@@ -234,8 +236,8 @@
         for _ in 0..80 {
             let machine = self.cluster.rng.random_range(0..self.cluster.len());
             if self.cluster.is_responsive(machine) {
-                if let Some((key, seen)) = self.cluster.call(machine, request.clone()) {
-                    self.observe(seen);
+                if let Some((key, observations)) = self.cluster.call(machine, request.clone()) {
+                    self.observe(observations);
                     self.run(Duration::from_millis(400));
                     if let Some(answer) = self.answers.remove(&key).filter(|(status, _)| *status < 500) {
                         return answer;
@@ -259,8 +261,8 @@
         let request = OperatorRequest::ReadRollout { service: SERVICE.to_owned() };
         let (status, body) = self.call_until_answered(&request);
         assert_eq!(status, 200, "{body}");
-        let body: Value = serde_json::from_str(&body).expect("JSON");
-        let text = |key: &str| body[key].as_str().expect("a text").to_owned();
+        let body: Value = serde_json::from_str(&body).expect("the body is not JSON");
+        let text = |key: &str| body[key].as_str().expect("the field is not a string").to_owned();
         (text("state"), text("target-version"))
     }
 
@@ -289,7 +291,8 @@
     /// Checks that all running processes agree on the phase of the roll-out and on the version in service.
     fn assert_outcome(&self, phase: RolloutPhase, version: &str, context: &str) {
         for machine in (0..self.cluster.len()).filter(|machine| self.cluster.is_running(*machine)) {
-            let status = self.cluster.process(machine).expect("a process").status(Duration::ZERO);
+            let status =
+                self.cluster.process(machine).expect("no process runs on the machine").status(Duration::ZERO);
             let current = status.rollouts.get(SERVICE).and_then(|rollouts| rollouts.current.clone());
             let found = current.as_ref().map(|rollout| rollout.phase);
             assert_eq!(found, Some(phase), "{context}, machine {machine}: {current:?}");
@@ -309,7 +312,7 @@
     RolloutOrder {
         service: SERVICE.to_owned(),
         target_version: version.to_owned(),
-        deadline_ms: u64::try_from(DEADLINE.as_millis()).expect("small"),
+        deadline_ms: u64::try_from(DEADLINE.as_millis()).expect("the deadline does not fit into 64 bits"),
     }
 }
 
@@ -320,7 +323,7 @@
     for seed in 0..SEEDS {
         let mut test = TestCluster::start(voters, machines, seed, Quality::Good);
         test.order_rollout();
-        let order_sent_at = test.order_sent_at.expect("ordered");
+        let order_sent_at = test.order_sent_at.expect("no order was sent");
         while test.read_rollout().0 == "running" {
             test.run(Duration::from_millis(200));
         }
--- a/crates/testing/cluster-simulation/tests/service_versions.rs
+++ b/crates/testing/cluster-simulation/tests/service_versions.rs
@@ -67,7 +67,9 @@
                 let record = EndpointRecord {
                     id: format!("{}-{index}", endpoints.version),
                     service: SERVICE.to_owned(),
-                    address: format!("10.9.{group}.1:{}", 1_000 + index).parse().expect("an address"),
+                    address: format!("10.9.{group}.1:{}", 1_000 + index)
+                        .parse()
+                        .expect("invalid endpoint address"),
                     zone: "z".to_owned(),
                     capacity: 4,
                     state: EndpointState::Ready,
@@ -143,7 +145,7 @@
         test.assert_in_service("v1", &format!("seed {seed}, after the start"));
         test.endpoints.push(Endpoints { version: "v2", count: 5 });
         test.run(Duration::from_secs(2));
-        let primary = test.cluster.primary().expect("a primary");
+        let primary = test.cluster.primary().expect("no primary is established");
         test.crash_and_start(&[primary], &[]);
         test.run(RECOVERY_TIME);
         test.change(None);
--- a/crates/testing/cluster-simulation/tests/traces.rs
+++ b/crates/testing/cluster-simulation/tests/traces.rs
@@ -55,7 +55,7 @@
     /// Adds the CBOR encoding of a value, as it is sent on the wire.
     fn encoded<T: serde::Serialize>(&mut self, value: &T) {
         let mut bytes = Vec::new();
-        ciborium::into_writer(value, &mut bytes).expect("it can be written");
+        ciborium::into_writer(value, &mut bytes).expect("cannot encode the value as CBOR");
         self.bytes(&bytes);
     }
 }
@@ -216,7 +216,7 @@
     faults: FaultInjector,
     digest: &'a mut Digest,
     /// Number of observations of each kind, to check that all kinds are covered.
-    seen: &'a mut [usize; 4],
+    counts: &'a mut [usize; 4],
     generation: u64,
     last_request_id: u64,
 }
@@ -269,8 +269,8 @@
         let mut at = Duration::ZERO;
         while at < DURATION {
             at += INPUT_INTERVAL;
-            while let Some(seen) = self.cluster.step(at) {
-                self.record(seen);
+            while let Some(observations) = self.cluster.step(at) {
+                self.record(observations);
             }
             self.faults.apply_due(&mut self.cluster);
             if at > DURATION / 5 {
@@ -293,8 +293,8 @@
     /// Passes a random input to a random machine, or injects a fault.
     fn inject_input(&mut self) {
         let machine = self.cluster.rng.random_range(0..self.cluster.len());
-        let seen = match self.cluster.rng.random_range(0..10) {
-            0 => self.cluster.call(machine, OperatorRequest::Read).map(|(_, seen)| seen),
+        let observations = match self.cluster.rng.random_range(0..10) {
+            0 => self.cluster.call(machine, OperatorRequest::Read).map(|(_, observations)| observations),
             1 | 2 => self.propose_change(machine),
             3..=5 => self.send_heartbeat(machine),
             6..=8 => self.request_tokens(machine),
@@ -305,8 +305,8 @@
                 None
             }
         };
-        self.digest.number(u64::from(seen.is_some()));
-        self.record(seen.unwrap_or_default());
+        self.digest.number(u64::from(observations.is_some()));
+        self.record(observations.unwrap_or_default());
     }
 
     fn propose_change(&mut self, machine: usize) -> Option<Vec<Observation>> {
@@ -330,20 +330,20 @@
         let record = EndpointRecord {
             id: id.clone(),
             service: "s".to_owned(),
-            address: format!("10.9.0.{}:80", number + 1).parse().expect("an address"),
+            address: format!("10.9.0.{}:80", number + 1).parse().expect("invalid endpoint address"),
             zone: format!("z{}", number % 2),
             capacity: 4,
             state: if draining { EndpointState::Draining } else { EndpointState::Ready },
             sequence,
             version: String::new(),
         };
-        let mut seen = self.cluster.heartbeat(machine, &Heartbeat { record })?;
+        let mut observations = self.cluster.heartbeat(machine, &Heartbeat { record })?;
         if draining {
             let (announcement, more) = self.cluster.announce(machine, &id)?;
             self.digest.number(announcement.0);
-            seen.extend(more);
+            observations.extend(more);
         }
-        Some(seen)
+        Some(observations)
     }
 
     fn request_tokens(&mut self, machine: usize) -> Option<Vec<Observation>> {
@@ -359,7 +359,7 @@
 
     fn count_observation(&mut self, kind: usize) {
         self.digest.number(kind as u64);
-        self.seen[kind - 1] += 1;
+        self.counts[kind - 1] += 1;
     }
 
     fn record(&mut self, observations: Vec<Observation>) {
@@ -411,12 +411,13 @@
     #[case] machines: usize,
     #[case] expected: [u64; 2],
 ) {
-    let mut seen = [0; 4];
+    let mut counts = [0; 4];
     assert_digests(expected, |seed, digest| {
         let settings = ClusterSettings { builds, ..ClusterSettings::new(voters, machines, seed) };
         let faults = FaultInjector::new(settings.tolerated_losses, Duration::from_secs(4));
         let cluster = Cluster::new(settings);
-        ObservedCluster { cluster, faults, digest, seen: &mut seen, generation: 0, last_request_id: 0 }.run();
+        ObservedCluster { cluster, faults, digest, counts: &mut counts, generation: 0, last_request_id: 0 }
+            .run();
     });
-    assert!(seen.iter().all(|times| *times >= 100), "{seen:?}");
+    assert!(counts.iter().all(|count| *count >= 100), "observations by kind: {counts:?}");
 }
--- a/crates/testing/test-support/src/fleet.rs
+++ b/crates/testing/test-support/src/fleet.rs
@@ -13,21 +13,21 @@
 use std::thread;
 use std::time::Duration;
 
-const FRONT: u16 = 8_662;
-const READINESS: u16 = 8_663;
-const CONTROL: u16 = 8_665;
-const INTERNAL: u16 = 7_680;
+const FRONT_PORT: u16 = 8_662;
+const READINESS_PORT: u16 = 8_663;
+const CONTROL_PORT: u16 = 8_665;
+const INTERNAL_PORT: u16 = 7_680;
 /// Time after which a client's read fails.
 const READ_TIMEOUT: Duration = Duration::from_secs(20);
 /// Grace period of processes, in seconds, unless a test sets another.
 const DEFAULT_GRACE_S: u32 = 4;
 
-static FLEETS: AtomicU8 = AtomicU8::new(1);
+static NEXT_FLEET: AtomicU8 = AtomicU8::new(1);
 
 /// The addresses and files of a fleet; the directory is removed when it is dropped.
 pub struct Fleet {
     program: &'static str,
-    folder: PathBuf,
+    directory: PathBuf,
     network: String,
     machines: u8,
     /// Number of voters, which have a disk. They are the first machines; by default all are voters.
@@ -41,14 +41,14 @@
 impl Fleet {
     /// Creates a fleet of this many machines without starting a process.
     pub fn new(program: &'static str, machines: u8) -> Self {
-        let number = FLEETS.fetch_add(1, Ordering::SeqCst);
+        let number = NEXT_FLEET.fetch_add(1, Ordering::SeqCst);
         let id = std::process::id();
         let network = format!("127.{}.{}", 1 + id % 250, number);
-        let folder = std::env::temp_dir().join(format!("passrelay-lease-consensus-{id}-{number}"));
-        std::fs::create_dir_all(&folder).expect("cannot create the fleet's directory");
+        let directory = std::env::temp_dir().join(format!("passrelay-lease-consensus-{id}-{number}"));
+        std::fs::create_dir_all(&directory).expect("cannot create the fleet's directory");
         Fleet {
             program,
-            folder,
+            directory,
             network,
             machines,
             voters: machines,
@@ -75,12 +75,12 @@
     }
 
     fn data_dir(&self, machine: u8) -> PathBuf {
-        self.folder.join(format!("data-{machine}"))
+        self.directory.join(format!("data-{machine}"))
     }
 
     /// Returns the path of one machine's settings file.
     pub fn settings_path(&self, machine: u8) -> PathBuf {
-        self.folder.join(format!("node-{machine}.conf"))
+        self.directory.join(format!("node-{machine}.conf"))
     }
 
     fn ip(&self, machine: u8) -> String {
@@ -90,15 +90,16 @@
     /// Writes one machine's settings file, with `seeds` as the machines that are its seeds.
     pub fn write_settings(&self, machine: u8, bootstrap: bool, seeds: &[u8]) {
         let ip = self.ip(machine);
-        let seeds: Vec<String> = seeds.iter().map(|seed| format!("{}:{CONTROL}", self.ip(*seed))).collect();
+        let seeds: Vec<String> =
+            seeds.iter().map(|seed| format!("{}:{CONTROL_PORT}", self.ip(*seed))).collect();
         let mut settings = vec![
             format!("node-name=node-{machine}"),
             format!("ip={ip}"),
             "zone=here".to_owned(),
-            format!("listen.front={ip}:{FRONT}"),
-            format!("listen.readiness={ip}:{READINESS}"),
-            format!("listen.control={ip}:{CONTROL}"),
-            format!("internal-ports={INTERNAL},{}", INTERNAL + 15),
+            format!("listen.front={ip}:{FRONT_PORT}"),
+            format!("listen.readiness={ip}:{READINESS_PORT}"),
+            format!("listen.control={ip}:{CONTROL_PORT}"),
+            format!("internal-ports={INTERNAL_PORT},{}", INTERNAL_PORT + 15),
             format!("seeds={}", seeds.join(",")),
             format!("bootstrap={bootstrap}"),
             format!("fault-tolerance.machines={}", self.tolerated_losses()),
@@ -135,7 +136,7 @@
 
     /// Writes a file to the fleet's directory and returns its path.
     pub fn write_file(&self, name: &str, text: &str) -> String {
-        let path = self.folder.join(name);
+        let path = self.directory.join(name);
         std::fs::write(&path, text).expect("cannot write a file of the fleet");
         path.display().to_string()
     }
@@ -166,7 +167,7 @@
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.folder);
+        let _ = std::fs::remove_dir_all(&self.directory);
     }
 }
 
@@ -185,7 +186,7 @@
 
     /// Returns the address to which clients connect.
     pub fn front_address(&self) -> SocketAddr {
-        format!("{}:{FRONT}", self.ip).parse().expect("an address")
+        format!("{}:{FRONT_PORT}", self.ip).parse().expect("invalid address of the machine")
     }
 
     /// Returns whether the process has exited, by itself or by a signal.
@@ -195,7 +196,7 @@
 
     /// Returns the address of the control API, which operators call.
     pub fn control_address(&self) -> SocketAddr {
-        format!("{}:{CONTROL}", self.ip).parse().expect("an address")
+        format!("{}:{CONTROL_PORT}", self.ip).parse().expect("invalid address of the machine")
     }
 
     /// Opens a connection to one of the process's ports. Returns `None` if that fails.
@@ -213,7 +214,7 @@
     ///
     /// Panics if the port for clients cannot be reached.
     pub fn client(&self) -> TcpStream {
-        self.connect(FRONT).expect("cannot connect to the port for clients")
+        self.connect(FRONT_PORT).expect("cannot connect to the port for clients")
     }
 
     /// Sends a request on a new client connection, reads the response, and returns the connection, which stays open.
@@ -236,7 +237,7 @@
 
     /// Sends a request to the control API. Returns `None` if there is no response.
     pub fn call_control(&self, method: &str, path: &str, headers: &str, body: &str) -> Option<Message> {
-        let mut stream = self.connect(CONTROL)?;
+        let mut stream = self.connect(CONTROL_PORT)?;
         let length = body.len();
         let head =
             format!("{method} {path} HTTP/1.1\r\nHost: c\r\n{headers}Content-Length: {length}\r\n\r\n{body}");
@@ -266,7 +267,7 @@
 
     /// Returns whether the readiness endpoint responds with 200.
     pub fn is_ready(&self) -> bool {
-        let Some(mut stream) = self.connect(READINESS) else { return false };
+        let Some(mut stream) = self.connect(READINESS_PORT) else { return false };
         let written = stream.write_all(b"GET /ready HTTP/1.1\r\nHost: r\r\n\r\n");
         written.is_ok() && Message::read(&mut BufReader::new(stream)).is_some_and(|a| a.status() == 200)
     }
