--- a/crates/sidecar/load-balancing/src/policy.rs
+++ b/crates/sidecar/load-balancing/src/policy.rs
@@ -18,8 +18,7 @@
 //! | [`outcome`] | how the outcome of an attempt updates the upstream, the estimates and the request |
 //! | [`dispatch`] | in which order pending requests are sent, and the checks before each send |
 //!
-//! The policy reads no clock and opens no socket. Random numbers come only from the balancer's seeded
-//! generator.
+//! No module reads a clock or opens a socket; random numbers come only from the balancer's seeded generator.
 
 mod admission_control;
 mod concurrency_limit;
--- a/crates/sidecar/load-balancing/src/policy/admission_control.rs
+++ b/crates/sidecar/load-balancing/src/policy/admission_control.rs
@@ -11,11 +11,9 @@
 /// All others are accepted, since only their response times show when upstreams have become faster again.
 const OUTSIZED_COST_RATIO: f64 = 2.0;
 /// While no request is pending, an outsized request is infeasible if this fraction of its expected time
-/// exceeds the time left for its answer. The fraction is low because the request may still finish sooner than
-/// expected.
+/// exceeds the time left for its answer. It is low because the request may finish sooner than expected.
 const INFEASIBLE_TIME_FRACTION_IDLE: f64 = 0.5;
-/// The same fraction while requests are pending: they wait for the core that the outsized request would
-/// occupy.
+/// The same while requests are pending: they wait for the core that the outsized request would occupy.
 const INFEASIBLE_TIME_FRACTION_QUEUED: f64 = 0.9;
 /// Minimum fraction of the time until its answer is due for which a request may stay queued. Without it,
 /// requests of every priority would be rejected at once when slow responses push the expected time over the
@@ -103,8 +101,7 @@
         (end - reserved).max(request.arrived_at)
     }
 
-    /// Gives the final answer of a request that is not served: a rejection if a retry by the client is
-    /// harmless, otherwise a failure.
+    /// Gives an unserved request its final answer: a rejection if a client retry is harmless, else a failure.
     pub(super) fn reject_or_fail(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id).filter(|request| !request.completed) else { return };
         let may_have_run = request.attempts.iter().any(|attempt| attempt.may_have_run);
--- a/crates/sidecar/load-balancing/src/policy/concurrency_limit.rs
+++ b/crates/sidecar/load-balancing/src/policy/concurrency_limit.rs
@@ -27,8 +27,7 @@
 /// The limit grows while more than the limit divided by this number is in flight. As long as capacity is
 /// unused, response times do not tell whether the upstreams could serve more.
 const LIMIT_USE_DIVISOR: f64 = 2.0;
-/// Multiplier of this instance's equal share of all workers, since clients do not spread evenly over
-/// instances.
+/// Multiplier of this instance's equal share of all workers, since clients spread unevenly over instances.
 const WORKER_SHARE_HEADROOM: f64 = 1.2;
 
 impl Balancer {
@@ -38,9 +37,8 @@
         self.concurrency_limit.usable_upstreams = self.upstreams.len() as f64;
     }
 
-    /// Returns how many requests this instance may have in flight while `running` upstreams run. Instances
-    /// that each filled all workers would together cause queues at the servers, so each is limited to its
-    /// share.
+    /// Returns how many requests this instance may have in flight while `running` upstreams run: only its
+    /// share, since instances that each filled all workers would together cause queues at the servers.
     pub(super) fn capacity(&self, running: usize) -> f64 {
         if self.confirms_selections() {
             return f64::MAX;
--- a/crates/sidecar/load-balancing/src/policy/dispatch.rs
+++ b/crates/sidecar/load-balancing/src/policy/dispatch.rs
@@ -25,8 +25,7 @@
     health_checks: usize,
     /// Pending requests whose selection must be confirmed by a health check.
     unconfirmed: usize,
-    /// No upstream was selectable for a request without earlier attempts, so none is for the requests after
-    /// it.
+    /// No upstream was selectable for a request without earlier attempts, so none is for those after it.
     exhausted: bool,
     /// Success weights of the upstreams, by class.
     success_weights: Vec<SuccessWeights>,
@@ -48,8 +47,7 @@
 }
 
 impl Balancer {
-    /// Sends pending requests, highest priority first, and rejects those that can no longer be answered in
-    /// time.
+    /// Sends pending requests, highest priority first, and rejects those that can't be answered in time.
     pub(super) fn dispatch(&mut self, actions: &mut Vec<Action>) {
         let may_hedge = self.settings.allow_cancel && self.requests.has_open_idempotent();
         if self.requests.pending().is_empty() && !may_hedge {
@@ -86,8 +84,7 @@
         }
     }
 
-    /// Returns whether a request can't be answered in time any more, neither by a first attempt nor by a
-    /// retry.
+    /// Returns whether a request can no longer be answered in time, by a first attempt or by a retry.
     fn is_unanswerable(&self, request: &PendingRequest) -> bool {
         let tried = !self.requests[&request.id].attempts.is_empty();
         let late = self.now + self.settings.tick >= request.answer_by;
@@ -130,8 +127,7 @@
         confirms && !confirmed
     }
 
-    /// Requests a wake-up at the next time at which a pending request needs a decision, unless an earlier one
-    /// is due.
+    /// Requests a wake-up for the next time a pending request needs a decision, unless an earlier one is due.
     fn schedule_wake(&mut self, actions: &mut Vec<Action>) {
         let latest = self.requests.pending().iter().map(|request| self.latest_dispatch_at(request));
         let Some(next) = latest.min_by(f64::total_cmp) else { return };
@@ -144,10 +140,9 @@
         }
     }
 
-    /// Sends an attempt and returns `true`, provided that the rules for every send allow it. They hold
-    /// whatever the selection decided: the repeat rules of the class, one attempt at a time unless the
-    /// settings allow more, no send to a draining upstream, and the limits on the number of attempts and on
-    /// time.
+    /// Sends an attempt and returns `true` if the rules for every send allow it. They hold whatever the
+    /// selection decided: the repeat rules of the class, one attempt at a time unless the settings allow
+    /// more, no send to a draining upstream, and the limits on the number of attempts and on time.
     fn send(&mut self, id: RequestId, upstream_id: UpstreamId, actions: &mut Vec<Action>) -> bool {
         let Some(upstream) = self.upstreams.get(&upstream_id) else { return false };
         let draining = upstream.entry.state != EndpointState::Running;
--- a/crates/sidecar/load-balancing/src/policy/endpoints.rs
+++ b/crates/sidecar/load-balancing/src/policy/endpoints.rs
@@ -2,8 +2,7 @@
 //!
 //! If each of many instances used all upstreams, each would get few responses from any of them: its
 //! observations would always be out of date, it would lose requests to every failing upstream, and it would
-//! open a connection to each. So each instance prefers a subset, which overlaps with the subsets of other
-//! instances.
+//! open a connection to each. So each instance prefers a subset, which overlaps with those of others.
 
 use crate::api::{Action, EndpointEntry, EndpointState};
 use crate::state::{Balancer, Upstream};
@@ -11,8 +10,7 @@
 use super::load_factor::DEFAULT_LOAD_FACTOR;
 use super::WAKE_RESUBSCRIBE;
 
-/// Number of instances that have the same upstream in their subsets. A higher number means fewer responses
-/// from each upstream to each instance.
+/// Number of instances with the same upstream in their subsets. More means fewer responses from it to each.
 const SUBSET_OVERLAP: f64 = 3.0;
 /// Number of consecutive failed calls for the endpoint list after which the backoff no longer doubles.
 const MAX_LIST_BACKOFF_EXPONENT: u32 = 4;
@@ -67,8 +65,7 @@
         }
     }
 
-    /// Adds a new or restarted upstream without observations. Attempts in flight to a restarted one stay
-    /// counted.
+    /// Adds a new or restarted upstream without observations. Attempts in flight to the latter stay counted.
     fn start_upstream(&mut self, entry: &EndpointEntry) {
         // Random offsets, so that instances do not select upstreams in lockstep.
         let classes = self.settings.classes.iter();
--- a/crates/sidecar/load-balancing/src/policy/health_check.rs
+++ b/crates/sidecar/load-balancing/src/policy/health_check.rs
@@ -1,8 +1,7 @@
 //! Health checks that confirm a selection.
 //!
 //! With many instances, load reports are out of date by the time they are used. If health checks are cheap
-//! and their reports show whether a worker is idle, a health check confirms the selection before the request
-//! is sent.
+//! and their reports show whether a worker is idle, one confirms the selection before the request is sent.
 
 use crate::api::{Action, ClassId, Ending, LoadReport, UpstreamId};
 use crate::state::{Balancer, Upstream, HEALTH_CHECK_BUDGET_PER_REQUEST};
--- a/crates/sidecar/load-balancing/src/policy/hedging.rs
+++ b/crates/sidecar/load-balancing/src/policy/hedging.rs
@@ -25,8 +25,7 @@
         }
     }
 
-    /// Returns the requests that have had an attempt in flight to an ejected upstream for longer than the
-    /// shortest hedge delay of any class.
+    /// Returns the requests in flight to ejected upstreams for longer than the shortest class hedge delay.
     fn requests_at_ejected_upstreams(&self) -> BTreeSet<RequestId> {
         let delays =
             self.settings.classes.iter().map(|class| HEDGE_DELAY_TARGET_FRACTION * class.latency_target);
@@ -37,8 +36,7 @@
         attempts.map(|attempt| attempt.request).collect()
     }
 
-    /// Cancels the last attempt of a request if it has stalled and there is time for another attempt. Returns
-    /// whether it was cancelled.
+    /// Cancels a request's last attempt if it stalled and there is time for another; returns whether it did.
     fn cancel_stalled_attempt(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
         let Some(request) = self.requests.get_mut(&id) else { return false };
         if !request.idempotent || request.completed || request.pending {
--- a/crates/sidecar/load-balancing/src/policy/load_factor.rs
+++ b/crates/sidecar/load-balancing/src/policy/load_factor.rs
@@ -23,8 +23,7 @@
 const WORKERS_SMOOTHING: f64 = 0.05;
 /// Smoothing factor of an upstream's baseline load factor, for each report.
 const BASELINE_SMOOTHING: f64 = 0.1;
-/// Time constant, in median response times, with which the weight of a report decays in favour of the
-/// baseline.
+/// Time constant, in median response times, of the decay of a report's weight in favour of the baseline.
 const REPORT_DECAY_MEDIANS: f64 = 2.0;
 
 impl Balancer {
@@ -33,8 +32,7 @@
         let (Some(upstream), Some(report)) = (self.upstreams.get_mut(&id), report) else { return };
         if let (Some(in_flight), Some(queued)) = (report.in_flight, report.queued) {
             if queued >= 1.0 && in_flight.is_finite() && queued.is_finite() {
-                // While requests are queued, all workers are busy. The smoothed number is rounded where it is
-                // used.
+                // While requests are queued, all workers are busy. The smoothed number is rounded when used.
                 let busy = (in_flight - queued).max(1.0);
                 let smoothed = |workers: f64| workers + WORKERS_SMOOTHING * (busy - workers);
                 self.workers = Some(self.workers.map_or(busy, smoothed));
--- a/crates/sidecar/load-balancing/src/policy/outcome.rs
+++ b/crates/sidecar/load-balancing/src/policy/outcome.rs
@@ -54,8 +54,7 @@
         match ending {
             Ending::Served => {
                 if upstream.consecutive_failures > 0 {
-                    // It may have restarted unnoticed, so it is treated as in slow start for one overload
-                    // window.
+                    // It may have restarted unnoticed, so treat it as in slow start for one overload window.
                     upstream.suspect_until = now + self.settings.overload_window;
                 }
                 upstream.consecutive_failures = 0;
@@ -65,8 +64,7 @@
             Ending::TimedOut if elapsed > STALL_TIMEOUT_MEDIANS * median && no_contact_since_sent => {
                 self.record_failure(upstream_id);
             }
-            // A single lost connection does not show that the upstream is down; one that is down loses all of
-            // them.
+            // Losing one connection does not show that the upstream is down; one that is down loses all.
             Ending::ConnectionLost if upstream.lost_connections > 0 && no_contact_since_sent => {
                 self.record_failure(upstream_id);
             }
--- a/crates/sidecar/load-balancing/src/policy/outlier.rs
+++ b/crates/sidecar/load-balancing/src/policy/outlier.rs
@@ -20,8 +20,7 @@
 const STALL_TIMEOUT_SPREAD: f64 = 4.0;
 /// Minimum number of failing upstreams in a failed zone: one or two may fail independently of their zone.
 const MIN_FAILING_PER_FAILED_ZONE: usize = 3;
-/// When more than this fraction of all upstreams is unhealthy, none is ejected. The loss of one of two zones
-/// stays below it.
+/// Above this fraction of unhealthy upstreams, none is ejected. The loss of one of two zones stays below it.
 const PANIC_THRESHOLD: f64 = 0.8;
 
 /// Counts of upstreams and attempts, taken by [`Balancer::update_ejections`].
@@ -82,8 +81,7 @@
         median > 0.0 && self.now - oldest.sent_at.max(upstream.last_contact) > timeout
     }
 
-    /// Refreshes the load factors, decides which upstreams are ejected, and counts them. Runs before each
-    /// dispatch.
+    /// Before each dispatch, refreshes load factors, decides which upstreams are ejected, and counts them.
     pub(super) fn update_ejections(&mut self) -> UpstreamCounts {
         self.prune_served_times();
         // Taken out of `self`, since the checks below borrow the rest of the state.
--- a/crates/sidecar/load-balancing/src/policy/selection.rs
+++ b/crates/sidecar/load-balancing/src/policy/selection.rs
@@ -8,14 +8,12 @@
 use crate::state::{Balancer, Request, Upstream};
 use crate::weighted_round_robin::{self, Candidate};
 
-/// Only upstreams with a success weight above this count when the least load is determined, since failing
-/// ones are idle.
+/// The least load is taken among upstreams with a success weight above this, since failing ones are idle.
 const MIN_HEALTHY_SUCCESS_WEIGHT: f64 = 0.5;
 /// Weight of a request's own cost relative to the load in flight, of which half is done on average and which
 /// runs on several cores.
 const OWN_COST_WEIGHT: f64 = 3.0;
-/// Loads that exceed the least load by no more than this multiple of the mean request cost count as equal to
-/// it.
+/// Loads above the least load by at most this multiple of the mean request cost count as equal to it.
 const LOAD_TOLERANCE: f64 = 0.2;
 /// Load multiplier of upstreams in other zones while no other request is pending, if cross-zone attempts have
 /// a price.
@@ -67,8 +65,7 @@
         let least = healthy.map(|(upstream, _)| load(upstream)).fold(f64::INFINITY, f64::min);
         let max_load = least + LOAD_TOLERANCE * self.response_times.mean_cost.unwrap_or(1.0);
         let least_loaded = available.into_iter().filter(|(upstream, _)| load(upstream) <= max_load);
-        // Upstreams in this instance's subset are preferred, and among these the ones that reported a spare
-        // worker.
+        // This instance's subset is preferred, and within it the upstreams that reported a spare worker.
         let preference = |upstream: &Upstream| (upstream.in_subset, self.has_spare_worker(upstream));
         let ranked: Vec<_> = least_loaded.map(|(upstream, item)| (preference(upstream), item)).collect();
         let best = ranked.iter().map(|(preference, _)| *preference).max();
@@ -94,8 +91,7 @@
         !held_by_slow_start && !being_checked && self.in_dedup_scope(request, upstream)
     }
 
-    /// Returns the load that an upstream would have with this request, in seconds of work scaled by its own
-    /// service time ratio.
+    /// Returns an upstream's load with this request, in seconds of work scaled by its own service time ratio.
     fn load_with(&self, request: &Request, upstream: &Upstream, cross_zone: f64) -> f64 {
         let zone = if upstream.entry.zone == self.settings.zone { 1.0 } else { cross_zone };
         let load = upstream.outstanding_load + OWN_COST_WEIGHT * request.load();
@@ -123,8 +119,7 @@
         ((own.served + prior) / (own.completed + CLASS_PRIOR_WEIGHT)).powi(SUCCESS_EXPONENT)
     }
 
-    /// Selects one of these upstreams, which must be in the order of their ids, by smooth weighted round
-    /// robin.
+    /// Selects one of these upstreams, which must be ordered by id, by smooth weighted round robin.
     pub(super) fn select_round_robin(
         &mut self,
         selectable: &[Selectable],
--- a/crates/sidecar/load-balancing/src/policy/slow_start.rs
+++ b/crates/sidecar/load-balancing/src/policy/slow_start.rs
@@ -10,8 +10,7 @@
 const SLOW_START_UTILIZATION: f64 = 0.8;
 
 impl Balancer {
-    /// Returns the fraction of its full capacity that an upstream is assumed to have by now; 1 after its slow
-    /// start.
+    /// Returns the fraction of its full capacity an upstream is assumed to have now; 1 after its slow start.
     pub(super) fn slow_start_capacity(&self, upstream: &Upstream) -> f64 {
         let initial = self.settings.slow_start_capacity;
         if self.now < upstream.suspect_until {
@@ -28,8 +27,7 @@
         self.slow_start_capacity(upstream) < 1.0
     }
 
-    /// Returns the minimum time in seconds between two attempts of this instance to an upstream in slow
-    /// start; 0 after it.
+    /// Returns the minimum seconds between this instance's attempts to an upstream in slow start; 0 after it.
     ///
     /// Derived from the number of requests that other upstreams serve, or that one worker serves at the
     /// median response time. The number of requests sent to them is unsuitable: requests that they reject are
