--- a/crates/lease/consensus/src/client.rs
+++ b/crates/lease/consensus/src/client.rs
@@ -1,9 +1,9 @@
-//! A process's session with the fleet, without I/O, and what it may believe to hold.
+//! The client side of a session, without I/O. It decides which leases the process may consider held.
 //!
-//! All belief comes from one place: the answer to a renewal. It lists what the session held when the voters
-//! agreed on that renewal, and it is good for the time to live *from when the renewal left*, shortened for
-//! clocks that drift. A granted wish or a hint is only a reason to renew at once. So an answer that was held
-//! up anywhere, or comes from a voter that lags, can make the belief shorter but never longer.
+//! Only the response to a renewal confirms leases. It lists what the session held when the voters committed
+//! that renewal, and is valid for the time to live counted *from when the renewal was sent*, reduced to allow
+//! for clock drift. A granted operation or a hint merely triggers a renewal. A delayed response, or one from
+//! a voter that lags behind, can therefore shorten the confirmed period but never extend it.
 
 use crate::lease_table::{Grant, Op, Refusal, Reply};
 use crate::mutant::{is_active, Mutant};
@@ -12,22 +12,22 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The bound on how fast or slow any clock of the fleet runs, in percent.
+/// Maximum deviation of the rate of any clock in the fleet, in percent.
 pub const DRIFT_PERCENT: u32 = 10;
-/// What isn't answered within this time is asked of another voter.
+/// A request without a response for this long is sent to another voter.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(800);
-/// A refused name is tried again after so long: the process that had it may have died.
+/// Delay before a refused session name is requested again, since the process that has it may have died.
 const NAME_RETRY_INTERVAL: Duration = Duration::from_millis(500);
-/// Renewals under way that are remembered.
+/// Maximum number of unanswered renewals whose send times are kept.
 const MAX_UNANSWERED_RENEWALS: usize = 32;
 
-/// The part of a time to live that a holder may believe in, if voters wait all of it: with clocks off by
-/// [`DRIFT_PERCENT`], the holder's slow one and the voter's fast one.
+/// Returns the part of a time to live during which a holder may act. The voters wait for all of it, so this
+/// allows for a holder's clock that is slow and a voter's clock that is fast by [`DRIFT_PERCENT`].
 pub fn safe_term(ttl: Duration) -> Duration {
     ttl * (100 - DRIFT_PERCENT) / (100 + DRIFT_PERCENT)
 }
 
-/// Leave to act under a lease. What acts takes one, so that nothing can act without the token.
+/// Permission to act under a lease. Code that acts takes a `Guard`, so that it cannot act without the token.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Guard {
     lease: String,
@@ -36,50 +36,52 @@
 }
 
 impl Guard {
-    /// The header that hands the token to a target over HTTP.
+    /// HTTP header that passes the token to a target.
     pub const HEADER: &'static str = "X-Fence-Token";
-    /// The environment variable that hands the token to a command.
+    /// Environment variable that passes the token to a command.
     pub const VARIABLE: &'static str = "PASSRELAY_LEASE_TOKEN";
 
-    /// The lease.
+    /// Returns the name of the lease.
     pub fn lease(&self) -> &str {
         &self.lease
     }
 
-    /// The token: a target that keeps the highest it has seen refuses all older ones.
+    /// Returns the fencing token. A target that remembers the highest token it has seen can reject all older
+    /// ones.
     pub fn token(&self) -> Token {
         self.token
     }
 
-    /// Until when nobody else holds the lease, on the clock that the client was given.
+    /// Returns the time until which no other process can hold the lease, on the clock passed to the client.
     pub fn valid_until(&self) -> Duration {
         self.until
     }
 
-    /// An effect inside the fleet: done only if the voters find the lease still held under this token.
+    /// Builds an operation that records an effect if the voters find the lease still held under this token.
     pub fn effect(&self, note: &str) -> Op {
         Op::Effect { lease: self.lease.clone(), token: self.token, note: note.to_owned() }
     }
 }
 
-/// What a process hears of its session.
+/// A change of a session that the client reports to its process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ClientEvent {
-    /// The session is open.
+    /// A session was opened.
     SessionOpened(SessionId),
-    /// Another process has the name; it is tried again.
+    /// Another process uses the session name. The client keeps trying.
     NameTaken,
-    /// A wish was answered. `Granted` alone gives no leave to act: [`Client::guard`] does.
+    /// The operation of this number was answered. `Granted` alone does not permit acting on the lease;
+    /// [`Client::guard`] does.
     Answered(u64, Reply),
-    /// It holds this from now on.
+    /// A renewal confirmed this grant.
     LeaseAcquired(Grant),
-    /// It no longer holds this.
+    /// The grant is no longer held.
     LeaseLost(Grant),
-    /// It no longer stands in line for this, and doesn't hold it: a grant came and went unseen.
+    /// The session neither holds the lease nor waits for it any more: a grant came and ended unnoticed.
     GrantMissed(String),
-    /// The session ended at the voters'; a new one is opened. Wishes that stood in line are gone.
+    /// The voters ended the session. The client opens a new one; queued requests of the old one are lost.
     SessionEnded,
-    /// To `List`, `Status`, `Watch` and `Change`; and who votes.
+    /// A response to a `List`, `Status`, `Watch` or `ChangeMembership` request, or the current voters.
     Response(ClientResponse),
 }
 
@@ -90,7 +92,7 @@
     sent: Duration,
 }
 
-/// A process's session.
+/// The client side of a process's session.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Client {
     name: String,
@@ -99,20 +101,21 @@
     session: Option<SessionId>,
     is_connected: bool,
     closed: bool,
-    /// Since when something has been waited for without an answer of any kind.
+    /// When the oldest request without any response was sent.
     waiting_since: Option<Duration>,
     voter_unavailable: bool,
     open_at: Duration,
     count: u64,
     answered: u64,
     unanswered_renewals: BTreeMap<u64, Duration>,
-    /// When the last renewal that was answered left.
+    /// When the last confirmed renewal was sent.
     valid_from: Duration,
     renew_at: Duration,
     held: BTreeMap<String, Grant>,
-    /// Leases let go: believed in again only by a renewal that left after the letting go was answered.
+    /// Leases released by this process. A lease is confirmed again only by a renewal sent after the release
+    /// was answered; the value is the last renewal sent before that answer, or `None` until it arrives.
     released: BTreeMap<String, Option<u64>>,
-    /// Leases stood in line for, with the last renewal that had left when the line was joined.
+    /// Leases that the session waits for, with the last renewal sent before it joined the queue.
     queued: BTreeMap<String, u64>,
     seq: u64,
     operations: std::collections::VecDeque<PendingOperation>,
@@ -121,7 +124,7 @@
 }
 
 impl Client {
-    /// A process of this name; `nonce` is drawn anew at each start.
+    /// Creates a client for a process of this name. `nonce` is a random number chosen at each start.
     pub fn new(name: &str, nonce: u64, ttl: Duration) -> Client {
         Client {
             name: name.to_owned(),
@@ -148,37 +151,37 @@
         }
     }
 
-    /// The session's time to live.
+    /// Returns the time to live of the session.
     pub fn ttl(&self) -> Duration {
         self.ttl
     }
 
-    /// The session, if one is open.
+    /// Returns the open session, if there is one.
     pub fn session(&self) -> Option<SessionId> {
         self.session
     }
 
-    /// Leave to act under a lease now, if it is held beyond doubt.
+    /// Returns permission to act under a lease, or `None` unless it is certain to be held now.
     pub fn guard(&self, lease: &str, now: Duration) -> Option<Guard> {
         let grant = self.held.get(lease)?;
-        // Guards against a belief that outlives the session, which takes all its leases along when it expires.
+        // An expiring session loses all its leases, so a guard must not outlive the session.
         let until = self.valid_from + safe_term(Duration::from_millis(grant.ttl_ms).min(self.ttl));
         let (lease, token) = (grant.lease.clone(), grant.token);
         (now < until).then_some(Guard { lease, token, until })
     }
 
-    /// Whether the last list named the lease, though there may be no leave to act now.
+    /// Whether the last confirmed renewal listed the lease, even if its guard has expired.
     pub fn in_last_renewal(&self, lease: &str) -> bool {
         self.held.contains_key(lease)
     }
 
-    /// Leave to act under each lease that is held beyond doubt now.
+    /// Returns guards for all leases that are certain to be held now.
     pub fn guards(&self, now: Duration) -> Vec<Guard> {
         self.held.keys().filter_map(|lease| self.guard(lease, now)).collect()
     }
 
-    /// Wants something; the answer comes as [`ClientEvent::Answered`] with this number. What is let go is not
-    /// believed in from this moment.
+    /// Queues an operation and returns its number; [`ClientEvent::Answered`] reports the reply. A lease to be
+    /// released is no longer considered held from this moment.
     pub fn request(&mut self, op: Op, now: Duration) -> u64 {
         if let Op::Release { lease } | Op::Abandon { lease } | Op::Transfer { lease, .. } = &op {
             self.held.remove(lease);
@@ -192,7 +195,7 @@
         self.seq
     }
 
-    /// Says that the session ends. Nothing is believed in from this moment, and no other session is opened.
+    /// Closes the session for good. No lease is considered held from this moment.
     pub fn close(&mut self) {
         self.closed = true;
         self.held.clear();
@@ -201,7 +204,7 @@
         }
     }
 
-    /// A link to a voter is up.
+    /// Handles a new connection to a voter.
     pub fn connected(&mut self, now: Duration) {
         (self.is_connected, self.waiting_since, self.voter_unavailable) = (true, None, false);
         match self.session {
@@ -213,12 +216,12 @@
         }
     }
 
-    /// The link is down; another is to be found.
+    /// Handles the loss of the connection. The driver has to connect to another voter.
     pub fn disconnected(&mut self) {
         (self.is_connected, self.waiting_since) = (false, None);
     }
 
-    /// Whether the driver should leave this voter for another: it says nothing, or cannot serve.
+    /// Whether the driver should connect to another voter because this one is unresponsive or unavailable.
     pub fn should_switch_voter(&self, now: Duration) -> bool {
         !is_active(Mutant::NeverLeaves)
             && self.is_connected
@@ -227,7 +230,7 @@
     }
 
     fn open(&mut self, now: Duration) {
-        // Guards against a session that nobody is behind, left open by the very turn that closed the last one.
+        // After `close`, no new session must be opened that no process uses.
         if self.is_connected && !self.closed {
             let ttl_ms = self.ttl.as_millis() as u64;
             self.requests.push(ClientRequest::OpenSession {
@@ -259,13 +262,14 @@
         pending.sent = now;
         self.requests.push(ClientRequest::Operation { session, seq: pending.seq, op: pending.op.clone() });
         self.waiting_since.get_or_insert(now);
-        // Behind it on the same link, so that one round brings the grant and the leave to act.
+        // The renewal follows on the same connection, so that one round trip brings both the grant and its
+        // confirmation.
         if matches!(pending.op, Op::Acquire { .. }) {
             self.renew(now);
         }
     }
 
-    /// Lets time pass.
+    /// Sends the renewals and retries that are due.
     pub fn tick(&mut self, now: Duration) {
         if !self.is_connected {
             return;
@@ -280,7 +284,7 @@
         }
     }
 
-    /// A voter says something.
+    /// Handles a response from a voter.
     pub fn receive(&mut self, answer: ClientResponse, now: Duration) {
         match answer {
             ClientResponse::Unavailable => self.voter_unavailable = true,
@@ -329,7 +333,7 @@
     }
 
     fn renewed(&mut self, count: u64, held: Vec<Grant>, waiting: &[String], now: Duration) {
-        // Guards against an older list on top of a newer one.
+        // A late response must not replace the list of a newer renewal.
         let Some(sent) = self.unanswered_renewals.get(&count).copied().filter(|_| count > self.answered)
         else {
             return;
@@ -363,7 +367,7 @@
         let fresh: Vec<Grant> =
             self.held.values().filter(|g| before.get(&g.lease) != Some(g)).cloned().collect();
         for grant in fresh {
-            // A grant with a shorter time to live than those before is renewed in its own time.
+            // A grant with a shorter time to live than the others brings the next renewal forward.
             self.renew_at = self.renew_at.min(now + Duration::from_millis(grant.ttl_ms) / 4);
             self.events.push(ClientEvent::LeaseAcquired(grant));
         }
@@ -380,7 +384,7 @@
                 self.queued.remove(lease);
                 self.released.insert(lease.clone(), Some(self.count));
             }
-            // A grant, too, may have come and gone before its answer got here.
+            // The lease may have been granted and lost again before the reply arrived.
             Op::Acquire { lease, .. } if matches!(reply, Reply::Waiting | Reply::Granted(_)) => {
                 self.queued.insert(lease.clone(), self.count);
             }
@@ -410,12 +414,12 @@
         self.open(now);
     }
 
-    /// What is to be said to the voter.
+    /// Takes the requests to send to the voter.
     pub fn take_requests(&mut self) -> Vec<ClientRequest> {
         std::mem::take(&mut self.requests)
     }
 
-    /// What happened.
+    /// Takes the events since the last call.
     pub fn take_events(&mut self) -> Vec<ClientEvent> {
         std::mem::take(&mut self.events)
     }
--- a/crates/lease/consensus/src/expiry.rs
+++ b/crates/lease/consensus/src/expiry.rs
@@ -1,23 +1,24 @@
-//! A voter's watch over sessions that fell silent.
+//! Detects sessions and leases that were not renewed in time.
 //!
-//! A voter counts from when it *applied* a renewal, on its own clock, and that is later than when the holder
-//! sent it. So whichever voter counts, after a restart or a change of leader too, the holder's time is over
-//! before the voter's is. The other half of the promise is the holder's: [`crate::client`].
+//! A voter counts from when it *applied* a renewal, on its own clock, which is later than when the holder
+//! sent it. Whichever voter counts, even after a restart or a change of leader, the holder's period therefore
+//! ends first. [`crate::client`] implements the holder's side of this guarantee.
 
 use crate::lease_table::{Entry, Event, Holder, LeaseTable};
 use crate::{SessionId, Token};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A proposal that nothing came of is made again after so long.
+/// Delay before an entry without effect is proposed again.
 const REPROPOSE_INTERVAL: Duration = Duration::from_millis(500);
-/// Most proposals in one look, so that ten thousand leases that end in one second don't stop the renewals
-/// behind them.
+/// Maximum number of entries proposed per check, so that ten thousand leases that end in one second don't
+/// delay the renewals behind them.
 const MAX_ENTRIES_PER_CHECK: usize = 2048;
-/// How often it looks.
+/// Interval between checks.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// When each session was last last_renewal, and when each lease was granted or locked, on this voter's clock.
+/// When each session was last renewed, and when each lease was granted, evicted or locked, on this voter's
+/// clock.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct ExpiryTracker {
     lock_delay: Duration,
@@ -27,12 +28,13 @@
 }
 
 impl ExpiryTracker {
-    /// A watch that knows nothing yet. A lease whose holder vanished is locked for `lock_delay`.
+    /// Creates an empty tracker. A lease whose holder expired stays locked for `lock_delay`.
     pub fn new(lock_delay: Duration) -> ExpiryTracker {
         ExpiryTracker { lock_delay, ..ExpiryTracker::default() }
     }
 
-    /// Starts all over with this table, as at a start or when a snapshot came: everyone was last_renewal just now.
+    /// Restarts all timers from the table, after a restart or a snapshot. Every session counts as renewed
+    /// now.
     pub fn reset(&mut self, table: &LeaseTable, now: Duration) {
         self.last_renewal = table.sessions().keys().map(|s| (*s, now)).collect();
         self.granted_at = table
@@ -47,7 +49,7 @@
             .collect();
     }
 
-    /// Takes in what an entry brought about.
+    /// Updates the timers after an applied entry.
     pub fn record(&mut self, event: &Event, now: Duration) {
         match event {
             Event::Opened(session) | Event::Renewed(session) => {
@@ -68,7 +70,8 @@
         }
     }
 
-    /// What is due by now. Only the leader proposes it, to save messages; it would be safe from any voter.
+    /// Returns the entries that are due. Only the leader proposes them, to save messages; proposals from any
+    /// voter would be safe.
     pub fn due_entries(&mut self, table: &LeaseTable, now: Duration) -> Vec<Entry> {
         if now < self.next_check {
             return Vec::new();
@@ -92,7 +95,8 @@
                         due.push(Entry::ExpireLease { lease, token: held, renewals: known.renewals });
                     }
                 }
-                // Counted from the eviction: every renewal that named this grant had left before it.
+                // Counted from the eviction, since the holder sent every renewal that listed this grant
+                // before it.
                 Some(Holder::Evicted { token: held, ttl_ms, .. })
                     if held == *token && over(*granted_at, ttl_ms) =>
                 {
--- a/crates/lease/consensus/src/lease_table.rs
+++ b/crates/lease/consensus/src/lease_table.rs
@@ -1,262 +1,263 @@
-//! Sessions, leases and tokens: what the voters agree on.
+//! The replicated state machine: sessions, leases and fencing tokens.
 //!
-//! The table reads no clock. That time has passed comes in as an entry like any other ([`Entry::ExpireSession`],
-//! [`Entry::ExpireLease`], [`Entry::Unlock`]), and each of them names what its proposer had seen: if anything
-//! happened since, a renewal above all, the entry changes nothing. So it doesn't matter who proposes it, how
-//! late it comes, or how often.
+//! The table reads no clock. The passing of time arrives as a log entry like any other
+//! ([`Entry::ExpireSession`], [`Entry::ExpireLease`], [`Entry::Unlock`]). Each of these entries carries the
+//! state that its proposer saw, and has no effect if that state has changed since, for example through a
+//! renewal. It is therefore safe for any voter to propose them, late or more than once.
 
 use crate::mutant::{is_active, Mutant};
 use crate::{SessionId, Token, VoterId};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Most bytes of a name, of a lease or a session.
+/// Maximum length of a lease or session name, in bytes.
 pub const MAX_NAME_BYTES: usize = 128;
-/// Most bytes of an effect's note.
+/// Maximum length of the note of an effect, in bytes.
 pub const MAX_NOTE_BYTES: usize = 1024;
-/// Most sessions at a time.
+/// Maximum number of open sessions.
 pub const MAX_SESSIONS: usize = 4096;
-/// Most leases that are held, waited for, locked or remembered for their last effect.
+/// Maximum number of leases that are held, waited for, locked, or kept because of their last effect.
 pub const MAX_LEASES: usize = 65_536;
-/// Most that wait for one lease.
+/// Maximum number of sessions that wait for one lease.
 pub const MAX_WAITERS: usize = 1024;
-/// The shortest and the longest time to live, in ms.
+/// Allowed range of a time to live, in milliseconds.
 pub const TTL_MS: std::ops::RangeInclusive<u64> = 500..=3_600_000;
 
-/// One thing that the voters agreed on.
+/// A command in the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Entry {
-    /// A process begins a session under a name. `nonce` tells one process from another.
+    /// Opens a session for a process under a name.
     OpenSession {
-        /// The process's name.
+        /// The process name, unique among open sessions.
         name: String,
-        /// Drawn by the process at its start.
+        /// Random number chosen at process start; tells processes of the same name apart.
         nonce: u64,
-        /// A session that falls silent for so long ends.
+        /// The session expires after this long without a renewal.
         ttl_ms: u64,
     },
-    /// The session is alive, with all of its leases. `count` grows by one with each renewal.
+    /// Renews a session and all of its leases.
     RenewSession {
-        /// Whose.
+        /// The session to renew.
         session: SessionId,
-        /// The renewal's number.
+        /// Number of the renewal; grows by one with each.
         count: u64,
     },
-    /// A session wants something. `seq` grows by one with each new wish; the same again is answered as the
-    /// first time.
+    /// Executes an operation for a session. A repeated entry with the same `seq` gets the first reply again.
     Operation {
-        /// Whose.
+        /// The session that sent the operation.
         session: SessionId,
-        /// The wish's number.
+        /// Number of the operation; grows by one with each new one.
         seq: u64,
-        /// The wish.
+        /// The operation to execute.
         op: Op,
     },
-    /// The session ends of its own will: its leases are free at once.
+    /// Closes a session at its own request and frees its leases at once.
     CloseSession {
-        /// Whose.
+        /// The session to close.
         session: SessionId,
     },
-    /// The session has not renewed for its time to live since this renewal was seen.
+    /// Ends a session that has not renewed within its time to live.
     ExpireSession {
-        /// Whose.
+        /// The session to expire.
         session: SessionId,
-        /// Its last renewal that the proposer had seen.
+        /// Last renewal that the proposer had seen. A later renewal makes the entry a no-op.
         renewals: u64,
     },
-    /// The holder of a lease has not renewed for the lease's time to live.
+    /// Ends a grant whose holder has not renewed within the time to live of the lease.
     ExpireLease {
-        /// The lease.
+        /// Name of the lease.
         lease: String,
-        /// The grant that is to end.
+        /// Token of the grant to end.
         token: Token,
-        /// The holder's last renewal that the proposer had seen.
+        /// Last renewal of the holder that the proposer had seen. A later renewal makes the entry a no-op.
         renewals: u64,
     },
-    /// The lock delay after a holder that vanished is over.
+    /// Ends the lock delay that follows the expiry of a holder.
     Unlock {
-        /// The lease.
+        /// Name of the lease.
         lease: String,
-        /// The grant whose holder vanished.
+        /// Token of the expired grant.
         token: Token,
     },
-    /// Nothing but a mark in the order of things: a voter that wants to read what is true now proposes it
-    /// and reads when it comes by.
+    /// Marks a position in the log for a linearizable read: the voter proposes it and reads its table once
+    /// the entry is applied.
     ReadMarker {
-        /// The voter that reads.
+        /// The voter that performs the read.
         voter: VoterId,
-        /// Its number for this read.
+        /// Number that the voter assigned to this read.
         request_id: u64,
     },
 }
 
-/// What a session may want.
+/// An operation that a session can request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Op {
-    /// To hold a lease; to stand in line for it where `wait` says so.
+    /// Acquires a lease, or joins its queue if it is taken and `wait` is set.
     Acquire {
-        /// The lease.
+        /// Name of the lease.
         lease: String,
-        /// The grant ends when its holder has not renewed for so long.
+        /// The grant ends after this long without a renewal.
         ttl_ms: u64,
-        /// Stand in line if it isn't free.
+        /// Whether to join the queue if the lease is not free.
         wait: bool,
     },
-    /// To let a lease go, or to leave its line.
+    /// Releases a lease or leaves its queue.
     Release {
-        /// The lease.
+        /// Name of the lease.
         lease: String,
     },
-    /// To let a lease go though what was done under it may still be on its way, as after a command that was
-    /// killed: the lock delay comes first, as after a holder that vanished.
+    /// Releases a lease while work done under it may still be in flight, for example after its command was
+    /// killed. The lock delay applies as if the holder had expired.
     Abandon {
-        /// The lease.
+        /// Name of the lease.
         lease: String,
     },
-    /// To hand a lease on to the session of this name, past the line.
+    /// Hands a lease to another session, bypassing the queue.
     Transfer {
-        /// The lease.
+        /// Name of the lease.
         lease: String,
-        /// The name of the session that gets it.
+        /// Name of the receiving session.
         to: String,
     },
-    /// To take a lease from whoever holds it, without its consent: renewals no longer count for it, and it
-    /// goes on when the holder's last belief is over.
+    /// Takes a lease away without the consent of its holder. Renewals no longer extend the grant, and the
+    /// lease passes on once the holder can no longer consider it valid.
     Evict {
-        /// The lease.
+        /// Name of the lease.
         lease: String,
     },
-    /// To have an effect noted under a grant: the check of effects that take place inside the fleet.
+    /// Records an effect inside the fleet if the grant is still valid.
     Effect {
-        /// The lease.
+        /// Name of the lease.
         lease: String,
-        /// The grant.
+        /// Token of the grant under which the effect takes place.
         token: Token,
-        /// What is noted.
+        /// Text to record, at most [`MAX_NOTE_BYTES`] long.
         note: String,
     },
 }
 
-/// Why a wish was refused.
+/// Why an operation was refused.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Refusal {
-    /// The session ended, or never was.
+    /// The session has ended or never existed.
     NoSession,
-    /// A session of this name lives, of another process.
+    /// Another process has an open session under this name.
     NameTaken,
-    /// Another session holds the lease, or it is locked after a holder that vanished.
+    /// Another session holds the lease, or the lease is locked after its holder expired.
     Held {
-        /// The holder's name; none while locked.
+        /// Name of the holder, or `None` while the lease is locked.
         by: Option<String>,
     },
-    /// The asker does not hold the lease, or no longer under this token.
+    /// The session does not hold the lease, or no longer holds it under this token.
     NotHeld,
-    /// No session of this name is alive.
+    /// No open session has this name.
     UnknownSession,
-    /// A name is empty, too long or holds control characters, a time to live or a note is out of bounds.
+    /// A name is empty, too long or contains control characters, or a time to live or note is out of bounds.
     Invalid {
-        /// What is wrong.
+        /// Description of the invalid argument.
         problem: String,
     },
-    /// A bound of the table is reached.
+    /// A capacity limit of the table is reached.
     LimitReached,
-    /// An older wish than one already answered.
+    /// An operation or renewal with a later number has already been applied.
     Stale,
 }
 
-/// An answer.
+/// The result of an [`Entry`] that came from a client.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Reply {
     /// The session is open.
     Opened {
-        /// Its number.
+        /// Identifier of the session.
         session: SessionId,
     },
-    /// The renewal counts; these are the session's leases and grants.
+    /// The renewal was accepted.
     Renewed {
-        /// The renewal's number.
+        /// Number of the renewal.
         count: u64,
-        /// Leases that the session holds, with token and time to live.
+        /// Leases that the session held at the renewal.
         held: Vec<Grant>,
-        /// Leases that it stands in line for.
+        /// Names of the leases in whose queues the session waits.
         waiting: Vec<String>,
     },
-    /// The lease is the asker's.
+    /// The session holds the lease.
     Granted(Grant),
-    /// The asker stands in line.
+    /// The session waits in the queue of the lease.
     Waiting,
-    /// Done: released, transferred or noted.
+    /// The operation succeeded: released, abandoned, transferred, evicted or recorded.
     Done,
-    /// Refused.
+    /// The request was refused.
     Refused(Refusal),
 }
 
-/// A lease that was granted.
+/// A granted lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Grant {
-    /// The lease.
+    /// Name of the lease.
     pub lease: String,
-    /// The grant's number.
+    /// Fencing token of the grant.
     pub token: Token,
-    /// Its time to live.
+    /// Time to live of the grant, in milliseconds.
     pub ttl_ms: u64,
 }
 
-/// A session as the voters know it.
+/// The replicated state of a session.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Session {
-    /// The process's name.
+    /// Name of the process that opened it.
     pub name: String,
     nonce: u64,
-    /// Its time to live.
+    /// Time to live of the session, in milliseconds.
     pub ttl_ms: u64,
-    /// Its last renewal.
+    /// Number of the last renewal; 0 before the first.
     pub renewals: u64,
     last_reply: Option<(u64, Reply)>,
-    /// The leases that it holds, is to lose or stands in line for.
+    /// Leases that the session holds, has been evicted from or waits for.
     leases: BTreeSet<String>,
 }
 
-/// Who has a lease.
+/// The current holder of a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Holder {
-    /// Nobody.
+    /// No session holds the lease.
     Free,
-    /// A session.
+    /// A session holds the lease.
     Held {
-        /// Whose.
+        /// The holding session.
         session: SessionId,
-        /// The grant's number.
+        /// Token of the grant.
         token: Token,
-        /// The grant's time to live.
+        /// Time to live of the grant, in milliseconds.
         ttl_ms: u64,
     },
-    /// A session that is to lose it: it no longer renews, and may believe until its time to live is over.
+    /// The holder has been evicted. Renewals no longer extend the grant, but the holder may consider it valid
+    /// until its time to live ends.
     Evicted {
-        /// Whose.
+        /// The evicted session.
         session: SessionId,
-        /// The grant's number.
+        /// Token of the grant.
         token: Token,
-        /// The grant's time to live.
+        /// Time to live of the grant, in milliseconds.
         ttl_ms: u64,
     },
-    /// Nobody yet: the holder vanished, and what it had sent out may still arrive.
+    /// The lock delay is running: the holder expired or abandoned the lease, and requests that it sent may
+    /// still arrive.
     Locked {
-        /// The grant whose holder vanished.
+        /// Token of the ended grant.
         token: Token,
     },
 }
 
-/// A lease as the voters know it.
+/// The replicated state of a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Lease {
-    /// Who has it.
+    /// The current holder.
     pub holder: Holder,
-    /// Who stands in line, with the time to live each asked for, in order of asking.
+    /// Waiting sessions in order of arrival, each with the time to live it requested.
     pub queue: VecDeque<(SessionId, u64)>,
-    /// The token of the last effect that was noted.
+    /// Token of the last recorded effect; 0 if there is none.
     pub last_effect: Token,
-    /// What was noted last.
+    /// Note of the last recorded effect.
     pub note: String,
 }
 
@@ -267,49 +268,49 @@
 }
 
 impl Lease {
-    /// Nothing worth remembering.
+    /// Whether nothing about the lease has to be kept.
     fn is_idle(&self) -> bool {
         self.holder == Holder::Free && self.queue.is_empty() && self.last_effect == 0
     }
 }
 
-/// What an entry brought about, for those who watch.
+/// A change made by an applied entry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// A session began.
+    /// A session was opened.
     Opened(SessionId),
-    /// A session renewed.
+    /// A session was renewed.
     Renewed(SessionId),
     /// A session ended.
     Ended(SessionId),
     /// A lease was granted.
     Granted {
-        /// To whom.
+        /// The new holder.
         session: SessionId,
-        /// What.
+        /// The new grant.
         grant: Grant,
-        /// By an entry of another session, so that nobody's answer says it.
+        /// Whether another session's entry caused the grant, so that no reply tells the holder of it.
         unsolicited: bool,
     },
-    /// A lease was taken from its holder, who may believe in it for its time to live.
+    /// A holder was evicted. It may consider the grant valid until its time to live ends.
     Evicted {
-        /// The lease.
+        /// Name of the lease.
         lease: String,
-        /// The grant.
+        /// Token of the grant.
         token: Token,
     },
-    /// A lease's holder vanished; the lock delay begins.
+    /// The lock delay of a lease began.
     Locked {
-        /// The lease.
+        /// Name of the lease.
         lease: String,
-        /// The grant.
+        /// Token of the ended grant.
         token: Token,
     },
-    /// A lease has no holder and nobody in line.
+    /// A lease became free with nobody waiting for it.
     Freed(String),
 }
 
-/// What the voters agree on.
+/// The replicated table of sessions and leases.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseTable {
     sessions: BTreeMap<SessionId, Session>,
@@ -334,17 +335,17 @@
 }
 
 impl LeaseTable {
-    /// All sessions.
+    /// Returns the open sessions.
     pub fn sessions(&self) -> &BTreeMap<SessionId, Session> {
         &self.sessions
     }
 
-    /// All leases that are held, waited for, locked, or under which an effect was noted.
+    /// Returns the leases that are held, waited for, locked, or have a recorded effect.
     pub fn leases(&self) -> &BTreeMap<String, Lease> {
         &self.leases
     }
 
-    /// Takes in one entry. Gives the answer for the session it came from, and what it brought about.
+    /// Applies an entry. Returns the reply for the session that sent it, and the changes made.
     pub fn apply(&mut self, entry: &Entry) -> (Option<Reply>, Vec<Event>) {
         let mut events = Vec::new();
         let reply = match entry {
@@ -395,8 +396,8 @@
             return Reply::Refused(refusal);
         }
         if let Some((&session, known)) = self.sessions.iter().find(|(_, s)| s.name == name) {
-            // The same process again, which missed the first answer, gets it again. Guards against two
-            // processes under one name holding the same leases.
+            // A process that missed the first reply gets it again. Refusing other processes keeps two of them
+            // from holding the same leases under one name.
             return match known.nonce == nonce {
                 true => Reply::Opened { session },
                 false => Reply::Refused(Refusal::NameTaken),
@@ -431,7 +432,7 @@
         Reply::Renewed { count, held: self.held_by(session), waiting: self.awaited_by(session) }
     }
 
-    /// The leases that a session stands in line for.
+    /// Returns the leases in whose queues the session waits.
     fn awaited_by(&self, session: SessionId) -> Vec<String> {
         let Some(known) = self.sessions.get(&session) else { return Vec::new() };
         let waits = |name: &&String| {
@@ -440,7 +441,7 @@
         known.leases.iter().filter(waits).cloned().collect()
     }
 
-    /// The leases that a session holds.
+    /// Returns the leases that the session holds.
     pub fn held_by(&self, session: SessionId) -> Vec<Grant> {
         let held = |name: &String| match self.leases.get(name)?.holder {
             Holder::Held { session: by, token, ttl_ms } if by == session => {
@@ -453,7 +454,7 @@
 
     fn operation(&mut self, session: SessionId, seq: u64, op: &Op, events: &mut Vec<Event>) -> Reply {
         let Some(known) = self.sessions.get(&session) else { return Reply::Refused(Refusal::NoSession) };
-        // Guards against a wish that was held up on its way and arrives again behind its own undoing.
+        // A delayed duplicate must not be executed again after the operation that undid it.
         match &known.last_reply {
             Some((last, reply)) if *last == seq => return reply.clone(),
             Some((last, _)) if *last > seq => return Reply::Refused(Refusal::Stale),
@@ -563,7 +564,7 @@
         }
     }
 
-    /// Makes a session the holder, under a new token.
+    /// Grants a lease to a session under a new token.
     fn grant(
         &mut self,
         lease: &str,
@@ -594,7 +595,8 @@
         }
     }
 
-    /// Takes a lease from its holder: locked where the holder vanished, else to the next in line.
+    /// Ends the current grant. After an expiry or abandonment the lease is locked, otherwise it goes to the
+    /// next session in the queue.
     fn end_grant(&mut self, lease: &str, vanished: bool, events: &mut Vec<Event>) {
         let Some(known) = self.leases.get_mut(lease) else { return };
         let (Holder::Held { token, session, .. } | Holder::Evicted { token, session, .. }) = known.holder
@@ -628,14 +630,14 @@
         }
     }
 
-    /// Drops a lease of which nothing is worth remembering.
+    /// Removes a lease about which nothing has to be kept.
     fn remove_if_idle(&mut self, lease: &str) {
         if self.leases.get(lease).is_some_and(Lease::is_idle) {
             self.leases.remove(lease);
         }
     }
 
-    /// Ends a session: it leaves every line, and every lease it holds goes on.
+    /// Ends a session: removes it from every queue and ends all of its grants.
     fn end_session(&mut self, session: SessionId, vanished: bool, events: &mut Vec<Event>) {
         let Some(ended) = self.sessions.remove(&session) else { return };
         events.push(Event::Ended(session));
--- a/crates/lease/consensus/src/lib.rs
+++ b/crates/lease/consensus/src/lib.rs
@@ -1,15 +1,15 @@
-//! Leases for fleet-wide tasks: who may act. No I/O, no clock of its own, no threads: `now` is passed in,
-//! every message and every disk write is a value that a driver carries out.
+//! Replicated leases for fleet-wide tasks. This crate has no I/O, clock or threads: callers pass in `now`,
+//! and drivers carry out the messages and disk writes that it returns.
 //!
-//! What each promise rests on stands in `docs/design/leases.md`. From below:
+//! The guarantees and their reasons are described in `docs/design/leases.md`. From the bottom up:
 //!
-//! - [`lease_table`]: sessions, leases and tokens, as a state machine that reads no clock at all;
-//! - [`expiry`]: a voter's watch over sessions that fell silent;
-//! - [`membership`]: who votes, changed one at a time;
-//! - [`replica`]: the table kept the same on all voters, by a consensus library;
+//! - [`lease_table`]: sessions, leases and tokens, as a state machine without a clock;
+//! - [`expiry`]: detection of sessions that were not renewed in time;
+//! - [`membership`]: the set of voters, changed one at a time;
+//! - [`replica`]: replication of the table by a consensus library;
 //! - [`voter`]: one voter of the fleet;
-//! - [`client`]: a session of a process, and what it may believe to hold;
-//! - [`wire`]: what goes between them.
+//! - [`client`]: the session of a process and the leases it may consider held;
+//! - [`wire`]: the protocol between them.
 
 pub mod client;
 pub mod expiry;
@@ -20,9 +20,9 @@
 pub mod voter;
 pub mod wire;
 
-/// A voter's number, from 1.
+/// The number of a voter, starting at 1.
 pub type VoterId = u64;
-/// A session's number; never used twice.
+/// The number of a session; never reused.
 pub type SessionId = u64;
-/// The number of a grant: each grant of any lease has a higher one than all before it.
+/// The fencing token of a grant; higher than those of all earlier grants of any lease.
 pub type Token = u64;
--- a/crates/lease/consensus/src/membership.rs
+++ b/crates/lease/consensus/src/membership.rs
@@ -1,5 +1,5 @@
-//! The membership: who votes, as the voters themselves agreed on. One change at a time; a number is never given
-//! twice, so that a voter which forgot what it promised comes back as somebody else.
+//! The replicated list of voters. It changes by one voter at a time, and a voter number is never reused: a
+//! voter that lost its disk, and with it the votes it has cast, can only return under a new number.
 
 use crate::VoterId;
 use serde::{Deserialize, Serialize};
@@ -7,50 +7,51 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// Most voters.
+/// Maximum number of voters.
 pub const MAX_VOTERS: usize = 7;
 
-/// What is known of a voter that was added. Those of the fleet's beginning stand in its file.
+/// Details of a voter that was added to a running fleet. Founding voters have none; their addresses are in
+/// the configuration file.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct VoterInfo {
-    /// Where it listens, for all who don't find it in their own file.
+    /// Address on which the voter listens, for processes whose configuration file does not list it.
     pub address: String,
-    /// Its disk's identity: under this number no other is ever heard.
+    /// Identity of the voter's disk. No other disk is accepted under this voter number.
     pub disk_id: u64,
 }
 
 /// A change of the membership.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum MembershipChange {
-    /// A voter more.
+    /// Adds a voter.
     Add {
-        /// Its number, higher than all before it.
+        /// Number of the new voter; must be higher than all numbers used before.
         voter: VoterId,
-        /// Where it listens, and its disk.
+        /// Address and disk of the new voter.
         info: VoterInfo,
     },
-    /// A voter less.
+    /// Removes a voter.
     Remove {
-        /// Its number.
+        /// Number of the voter to remove.
         voter: VoterId,
     },
 }
 
-/// Why a change of the membership was refused.
+/// Why a membership change was refused.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum MembershipError {
-    /// The number was given to another voter before.
+    /// The number has already been used for another voter.
     IdUsed {
-        /// The lowest that is free.
+        /// The lowest number that is still available.
         next_free: VoterId,
     },
-    /// There are as many voters as there can be.
+    /// The fleet already has [`MAX_VOTERS`] voters.
     TooManyVoters,
-    /// Nobody has this number.
+    /// No voter has this number.
     UnknownVoter,
-    /// The last voter stays.
+    /// The last voter cannot be removed.
     LastVoter,
-    /// Not an address with a port.
+    /// The address is not of the form `address:port`.
     InvalidAddress,
 }
 
@@ -70,7 +71,7 @@
     }
 }
 
-/// Who votes.
+/// The set of voters.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Membership {
     voters: BTreeMap<VoterId, Option<VoterInfo>>,
@@ -78,42 +79,42 @@
 }
 
 impl Membership {
-    /// The membership that a fleet begins with. An empty one is that of a voter which waits to be added.
+    /// Creates the membership of a new fleet. A voter that waits to be added starts with an empty one.
     pub fn initial(voters: &[VoterId]) -> Membership {
         let highest = voters.iter().copied().max().unwrap_or(0);
         Membership { voters: voters.iter().map(|v| (*v, None)).collect(), highest }
     }
 
-    /// The voters' numbers.
+    /// Returns the numbers of all voters.
     pub fn voter_ids(&self) -> Vec<VoterId> {
         self.voters.keys().copied().collect()
     }
 
-    /// The voters, with the place of each that was added.
+    /// Returns the voters, with details for each one that was added to the running fleet.
     pub fn members(&self) -> &BTreeMap<VoterId, Option<VoterInfo>> {
         &self.voters
     }
 
-    /// Whether this is a voter.
+    /// Whether the number belongs to a current voter.
     pub fn contains(&self, voter: VoterId) -> bool {
         self.voters.contains_key(&voter)
     }
 
-    /// Whether this was a voter and is none any more.
+    /// Whether the number belonged to a voter that has since been removed.
     pub fn was_removed(&self, voter: VoterId) -> bool {
         voter <= self.highest && !self.contains(voter)
     }
 
-    /// Takes in a change. `false` where everything is as the change wants it: it was asked for twice.
+    /// Applies a change. Returns `false` if the membership already reflects it, as after a repeated request.
     ///
     /// # Errors
     ///
-    /// Says why not; nothing has changed then.
+    /// Returns the reason for a refusal. The membership is unchanged in that case.
     pub fn apply(&mut self, change: &MembershipChange) -> Result<bool, MembershipError> {
         match change {
             MembershipChange::Add { voter, info } => match self.voters.get(voter) {
                 Some(Some(known)) if known == info => Ok(false),
-                // Guards against a voter that lost its disk and comes back under the number that it voted with.
+                // A voter that lost its disk must not return under the number it voted with.
                 _ if *voter <= self.highest => Err(MembershipError::IdUsed { next_free: self.highest + 1 }),
                 _ if self.voters.len() >= MAX_VOTERS => Err(MembershipError::TooManyVoters),
                 _ if info.address.parse::<SocketAddr>().is_err() => Err(MembershipError::InvalidAddress),
--- a/crates/lease/consensus/src/mutant.rs
+++ b/crates/lease/consensus/src/mutant.rs
@@ -1,35 +1,35 @@
-//! Wrong versions of the parts that the promises rest on. The laboratory turns them on, one at a time, to
-//! see that its checker catches them; without the feature `mutants` none of them is in the program.
+//! Deliberate defects in the code that the guarantees rest on. Fault injection activates one at a time to
+//! verify that its checker detects it. They are compiled in only with the feature `mutants`.
 
-/// One wrong version.
+/// A deliberate defect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Mutant {
-    /// The check of an effect takes any token.
+    /// Effects are recorded under any token.
     TokenUnchecked,
-    /// A holder counts its time from the answer, not from when its renewal left.
+    /// A holder counts the time to live from the response instead of from when it sent the renewal.
     CountedFromAnswer,
-    /// A voter's messages leave before its records are lasting.
+    /// A voter sends messages before its records are durable.
     SentUnsynced,
-    /// Voters count time on a clock that is set by hand.
+    /// Voters measure time on the adjustable wall clock.
     WallClock,
-    /// A client stays with a voter that cannot serve it.
+    /// A client stays connected to a voter that cannot serve it.
     NeverLeaves,
-    /// A lease whose holder vanished goes on at once.
+    /// A lease whose holder expired is granted again without the lock delay.
     NoLockDelay,
-    /// A voter that lost its disk, or has an older copy, votes.
+    /// A voter that lost its disk, or runs on an older copy of it, votes.
     LostDiskVotes,
-    /// A session that expires leaves its leases behind.
+    /// A session that expires does not give up its leases.
     ExpiryForgets,
-    /// A released lease is believed in again when an older list arrives.
+    /// A delayed renewal response makes a released lease count as held again.
     BelievesReleased,
-    /// A granted wish is believed in without a renewal.
+    /// A granted operation counts as confirmation without a renewal.
     GrantBelieved,
-    /// A voter that was removed falls silent before the others know that it was agreed on.
+    /// A removed voter stops before the others know that its removal was committed.
     RemovedStops,
 }
 
 impl Mutant {
-    /// All of them.
+    /// All mutants.
     pub const ALL: [Mutant; 11] = [
         Mutant::TokenUnchecked,
         Mutant::CountedFromAnswer,
@@ -50,19 +50,19 @@
     static ACTIVE: std::cell::Cell<Option<Mutant>> = const { std::cell::Cell::new(None) };
 }
 
-/// Turns a mutant on for this thread, or all off.
+/// Activates one mutant for the current thread, or none.
 #[cfg(feature = "mutants")]
 pub fn set_active(mutant: Option<Mutant>) {
     ACTIVE.with(|active| active.set(mutant));
 }
 
-/// Whether a mutant is on.
+/// Whether the mutant is active on the current thread.
 #[cfg(feature = "mutants")]
 pub fn is_active(mutant: Mutant) -> bool {
     ACTIVE.with(|active| active.get() == Some(mutant))
 }
 
-/// Whether a mutant is on: none is.
+/// Always `false` without the feature `mutants`.
 #[cfg(not(feature = "mutants"))]
 pub const fn is_active(_: Mutant) -> bool {
     false
--- a/crates/lease/consensus/src/replica.rs
+++ b/crates/lease/consensus/src/replica.rs
@@ -1,9 +1,9 @@
-//! The table kept the same on all voters, by the consensus library `raft`.
+//! Replication of the lease table on all voters, by the consensus library `raft`.
 //!
-//! The library reads a [`RaftStore`], which is no disk: what it wants kept becomes [`Write`]s that the driver
-//! brings to the disk before anything of the same turn leaves. If the disk says no, the driver drops the
-//! to_writes replica with its messages and builds it anew from what is lasting. So nothing that left was ever
-//! promised by a disk that failed half way.
+//! The library reads an in-memory [`RaftStore`]. Each change that has to be durable becomes a
+//! [`StorageWrite`], which the driver writes to disk before it sends any message of the same turn. If the
+//! disk fails, the driver drops the whole replica with its messages and rebuilds it from what is durable. No
+//! message that was sent can thus rely on a write that failed.
 
 use crate::lease_table::{Entry, LeaseTable};
 use crate::membership::{Membership, MembershipChange, MembershipError, MAX_VOTERS};
@@ -18,48 +18,49 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// One change of what a voter has to remember.
+/// A change of a voter's durable state.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum StorageWrite {
-    /// The term, the vote in it, and up to where the log is agreed on.
+    /// Sets the term, the vote and the commit index.
     HardState {
-        /// The term.
+        /// Current term.
         term: u64,
-        /// Whom it voted for; 0 for nobody.
+        /// The voter that received this voter's vote in the term; 0 for none.
         vote: VoterId,
-        /// Agreed on.
+        /// Index of the last committed entry.
         commit: u64,
     },
-    /// Entries, in the library's own form, in the place of all from the first one's index on.
+    /// Log entries in the encoding of the library. They replace all entries from the index of the first one
+    /// on.
     Append(Vec<Vec<u8>>),
-    /// The table as of an entry. Older entries may be forgotten.
+    /// The table as of a log entry. Older entries are no longer needed.
     Snapshot {
-        /// The entry's index.
+        /// Index of the log entry.
         index: u64,
-        /// The entry's term.
+        /// Term of the log entry.
         term: u64,
-        /// The voters as of it.
+        /// The voters as of the entry.
         membership: Membership,
-        /// The table as of it.
+        /// The table as of the entry.
         table: Box<LeaseTable>,
     },
-    /// Entries up to this index are forgotten.
+    /// Drops the log entries up to an index.
     Compact {
-        /// The index.
+        /// Index of the last dropped entry.
         index: u64,
-        /// That entry's term.
+        /// Term of that entry.
         term: u64,
     },
 }
 
-/// Index and term of the entry that a fleet begins with.
+/// Index and term of the first entry of a new fleet.
 const BOOTSTRAP_ENTRY: (u64, u64) = (1, 1);
 
-/// What a voter remembers, and what of it is not on its disk yet.
+/// The state of a voter, and the part of it that is not durable yet.
 #[derive(Clone, Debug, Default)]
 pub struct RaftStore {
     hard: HardState,
-    /// Index and term of the last entry that is forgotten.
+    /// Index and term of the last dropped entry.
     base: (u64, u64),
     log: Vec<LogEntry>,
     /// Index, term, voters and table of the last snapshot.
@@ -68,8 +69,8 @@
 }
 
 impl RaftStore {
-    /// What a voter of a new fleet remembers: the first entry, that these vote. A voter that is added later
-    /// remembers nothing, so that it gets this, or what became of it, as a snapshot.
+    /// Creates the state of a founding voter: a first entry with these voters. A voter that is added later
+    /// starts empty, so that it receives this state or its successors as a snapshot.
     pub fn bootstrap(voters: &[VoterId]) -> RaftStore {
         let (index, term) = BOOTSTRAP_ENTRY;
         let hard = HardState { term, commit: index, ..HardState::default() };
@@ -77,7 +78,7 @@
         RaftStore { hard, base: BOOTSTRAP_ENTRY, snapshot, ..RaftStore::default() }
     }
 
-    /// Takes in a write, at the start from the disk.
+    /// Applies a write, also when replaying the journal.
     pub fn apply(&mut self, write: StorageWrite) {
         match write {
             StorageWrite::HardState { term, vote, commit } => {
@@ -92,7 +93,7 @@
             }
             StorageWrite::Snapshot { index, term, membership, table } => {
                 if self.term_of(index) != Some(term) {
-                    // What is there of the log doesn't lead to the table: it is of no use behind it either.
+                    // The stored log does not lead to the snapshot, so its later entries are useless too.
                     self.log.clear();
                     self.base = (index, term);
                 }
@@ -108,7 +109,7 @@
         }
     }
 
-    /// All of it as the fewest writes.
+    /// Returns the shortest sequence of writes that recreates this state.
     pub fn to_writes(&self) -> Vec<StorageWrite> {
         let (index, term, membership, table) = self.snapshot.clone();
         let (term_now, vote, commit) = (self.hard.term, self.hard.vote, self.hard.commit);
@@ -143,10 +144,10 @@
 }
 
 fn encode_entry(entry: &LogEntry) -> Vec<u8> {
-    entry.write_to_bytes().expect("an entry is plain data")
+    entry.write_to_bytes().expect("encoding a log entry cannot fail")
 }
 
-/// The mirror as the library gets it.
+/// Shares the store with the library.
 #[derive(Clone)]
 struct SharedStore(Rc<RefCell<RaftStore>>);
 
@@ -199,7 +200,7 @@
         if *index < wanted {
             return Err(StorageError::SnapshotTemporarilyUnavailable.into());
         }
-        let data = postcard::to_stdvec(&(membership, table)).expect("a table is plain data").into();
+        let data = postcard::to_stdvec(&(membership, table)).expect("encoding a table cannot fail").into();
         let mut snapshot = Snapshot { data, ..Snapshot::default() };
         let meta = snapshot.mut_metadata();
         (meta.index, meta.term) = (*index, *term);
@@ -208,37 +209,38 @@
     }
 }
 
-/// Turns of the library's clock between a leader's signs of life.
+/// Ticks between the heartbeats of a leader.
 const HEARTBEAT_TICKS: usize = 3;
-/// Turns without a sign of life until the first voter stands for leader; each next one waits longer by
-/// [`STAGGER_TICKS`]. Fixed instead of drawn, so that the same seed gives the same history.
+/// Ticks without a heartbeat until the first voter starts an election. Each following voter waits
+/// [`STAGGER_TICKS`] longer. The waits are fixed instead of random, so that a seed reproduces a history.
 const ELECTION_TICKS: usize = 15;
 const STAGGER_TICKS: usize = 4;
-/// Entries applied in since the last snapshot until the next is made.
+/// Number of applied entries between snapshots.
 const SNAPSHOT_INTERVAL: u64 = 2048;
-/// Entries kept behind a snapshot, for voters that lag a little.
+/// Entries kept before a snapshot, for voters that are slightly behind.
 const ENTRIES_BEHIND_SNAPSHOT: u64 = 256;
-/// Bytes of proposals that wait for agreement; more are dropped, and asked for again.
+/// Maximum size of uncommitted proposals, in bytes. Proposals beyond it are dropped, and clients repeat their
+/// requests.
 const MAX_UNCOMMITTED_BYTES: u64 = 4 << 20;
 
-/// One step of the agreed order.
+/// A committed change, in log order.
 pub enum CommittedStep {
-    /// The table as of a snapshot: whatever was known before is part of it.
+    /// The table of a received snapshot; replaces all earlier state.
     Snapshot(LeaseTable),
-    /// An entry.
+    /// A committed log entry.
     Entry(Entry),
-    /// A change of the membership came by; [`Replica::membership`] has it.
+    /// A committed membership change. [`Replica::membership`] reflects it.
     MembershipChanged {
-        /// The voter that it was asked of.
+        /// The voter that received the request.
         voter: VoterId,
-        /// That voter's number for it.
+        /// Number that this voter assigned to the request.
         request_id: u64,
-        /// Refused, and why.
+        /// Whether the change was made, or why it was refused.
         outcome: Result<(), MembershipError>,
     },
 }
 
-/// The agreed order of entries, as one voter has it.
+/// One voter's copy of the replicated log.
 pub struct Replica {
     node: RawNode<SharedStore>,
     store: Rc<RefCell<RaftStore>>,
@@ -248,11 +250,12 @@
 }
 
 impl Replica {
-    /// A voter which remembers this. The first steps it gives lead from the empty table to where it was.
+    /// Creates a replica from stored state. The first committed steps lead from the last snapshot to the
+    /// stored commit index.
     ///
     /// # Errors
     ///
-    /// Says what the library finds wrong.
+    /// Returns the error of the library if the state is invalid.
     pub fn new(voter: VoterId, store: RaftStore) -> Result<Replica, String> {
         let (info, round) = ((voter as usize).wrapping_sub(1) % MAX_VOTERS, voter as usize / MAX_VOTERS % 2);
         let wait = ELECTION_TICKS + STAGGER_TICKS * info + STAGGER_TICKS / 2 * round;
@@ -277,47 +280,50 @@
         Ok(Replica { node, store, membership, applied, messages: Vec::new() })
     }
 
-    /// The table as of the last snapshot: where the steps begin.
+    /// Returns the table of the last snapshot, which the committed steps continue.
     pub fn snapshot_table(&self) -> LeaseTable {
         self.store.borrow().snapshot.3.clone()
     }
 
-    /// One turn of the library's clock.
+    /// Advances the library's clock by one tick.
     pub fn tick(&mut self) {
         self.node.tick();
     }
 
-    /// Takes in another voter's message; one that can't be read or doesn't fit changes nothing.
+    /// Handles a message from another voter. Returns `false` if it is invalid or not addressed to this voter;
+    /// it has no effect then.
     pub fn receive(&mut self, from: VoterId, bytes: &[u8]) -> bool {
         let Ok(message) = Message::parse_from_bytes(bytes) else { return false };
         message.from == from && message.to == self.node.raft.id && self.node.step(message).is_ok()
     }
 
-    /// The link to a voter is down: nothing of what is under way to it counts as sent.
+    /// Reports that the connection to a voter is down and messages in flight may be lost.
     pub fn report_unreachable(&mut self, voter: VoterId) {
         self.node.report_unreachable(voter);
     }
 
-    /// The leader, if this voter knows one.
+    /// Returns the leader, if this voter knows one.
     pub fn leader(&self) -> Option<VoterId> {
         Some(self.node.raft.leader_id).filter(|leader| *leader != raft::INVALID_ID)
     }
 
-    /// Whether this voter leads.
+    /// Whether this voter is the leader.
     pub fn is_leader(&self) -> bool {
         self.node.raft.state == raft::StateRole::Leader
     }
 
-    /// Puts an entry forward. `false` where no leader is known or too many wait: then nothing was done.
+    /// Proposes an entry. Returns `false`, without effect, if no leader is known or too many proposals are
+    /// pending.
     pub fn propose(&mut self, entry: &Entry) -> bool {
-        let bytes = postcard::to_stdvec(entry).expect("an entry is plain data");
+        let bytes = postcard::to_stdvec(entry).expect("encoding a log entry cannot fail");
         self.leader().is_some() && self.node.propose(Vec::new(), bytes).is_ok()
     }
 
-    /// Puts a change of the membership forward. The library lets one at a time through; whoever asked hears nothing of
-    /// one that it dropped, and asks again.
+    /// Proposes a membership change. The library lets one change through at a time. A dropped change gets no
+    /// response, so the requester has to repeat it.
     pub fn propose_change(&mut self, voter: VoterId, request_id: u64, change: &MembershipChange) -> bool {
-        let context = postcard::to_stdvec(&(voter, request_id, change)).expect("a change is plain data");
+        let context = postcard::to_stdvec(&(voter, request_id, change))
+            .expect("encoding a membership change cannot fail");
         let (change_type, node_id) = match change {
             MembershipChange::Add { voter, .. } => (ConfChangeType::AddNode, *voter),
             MembershipChange::Remove { voter } => (ConfChangeType::RemoveNode, *voter),
@@ -326,12 +332,12 @@
         self.leader().is_some() && self.node.propose_conf_change(context, change).is_ok()
     }
 
-    /// Who votes, as far as this voter knows; nobody while it waits to be added.
+    /// Returns the voters as of the last applied entry; empty while this voter waits to be added.
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
 
-    /// What was agreed on since the last call, in order.
+    /// Returns what was committed since the last call, in log order.
     pub fn take_committed(&mut self) -> Vec<CommittedStep> {
         let mut steps = Vec::new();
         while self.node.has_ready() {
@@ -363,7 +369,8 @@
             messages.extend(ready.take_persisted_messages());
             let committed = ready.take_committed_entries();
             self.apply_committed(committed, &mut steps);
-            // The library may go on: nothing of this turn leaves before all of its writes are lasting.
+            // The library may advance already: the driver sends no message of this turn before all of its
+            // writes are durable.
             let mut light = self.node.advance(ready);
             if let Some(commit) = light.commit_index() {
                 let hard = self.store.borrow().hard.clone();
@@ -379,7 +386,7 @@
             self.node.advance_apply();
             for message in &messages {
                 if message.get_msg_type() == MessageType::MsgSnapshot {
-                    // A snapshot that gets lost is found out like any other message that does.
+                    // The loss of a snapshot is detected like that of any other message.
                     self.node.report_snapshot(message.to, SnapshotStatus::Finish);
                 }
             }
@@ -396,7 +403,7 @@
                 continue;
             }
             if entry.get_entry_type() == EntryType::EntryNormal && !entry.data.is_empty() {
-                // An entry that this version can't read changes nothing, on any voter of this version.
+                // No voter of this version can decode such an entry, so all of them skip it.
                 if let Ok(entry) = postcard::from_bytes(&entry.data) {
                     steps.push(CommittedStep::Entry(entry));
                 }
@@ -404,7 +411,8 @@
         }
     }
 
-    /// A change of the membership was agreed on. Each voter finds by itself, from the membership alone, whether it is refused.
+    /// Applies a committed membership change. Every voter decides from the replicated membership alone
+    /// whether to refuse it.
     fn apply_membership_change(&mut self, entry: &LogEntry) -> Option<CommittedStep> {
         let (voter, request_id, change) =
             postcard::from_bytes::<(VoterId, u64, MembershipChange)>(&entry.context).ok()?;
@@ -414,19 +422,19 @@
             self.node.apply_conf_change(&change).expect("the membership keeps at least one voter");
             let raft = &mut self.node.raft;
             if raft.state == raft::StateRole::Leader && !self.membership.contains(raft.id) {
-                // Guards against a leader that counts itself though it no longer votes, which ends the library.
+                // A leader that is no longer a voter but still counts itself makes the library panic.
                 raft.become_follower(raft.term, raft::INVALID_ID);
             }
         }
         Some(CommittedStep::MembershipChanged { voter, request_id, outcome: outcome.map(drop) })
     }
 
-    /// The table as of now, for a snapshot, if one is due.
+    /// Whether enough entries were applied since the last snapshot to take the next one.
     pub fn snapshot_due(&self) -> bool {
         self.applied >= self.store.borrow().snapshot.0 + SNAPSHOT_INTERVAL
     }
 
-    /// Takes a snapshot and forgets what lies well before it.
+    /// Takes a snapshot and drops the log entries well before it.
     pub fn take_snapshot(&mut self, table: &LeaseTable) {
         let mut store = self.store.borrow_mut();
         let Some(term) = store.term_of(self.applied) else { return };
@@ -443,24 +451,24 @@
         }
     }
 
-    /// Entries applied in.
+    /// Returns the index of the last applied entry.
     pub fn applied(&self) -> u64 {
         self.applied
     }
 
-    /// What has to be lasting before any of the messages of [`Replica::messages`] leaves.
+    /// Takes the writes that must be durable before any message of [`Replica::take_messages`] is sent.
     pub fn take_writes(&mut self) -> Vec<StorageWrite> {
         std::mem::take(&mut self.store.borrow_mut().unsynced)
     }
 
-    /// All that has to be remembered, as the fewest writes.
+    /// Returns the shortest sequence of writes that recreates the durable state.
     pub fn to_writes(&self) -> Vec<StorageWrite> {
         self.store.borrow().to_writes()
     }
 
-    /// Messages for other voters.
+    /// Takes the messages to send to other voters.
     pub fn take_messages(&mut self) -> Vec<(VoterId, Vec<u8>)> {
-        let write = |m: Message| (m.to, m.write_to_bytes().expect("a message is plain data"));
+        let write = |m: Message| (m.to, m.write_to_bytes().expect("encoding a raft message cannot fail"));
         std::mem::take(&mut self.messages).into_iter().map(write).collect()
     }
 }
--- a/crates/lease/consensus/src/voter.rs
+++ b/crates/lease/consensus/src/voter.rs
@@ -1,8 +1,9 @@
-//! One voter of a fleet, without I/O: frames and `now` go in; records for the disk and frames come out.
+//! One voter of a fleet, without I/O. It consumes frames and the current time, and produces journal records
+//! and frames.
 //!
-//! The driver's duty, each turn: write [`Turn::record`], sync, and only then send [`Turn::frames`]. If the
-//! disk says no, it drops the voter and everything that the turn held, and builds it anew from the disk when
-//! the disk takes writes again.
+//! In each turn the driver must write [`TurnOutput::record`], sync it, and only then send
+//! [`TurnOutput::frames`]. If the disk fails, the driver drops the voter with all output of the turn, and
+//! rebuilds it from the disk once the disk accepts writes again.
 
 mod links;
 
@@ -17,112 +18,116 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// One turn of the consensus library's clock.
+/// Length of one tick of the consensus library.
 pub const TICK: Duration = Duration::from_millis(20);
-/// Turns made up for after a pause; more would be an election storm out of one stop.
+/// Maximum number of ticks made up for after a pause. More would start a series of elections after a single
+/// stop.
 const MAX_TICKS: u32 = 5;
-/// Clients of one voter.
+/// Maximum number of clients of one voter.
 pub const MAX_CLIENTS: usize = 4096;
-/// Those that haven't accepted_by a voter are asked again, and marks are passed on, after so long.
+/// Interval at which voters that haven't accepted this one get another hello, and the others get the known
+/// write counts.
 const GREET_INTERVAL: Duration = Duration::from_millis(200);
-/// Reads under way at one voter; an older one goes unanswered, and is asked again.
+/// Maximum number of pending reads. Older ones are dropped without a response, and clients repeat them.
 const MAX_READS: usize = 256;
 
-/// What a voter is told.
+/// Configuration of a voter.
 #[derive(Clone, Debug)]
 pub struct VoterConfig {
-    /// Its number.
+    /// Number of the voter.
     pub voter: VoterId,
-    /// The voters that the fleet begins with; for a voter that waits to be added, those that it asks.
+    /// The founding voters; for a joining voter, the voters that it contacts.
     pub voters: Vec<VoterId>,
-    /// On a new disk: it waits to be added to a fleet that goes on already.
+    /// With a new disk: whether the voter waits to be added to a running fleet instead of founding one.
     pub joining: bool,
-    /// A lease whose holder vanished is given to nobody for so long.
+    /// How long a lease whose holder expired stays locked.
     pub lock_delay: Duration,
-    /// The config for its disk, should it be a new one.
+    /// Identity to assign to the disk if it is new.
     pub new_disk_id: u64,
-    /// Drawn anew at each start: tells a voter that came back from one that only called again.
+    /// Random number chosen at each process start; tells a restarted voter from one that merely reconnected.
     pub incarnation: u64,
 }
 
 /// A record of a voter's journal.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 enum Record {
-    /// The first record of journals of an older form, which can't be read on.
+    /// First record of journals in an older format, which is no longer supported.
     Unsupported,
-    /// The disk is this voter's. These voters began the fleet, or nobody is known yet. Always the first.
+    /// Identifies the disk's voter. `founders` is `None` if the voter joined a running fleet or the journal
+    /// was rewritten. Always the first record.
     Header { voter: VoterId, founders: Option<Vec<VoterId>>, disk_id: u64 },
-    /// The number of the turn that wrote what follows.
+    /// Number of the turn that wrote the following records.
     WriteCount(u64),
-    /// What the consensus has to remember.
+    /// Durable state of the replica.
     Write(StorageWrite),
-    /// Another voter's disk, and the highest mark heard from it.
+    /// Disk of another voter and the highest write count known of it.
     Peer(VoterId, PeerState),
-    /// All others have accepted_by this disk once.
+    /// All other voters have accepted this disk at some time.
     Admitted,
 }
 
-/// What is known of another voter.
+/// What this voter knows of another voter.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct PeerState {
     disk_id: u64,
-    /// The highest mark heard of it, and the life in which it was.
+    /// Highest known write count, and the incarnation that reached it.
     write_count: u64,
     incarnation: u64,
 }
 
-/// A connection of the driver's.
+/// Identifier of a connection, assigned by the driver.
 pub type LinkId = u64;
 
-/// Where a frame goes.
+/// The destination of a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Recipient {
-    /// To a voter, on the link that this voter called.
+    /// Another voter, on the connection that this voter opened.
     Voter(VoterId),
-    /// Back on a link that somebody called.
+    /// The peer that opened this connection.
     Link(LinkId),
 }
 
-/// What one turn brought about.
+/// The output of one turn.
 #[derive(Debug, Default)]
 pub struct TurnOutput {
-    /// For the disk, as one record.
+    /// Journal record to make durable before the frames are sent.
     pub record: Option<Vec<u8>>,
-    /// To be sent once the records are lasting.
+    /// Frames to send once the record is durable.
     pub frames: Vec<(Recipient, Frame)>,
 }
 
-/// Who is at the other end of a link.
+/// State of a connection that the peer opened.
 #[derive(Clone, Debug, Default)]
 struct InboundLink {
     voter: Option<VoterId>,
-    /// A voter's life, and the highest mark that came on this link.
+    /// Incarnation of the connected voter, and the highest write count received on this connection.
     incarnation: u64,
     write_count: u64,
-    /// The nonce of the session that it wants to open.
+    /// Nonce of the session that the client is opening.
     nonce: Option<u64>,
     session: Option<SessionId>,
     watching: bool,
 }
 
-/// One voter.
+/// The state of one voter.
 pub struct Voter {
     config: VoterConfig,
     disk_id: u64,
     write_count: u64,
     peers: BTreeMap<VoterId, PeerState>,
-    /// Who votes, as of what was taken in.
+    /// The voters as of the last applied entry.
     membership: Membership,
-    /// Voters that let this one vote.
+    /// Voters that have accepted this one.
     accepted_by: BTreeSet<VoterId>,
-    /// Enough have, in this life.
+    /// Whether enough voters have accepted this one since its process started.
     may_vote: bool,
-    /// Voters that were added, as they say, and where they listen: this one may not have heard of it yet.
+    /// Voters that are not in this voter's membership, with the addresses they report. They may have been
+    /// added by an entry that this voter hasn't applied yet.
     unlisted_voters: BTreeMap<VoterId, String>,
-    /// All others have accepted_by its disk once. Guards against a lost disk taken for a new one: whoever has
-    /// voted was known to all others before.
+    /// Whether all other voters have accepted this disk at some time. A lost disk thus can't pass for a new
+    /// one, since every voter that has voted was known to all others before.
     admitted: bool,
-    /// Why it may not vote, as another voter said.
+    /// Why another voter refused to let this one vote.
     rejected: Option<String>,
     replica: Replica,
     table: LeaseTable,
@@ -133,26 +138,26 @@
     pending_reads: BTreeMap<u64, (LinkId, u64)>,
     next_read_id: u64,
     last_tick: Duration,
-    /// When those that haven't accepted_by it are asked again, and when the others are told of marks.
+    /// When to send the next hellos and write counts.
     greet_at: Duration,
     pending_records: Vec<Record>,
-    /// Changes of `known` that can wait for the next write.
+    /// Peers whose changed write counts can wait for the next journal record.
     unsaved_peers: BTreeSet<VoterId>,
     frames: Vec<(Recipient, Frame)>,
 }
 
-/// Records of one turn as one record of the journal. Guards against a torn write that keeps a part of a turn:
-/// the consensus needs the round and the entries accepted in it to last together or not at all.
+/// Encodes the records of a turn as a single journal record. A torn write must not keep part of a turn, since
+/// consensus needs the term and the entries accepted in it to become durable together or not at all.
 fn encode(records: &[Record]) -> Vec<u8> {
-    postcard::to_stdvec(records).expect("records are plain data")
+    postcard::to_stdvec(records).expect("encoding journal records cannot fail")
 }
 
 impl Voter {
-    /// A voter with what its journal holds: nothing on a new disk.
+    /// Restores a voter from the records of its journal; a new disk has none.
     ///
     /// # Errors
     ///
-    /// Says why the journal is not this voter's.
+    /// Returns why the journal cannot be used for this voter.
     pub fn open(config: VoterConfig, records: &[Vec<u8>], now: Duration) -> Result<Voter, String> {
         let founders = (!config.joining).then(|| config.voters.clone());
         let begin = |founders: &Option<Vec<VoterId>>| {
@@ -163,14 +168,21 @@
         let mut all: Vec<Record> = Vec::new();
         for bytes in records {
             let turn: Result<Vec<Record>, _> = postcard::from_bytes(bytes);
-            all.extend(turn.map_err(|e| format!("a record of the journal (of an older version?): {e}"))?);
+            all.extend(turn.map_err(|e| {
+                format!("cannot decode a journal record, which may be of an older version: {e}")
+            })?);
         }
         for record in all {
             match record {
-                Record::Unsupported => return Err("the journal is of an older version".to_owned()),
+                Record::Unsupported => {
+                    return Err("the journal has the format of an older version".to_owned())
+                }
                 Record::Header { voter, founders, disk_id } => {
                     if voter != config.voter {
-                        return Err(format!("the disk is voter {voter}'s, not voter {}'s", config.voter));
+                        return Err(format!(
+                            "the disk belongs to voter {voter}, not to voter {}",
+                            config.voter
+                        ));
                     }
                     (store, stored_disk) = (begin(&founders), Some(disk_id));
                 }
@@ -181,13 +193,13 @@
             }
         }
         if stored_disk.is_none() && !records.is_empty() {
-            return Err("the journal doesn't begin with a voter's birth".to_owned());
+            return Err("the journal doesn't begin with a header record".to_owned());
         }
         let voter = config.voter;
         let mut pending_records = Vec::new();
         if stored_disk.is_none() {
             pending_records.push(Record::Header { voter, founders, disk_id: config.new_disk_id });
-            // One that waits to be added is known to the others by its disk before it ever votes.
+            // A joining voter needs no admission by all: the membership names its disk before it ever votes.
             admitted = config.joining;
             pending_records.extend(admitted.then_some(Record::Admitted));
         }
@@ -223,41 +235,41 @@
         Ok(voter)
     }
 
-    /// What the voters agreed on, as far as this one knows.
+    /// Returns the table as of the last applied entry.
     pub fn table(&self) -> &LeaseTable {
         &self.table
     }
 
-    /// Who votes, as far as this one knows; nobody while it waits to be added.
+    /// Returns the voters as of the last applied entry; empty while this voter waits to be added.
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
 
-    /// The other voters; while it waits to be added, those of its file.
+    /// Returns the other voters, or those of the configuration while this voter waits to be added.
     fn others(&self) -> Vec<VoterId> {
         let known = self.membership.voter_ids();
         let all = if known.is_empty() { &self.config.voters } else { &known };
         all.iter().copied().filter(|v| *v != self.config.voter).collect()
     }
 
-    /// Where voters listen that are not in the membership, as they say themselves.
+    /// Returns the self-reported addresses of connected voters that are not in the membership.
     pub fn unlisted_voters(&self) -> &BTreeMap<VoterId, String> {
         &self.unlisted_voters
     }
 
-    /// Whether it was a voter and is none any more.
+    /// Whether this voter has been removed from the membership.
     fn was_removed(&self) -> bool {
         self.membership.was_removed(self.config.voter)
     }
 
-    /// Whether it may vote. One that was removed goes on until the others refuse it: they may not know yet that its
-    /// removal was agreed on, and need its voice to find out.
+    /// Whether this voter may vote. A removed voter continues until another voter rejects it: the others may
+    /// not know yet that its removal was committed, and need its vote to find out.
     pub fn is_voting(&self) -> bool {
         self.may_vote && self.rejected.is_none() && !(is_active(Mutant::RemovedStops) && self.was_removed())
     }
 
-    /// Votes once enough others have accepted_by it: all of them where none may know its disk yet, else as
-    /// many as make a majority with it.
+    /// Lets this voter vote once enough others have accepted it. A disk that was never admitted needs all of
+    /// them, any other disk a majority including itself.
     fn update_may_vote(&mut self) {
         let others = self.others();
         let needed = if self.admitted || is_active(Mutant::LostDiskVotes) {
@@ -272,12 +284,12 @@
         }
     }
 
-    /// The leader, if it knows one.
+    /// Returns the leader, if it is known and this voter may vote.
     pub fn leader(&self) -> Option<VoterId> {
         self.replica.leader().filter(|_| self.is_voting())
     }
 
-    /// How it is.
+    /// Returns the status of this voter, for operators.
     pub fn status(&self) -> VoterStatus {
         let state = match &self.rejected {
             _ if self.was_removed() => "removed".to_owned(),
@@ -292,7 +304,7 @@
             voter: self.config.voter,
             state,
             leader: self.leader(),
-            // A name that isn't lasting yet could be another after the next start.
+            // An identity that isn't durable yet may change at the next start.
             disk_id: if self.write_count > 0 { self.disk_id } else { 0 },
             voters: self.voter_addresses(),
             connected: self.outbound.iter().copied().collect(),
@@ -308,13 +320,13 @@
         self.others().into_iter().filter(|v| !self.accepted_by.contains(v)).collect()
     }
 
-    /// The voters, with the address of each that doesn't stand in everybody's file.
+    /// Returns the voters, with the address of each one added to the running fleet.
     fn voter_addresses(&self) -> Vec<(VoterId, Option<String>)> {
         let address = |info: &Option<crate::membership::VoterInfo>| info.as_ref().map(|p| p.address.clone());
         self.membership.members().iter().map(|(voter, info)| (*voter, address(info))).collect()
     }
 
-    /// Lets time pass.
+    /// Advances the clock: sends periodic frames, ticks the replica and proposes expirations.
     pub fn tick(&mut self, now: Duration) {
         let turns = ((now.saturating_sub(self.last_tick)).as_millis() / TICK.as_millis()) as u32;
         if turns == 0 {
@@ -337,8 +349,9 @@
         self.apply_committed(now);
     }
 
-    /// Asks those again that haven't accepted_by it, and tells the others which marks it heard. Guards against a
-    /// disk that went back to an older copy when the one voter that had heard its last writes is gone.
+    /// Sends hellos to voters that haven't accepted this one, and known write counts to the others. The
+    /// latter exposes a disk that was reset to an older copy even if the one voter that had seen its last
+    /// writes is gone.
     fn greet_and_gossip(&mut self) {
         let counts: Vec<_> =
             self.peers.iter().map(|(v, known)| (*v, known.write_count, known.incarnation)).collect();
@@ -351,23 +364,23 @@
         }
     }
 
-    /// The membership is another: whoever needs to know is told.
+    /// Updates peers, connections and clients after a membership change.
     fn membership_changed(&mut self) {
         self.membership = self.replica.membership().clone();
         for (voter, info) in self.membership.members() {
             let Some(info) = info.as_ref().filter(|_| *voter != self.config.voter) else { continue };
             let known = PeerState { disk_id: info.disk_id, ..PeerState::default() };
-            // Under its number no other disk is ever accepted_by, by a voter that never heard of it either.
+            // No voter accepts another disk under this number, even if it never met the voter.
             if self.peers.get(voter).is_none_or(|k| k.disk_id != info.disk_id) {
                 self.peers.insert(*voter, known);
                 self.pending_records.push(Record::Peer(*voter, known));
             }
         }
-        // Voters call again, and are looked at with what is known now.
+        // Closed connections are opened again and checked against the new membership.
         let unlisted_voters = std::mem::take(&mut self.unlisted_voters);
         let stays = |v: VoterId| !self.membership.was_removed(v) && !unlisted_voters.contains_key(&v);
         self.inbound.retain(|_, g| g.voter.is_none_or(stays));
-        // A snapshot that doesn't name a voter is of no use to it.
+        // A new voter can't start from a snapshot that doesn't include it.
         self.replica.take_snapshot(&self.table);
         self.update_may_vote();
         for link in self.inbound.iter().filter(|(_, g)| g.session.is_some()).map(|(l, _)| *l) {
@@ -376,7 +389,7 @@
         }
     }
 
-    /// Takes in what was agreed on.
+    /// Applies everything that was committed since the last call.
     fn apply_committed(&mut self, now: Duration) {
         for step in self.replica.take_committed() {
             let entry = match step {
@@ -410,7 +423,7 @@
         }
     }
 
-    /// Answers whoever an entry came from, if it is a guest of this voter.
+    /// Responds to the client that sent an entry, if it is connected to this voter.
     fn answer(&mut self, entry: &Entry, reply: Option<Reply>) {
         let (link, answer) = match (entry, reply) {
             (Entry::OpenSession { nonce, .. }, Some(reply)) => {
@@ -453,7 +466,7 @@
         }
     }
 
-    /// Tells guests of this voter what others brought about.
+    /// Notifies connected clients of grants and lease changes caused by others.
     fn notify_clients(&mut self, events: &[Event]) {
         for event in events {
             if let Event::Granted { session, unsolicited: true, .. } = event {
@@ -473,7 +486,7 @@
         }
     }
 
-    /// Ends a turn: what is to be written, and what is to be sent when it is lasting.
+    /// Ends a turn. Returns the record to write and the frames to send once it is durable.
     pub fn finish_turn(&mut self) -> TurnOutput {
         let writes = self.replica.take_writes();
         let mut records = std::mem::take(&mut self.pending_records);
@@ -487,7 +500,7 @@
             records.extend(writes.into_iter().map(Record::Write));
         }
         let write_count = self.write_count;
-        // A link's hello goes before anything else on it.
+        // The hello must be the first frame on a connection.
         let mut frames = std::mem::take(&mut self.frames);
         let messages = self.replica.take_messages();
         if self.is_voting() {
@@ -505,9 +518,9 @@
         TurnOutput { record: (!records.is_empty()).then(|| encode(&records)), frames }
     }
 
-    /// All that the journal has to hold, as one record: for a rewrite once it has grown.
+    /// Returns the complete durable state as one record, for a rewrite of the journal.
     pub fn to_record(&self) -> Vec<u8> {
-        // What follows holds all that the founders' table became.
+        // The following records include everything that derived from the founders' initial state.
         let header = Record::Header { voter: self.config.voter, founders: None, disk_id: self.disk_id };
         let mut records = vec![header, Record::WriteCount(self.write_count)];
         records.extend(self.admitted.then_some(Record::Admitted));
--- a/crates/lease/consensus/src/voter/links.rs
+++ b/crates/lease/consensus/src/voter/links.rs
@@ -1,9 +1,9 @@
-//! Links of a voter: who greets whom, and what comes over them.
+//! Connections of a voter: the handshake between voters and the handling of received frames.
 
 use super::*;
 
 impl Voter {
-    /// A link that this voter called is up.
+    /// Handles a new connection that this voter opened.
     pub fn outbound_up(&mut self, voter: VoterId) {
         self.outbound.insert(voter);
         self.greet(voter);
@@ -19,13 +19,13 @@
         self.frames.push((Recipient::Voter(voter), hello));
     }
 
-    /// A link that this voter called is down.
+    /// Handles the loss of a connection that this voter opened.
     pub fn outbound_down(&mut self, voter: VoterId) {
         self.outbound.remove(&voter);
         self.replica.report_unreachable(voter);
     }
 
-    /// A link that somebody else called is down.
+    /// Handles the loss of a connection that the peer opened.
     pub fn inbound_closed(&mut self, link: LinkId) {
         if let Some(session) = self.inbound.remove(&link).and_then(|g| g.session) {
             if self.sessions.get(&session) == Some(&link) {
@@ -35,7 +35,7 @@
         self.pending_reads.retain(|_, (l, _)| *l != link);
     }
 
-    /// A voter that this one called answers.
+    /// Handles a frame from a voter on the connection that this voter opened.
     pub fn receive_from_voter(&mut self, voter: VoterId, frame: Frame) {
         match frame {
             Frame::HelloAccepted => {
@@ -47,7 +47,8 @@
         }
     }
 
-    /// A frame came on a link that somebody called. `false` where the link is to be closed.
+    /// Handles a frame on a connection that the peer opened. Returns `false` if the connection has to be
+    /// closed.
     pub fn receive(&mut self, link: LinkId, frame: Frame, now: Duration) -> bool {
         match frame {
             Frame::Hello { voter, disk_id, write_count, incarnation, joining, address } => {
@@ -74,7 +75,8 @@
                 let (Some(voter), incarnation) = (caller_link.voter, caller_link.incarnation) else {
                     return false;
                 };
-                // Guards against two processes on copies of one disk, each with a life of its own.
+                // Two processes on copies of one disk have different incarnations, and only one of them may
+                // vote.
                 let other = self.peers.get(&voter).is_some_and(|known| known.incarnation != incarnation);
                 if (other || caller_link.write_count > write_count) && !is_active(Mutant::LostDiskVotes) {
                     return false;
@@ -82,7 +84,7 @@
                 caller_link.write_count = write_count;
                 self.update_peer(voter, write_count, incarnation);
                 if self.is_voting() {
-                    // One that is out of date is no reason to part.
+                    // An outdated message is no reason to close the connection.
                     self.replica.receive(voter, &message);
                     self.apply_committed(now);
                 }
@@ -100,7 +102,7 @@
         }
     }
 
-    /// A voter's disk has taken so many writes in this life of its process.
+    /// Records the write count that a voter reached in an incarnation of its process.
     pub(super) fn update_peer(&mut self, voter: VoterId, write_count: u64, incarnation: u64) {
         if let Some(known) = self.peers.get_mut(&voter).filter(|k| k.write_count < write_count) {
             (known.write_count, known.incarnation) = (write_count, incarnation);
@@ -117,22 +119,24 @@
         address: Option<String>,
     ) {
         let not_eligible = if voter == self.config.voter {
-            Some("it is another process under this voter's own number".to_owned())
+            Some("another process uses this voter's own number".to_owned())
         } else if self.membership.was_removed(voter) {
             Some(format!("voter {voter} was removed; its process can come back under a new number"))
         } else if joining && self.membership.members().get(&voter).is_some_and(Option::is_none) {
-            // Guards against a disk that votes before all know it: a founder's is not in the membership.
+            // The membership doesn't name the disk of a founder, so it could vote before all others know its
+            // disk.
             Some(format!("voter {voter} began the fleet; it can't be added"))
         } else {
             None
         };
-        // Guards against a voter that forgot what it promised: it would promise it again to another.
+        // A voter that lost its votes and accepted entries could contradict them.
         let stale_disk = match self.peers.get(&voter) {
             _ if is_active(Mutant::LostDiskVotes) => None,
             Some(known) if known.disk_id != caller.disk_id => {
                 Some(format!("voter {voter} had another disk; remove it and add it anew"))
             }
-            // In one life a link that was slow may bring less than others have told meanwhile.
+            // Within one incarnation, a slow connection may report a lower count than other voters have
+            // passed on.
             Some(known) if known.write_count > caller.write_count && known.incarnation != caller.incarnation => Some(format!(
                 "voter {voter}'s disk is an older copy (write {}, {} were heard of); remove it and add it anew",
                 caller.write_count, known.write_count
@@ -143,7 +147,7 @@
             self.frames.push((Recipient::Link(link), Frame::HelloRejected { reason }));
             return;
         }
-        // Guards against frames of an older connection that were held up: only the newest one speaks.
+        // Only the newest connection counts, so that delayed frames of an older one have no effect.
         self.inbound.retain(|_, g| g.voter != Some(voter));
         let (incarnation, write_count) = (caller.incarnation, caller.write_count);
         self.inbound.insert(
@@ -158,8 +162,8 @@
                 self.pending_records.push(Record::Peer(voter, known));
             }
         } else if let Some(address) = address.filter(|_| self.unlisted_voters.len() < MAX_VOTERS) {
-            // Guards against a voter that lags behind the membership and turns away the one that could tell it.
-            // Whoever counts this one's votes knows its disk.
+            // This voter may lag behind the membership and must not reject the peer that can update it.
+            // Voters that count this one's votes know its disk.
             self.unlisted_voters.insert(voter, address);
         }
         self.frames.push((Recipient::Link(link), Frame::HelloAccepted));
@@ -206,7 +210,7 @@
         }
     }
 
-    /// A change of the membership is answered when it comes by in the agreed order, like a read.
+    /// Proposes a membership change. The response is sent when the change is applied, as for a read.
     pub(super) fn propose_membership_change(
         &mut self,
         link: LinkId,
--- a/crates/lease/consensus/src/wire.rs
+++ b/crates/lease/consensus/src/wire.rs
@@ -1,236 +1,240 @@
-//! What goes between the processes of a fleet: frames of a length, a checksum, a version, the fleet's
-//! identity and a message. A frame that is foreign, of another version, garbled or too long is told apart by
-//! name, so that it can be counted; none of them changes anything.
+//! The protocol between the processes of a fleet. A frame consists of a length, a checksum, the protocol
+//! version, the fleet identifier and a message. Frames that are too long, corrupt, of another version or of
+//! another fleet are rejected and counted by cause, without any other effect.
 
 use crate::lease_table::{Event, Holder, Op, Refusal, Reply};
 use crate::membership::{MembershipChange, MembershipError};
 use crate::{SessionId, Token, VoterId};
 use serde::{Deserialize, Serialize};
 
-/// The version of the frames.
+/// The protocol version.
 pub const PROTOCOL_VERSION: u8 = 2;
-/// No frame is longer.
+/// Maximum length of a frame, in bytes.
 pub const MAX_FRAME_BYTES: usize = 16 << 20;
-/// Length, checksum, version, fleet.
+/// Length of the frame header: length, checksum, version and fleet identifier.
 pub const FRAME_HEADER_BYTES: usize = 4 + 4 + 1 + 8;
 
-/// What a process of the fleet says to another.
+/// A message between two processes of the fleet.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Frame {
-    /// A voter that called says who it is. Always the first.
+    /// Introduces the connecting voter. Always the first frame on a connection between voters.
     Hello {
-        /// Its number.
+        /// Number of the connecting voter.
         voter: VoterId,
-        /// Its disk's identity.
+        /// Identity of its disk.
         disk_id: u64,
-        /// How many writes its disk has taken.
+        /// Number of turns that its disk had recorded when the frame was sent.
         write_count: u64,
-        /// Drawn at its start.
+        /// Random number chosen when its process started.
         incarnation: u64,
-        /// It knows of no voters yet.
+        /// Whether it does not know any voters yet.
         joining: bool,
-        /// Where it listens, if it was added.
+        /// Address on which it listens, if it was added to a running fleet.
         address: Option<String>,
     },
-    /// The voter that was called knows the caller, or takes it in.
+    /// Accepts the connecting voter.
     HelloAccepted,
-    /// The voter that was called doesn't let the caller vote, and why.
+    /// Refuses to let the connecting voter vote.
     HelloRejected {
-        /// The reason, for people.
+        /// Human-readable reason.
         reason: String,
     },
-    /// Of other voters: how many writes their disks had taken, in which life.
+    /// What the sender knows of other voters: number, disk write count, and the incarnation in which it was
+    /// reached.
     WriteCounts(Vec<(VoterId, u64, u64)>),
-    /// A voter's message of the consensus, sent when this many writes were lasting on its disk.
+    /// A consensus message, sent once the sender's disk had recorded this many writes.
     Consensus {
-        /// Writes that the sender's disk had taken.
+        /// Write count of the sender's disk.
         write_count: u64,
-        /// The message, in the library's own form.
+        /// The message in the encoding of the `raft` library.
         message: Vec<u8>,
     },
-    /// A client says something.
+    /// A request from a client to a voter.
     Request(ClientRequest),
-    /// A voter answers a client.
+    /// A response from a voter to a client.
     Response(ClientResponse),
 }
 
-/// What a client says.
+/// A client request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ClientRequest {
-    /// It wants a session.
+    /// Opens a session.
     OpenSession {
-        /// The process's name.
+        /// Name of the process.
         name: String,
-        /// Drawn at its start.
+        /// Random number chosen at process start.
         nonce: u64,
-        /// Time to live of the session.
+        /// Time to live of the session, in milliseconds.
         ttl_ms: u64,
     },
-    /// It is alive.
+    /// Renews a session.
     RenewSession {
-        /// Its session.
+        /// The session to renew.
         session: SessionId,
-        /// The renewal's number.
+        /// Number of the renewal.
         count: u64,
     },
-    /// It wants something.
+    /// Requests an operation on a lease.
     Operation {
-        /// Its session.
+        /// The requesting session.
         session: SessionId,
-        /// The wish's number.
+        /// Number of the operation.
         seq: u64,
-        /// The wish.
+        /// The operation.
         op: Op,
     },
-    /// It goes.
+    /// Closes a session.
     CloseSession {
-        /// Its session.
+        /// The session to close.
         session: SessionId,
     },
-    /// It wants to know all leases and sessions.
+    /// Lists all leases and sessions.
     List {
-        /// Its number for the question.
+        /// Echoed in the response.
         request_id: u64,
     },
-    /// It wants to know how this voter is.
+    /// Requests the status of this voter.
     Status {
-        /// Its number for the question.
+        /// Echoed in the response.
         request_id: u64,
     },
-    /// It wants to hear of every change of a lease from now on.
+    /// Subscribes to all further lease changes.
     Watch,
-    /// It wants another voter, or one less.
+    /// Requests a change of the set of voters.
     ChangeMembership {
-        /// Its number for the wish.
+        /// Echoed in the response.
         request_id: u64,
-        /// The wish.
+        /// The requested change.
         change: MembershipChange,
     },
 }
 
-/// What a voter says to a client.
+/// A voter's response to a client.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ClientResponse {
-    /// To `Open`.
+    /// Response to [`ClientRequest::OpenSession`].
     SessionOpened {
-        /// As asked.
+        /// Nonce of the request.
         nonce: u64,
-        /// The answer.
+        /// Result of the request.
         reply: Reply,
     },
-    /// To `Renew`.
+    /// Response to [`ClientRequest::RenewSession`].
     SessionRenewed {
-        /// As asked.
+        /// Session of the request.
         session: SessionId,
-        /// As asked.
+        /// Renewal number of the request.
         count: u64,
-        /// The answer.
+        /// Result of the renewal.
         reply: Reply,
     },
-    /// To `Ask`.
+    /// Response to [`ClientRequest::Operation`].
     Operation {
-        /// As asked.
+        /// Session of the request.
         session: SessionId,
-        /// As asked.
+        /// Operation number of the request.
         seq: u64,
-        /// The answer.
+        /// Result of the operation.
         reply: Reply,
     },
-    /// A lease came to a session that stood in line, or was handed to it.
+    /// Tells a session that it was granted a lease it waited for or that was transferred to it, so that it
+    /// renews at once.
     RenewHint {
-        /// Whose.
+        /// The session that was granted a lease.
         session: SessionId,
     },
-    /// To `List`.
+    /// Response to [`ClientRequest::List`].
     List {
-        /// As asked.
+        /// Identifier of the request.
         request_id: u64,
-        /// Of each lease: name, state, holder's name, token, how many wait, last effect's token.
+        /// All leases that the table keeps.
         leases: Vec<LeaseInfo>,
-        /// Of each session: number, name, leases held.
+        /// Number, name and count of held leases of each session.
         sessions: Vec<(SessionId, String, usize)>,
     },
-    /// To `Status`.
+    /// Response to [`ClientRequest::Status`].
     Status {
-        /// As asked.
+        /// Identifier of the request.
         request_id: u64,
-        /// The voter's figures.
+        /// Status of the responding voter.
         status: VoterStatus,
     },
-    /// After `Watch`: a lease changed.
+    /// Sent to subscribers of [`ClientRequest::Watch`] after a lease changed.
     LeaseChanged {
-        /// How it is now; `free` where the voters have nothing more to remember of it.
+        /// The new state; `free` if the table no longer keeps the lease.
         lease: LeaseInfo,
     },
-    /// The voters, with the address of each that was added: at the start of a session, and after each change.
+    /// The current voters, with the address of each one added to the running fleet. Sent when a session opens
+    /// and after each membership change.
     Voters(Vec<(VoterId, Option<String>)>),
-    /// To `Change`.
+    /// Response to [`ClientRequest::ChangeMembership`].
     MembershipChanged {
-        /// As asked.
+        /// Identifier of the request.
         request_id: u64,
-        /// Refused, and why.
+        /// Whether the change was made, or why it was refused.
         outcome: Result<(), MembershipError>,
     },
-    /// The voter cannot serve now; another may.
+    /// This voter cannot serve the request now; another one may.
     Unavailable,
 }
 
-/// A lease as people see it.
+/// Human-readable state of a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseInfo {
-    /// The lease.
+    /// Name of the lease.
     pub lease: String,
     /// `held`, `leaving`, `locked` or `free`.
     pub state: String,
-    /// The holder's name.
+    /// Name of the holding session, if there is one.
     pub holder: Option<String>,
-    /// The grant's number.
+    /// Token of the current grant; 0 if the lease is free.
     pub token: Token,
-    /// The grant's time to live.
+    /// Time to live of the grant, in milliseconds; 0 if the lease is free or locked.
     pub ttl_ms: u64,
-    /// How many stand in line.
+    /// Number of sessions in the queue.
     pub waiting: usize,
-    /// Token of the last effect noted.
+    /// Token of the last recorded effect; 0 if there is none.
     pub last_effect_token: Token,
 }
 
-/// A voter as people see it.
+/// Human-readable state of a voter.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct VoterStatus {
-    /// Its number.
+    /// Number of the voter.
     pub voter: VoterId,
-    /// `voting`, `not admitted` with a reason, or `no disk` with a reason.
+    /// `voting`, `removed`, a `waiting` state, `not admitted` with a reason, or `no disk` with a reason.
     pub state: String,
-    /// Whom it takes for the leader.
+    /// The leader that the voter follows, if it knows one.
     pub leader: Option<VoterId>,
-    /// Its disk's identity.
+    /// Identity of the voter's disk; 0 until it is persisted.
     pub disk_id: u64,
-    /// The voters that it knows, with the address of each that was added.
+    /// The voters that it knows, with the address of each one added to the running fleet.
     pub voters: Vec<(VoterId, Option<String>)>,
-    /// Voters that it has a link to now.
+    /// Voters to which it has an outgoing connection.
     pub connected: Vec<VoterId>,
-    /// Entries agreed on that it took in.
+    /// Index of the last applied log entry.
     pub applied: u64,
-    /// Sessions.
+    /// Number of open sessions.
     pub sessions: usize,
-    /// Leases.
+    /// Number of leases in the table.
     pub leases: usize,
-    /// Clients connected to it.
+    /// Number of connected clients.
     pub clients: usize,
-    /// Links that it closed for what came on them, by what was wrong: `too long`, `garbled`, `version`, `foreign`.
+    /// Number of connections closed because of an invalid frame, by cause: `too long`, `garbled`, `version`,
+    /// `foreign`.
     pub rejected_links: Vec<(String, u64)>,
 }
 
-/// What is wrong with bytes that came in.
+/// Why received bytes are not a valid frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FrameError {
-    /// The length is over [`MAX_FRAME_BYTES`].
+    /// The length exceeds [`MAX_FRAME_BYTES`].
     TooLong,
-    /// The checksum doesn't fit, or the message can't be read.
+    /// The checksum does not match, or the message cannot be decoded.
     Corrupt,
-    /// Another version.
+    /// The frame has another protocol version.
     WrongVersion,
-    /// Another fleet.
+    /// The frame belongs to another fleet.
     WrongFleet,
 }
 
@@ -245,17 +249,17 @@
     }
 }
 
-/// The number that a fleet's name stands for in frames.
+/// Derives the fleet identifier in frames from the fleet's name.
 pub fn fleet_id(name: &str) -> u64 {
     u64::from(crc32fast::hash(name.as_bytes())) << 32 | name.len() as u64
 }
 
-/// A frame as bytes.
+/// Encodes a frame.
 pub fn encode(fleet: u64, frame: &Frame) -> Vec<u8> {
     let mut bytes = vec![0; FRAME_HEADER_BYTES];
     bytes[8] = PROTOCOL_VERSION;
     bytes[9..FRAME_HEADER_BYTES].copy_from_slice(&fleet.to_le_bytes());
-    let mut bytes = postcard::to_extend(frame, bytes).expect("a frame is plain data");
+    let mut bytes = postcard::to_extend(frame, bytes).expect("encoding a frame cannot fail");
     let length = (bytes.len() - 8) as u32;
     bytes[..4].copy_from_slice(&length.to_le_bytes());
     let sum = crc32fast::hash(&bytes[8..]);
@@ -263,11 +267,13 @@
     bytes
 }
 
-/// The first frame of these bytes and how many bytes it took; `None` if it is not whole yet.
+/// Decodes the first frame in `bytes`. Returns the frame and its length in bytes, or `None` if it is
+/// incomplete.
 ///
 /// # Errors
 ///
-/// Says what is wrong; the connection is of no further use, since nobody knows where the next frame begins.
+/// Returns why the frame is invalid. The connection has to be closed, since the start of the next frame is
+/// unknown.
 pub fn decode(fleet: u64, bytes: &[u8]) -> Result<Option<(Frame, usize)>, FrameError> {
     let Some(head) = bytes.get(..8) else { return Ok(None) };
     let number = |at: usize| u32::from_le_bytes(head[at..at + 4].try_into().expect("four bytes"));
@@ -290,7 +296,7 @@
 }
 
 impl LeaseInfo {
-    /// A lease as people see it.
+    /// Describes the lease of this name in the table.
     pub fn of(table: &crate::lease_table::LeaseTable, name: &str) -> LeaseInfo {
         let lease = table.leases().get(name).cloned().unwrap_or_default();
         let (state, holder, token, ttl_ms) = match lease.holder {
@@ -310,7 +316,7 @@
         }
     }
 
-    /// The lease that an event is about.
+    /// Returns the name of the lease that an event changed, if any.
     pub fn changed(event: &Event) -> Option<&str> {
         match event {
             Event::Granted { grant, .. } => Some(&grant.lease),
@@ -320,19 +326,22 @@
     }
 }
 
-/// A refusal in words.
 impl std::fmt::Display for Refusal {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Refusal::NoSession => write!(f, "the session has ended"),
             Refusal::NameTaken => write!(f, "another process has a session under this name"),
             Refusal::Held { by: Some(name) } => write!(f, "held by {name}"),
-            Refusal::Held { by: None } => write!(f, "locked: its holder vanished a moment ago"),
+            Refusal::Held { by: None } => {
+                write!(f, "locked: the lock delay after its last holder has not ended")
+            }
             Refusal::NotHeld => write!(f, "not held"),
-            Refusal::UnknownSession => write!(f, "no session of this name"),
+            Refusal::UnknownSession => write!(f, "no session has this name"),
             Refusal::Invalid { problem } => write!(f, "{problem}"),
-            Refusal::LimitReached => write!(f, "the fleet holds as many as it can"),
-            Refusal::Stale => write!(f, "overtaken by a later one"),
+            Refusal::LimitReached => {
+                write!(f, "the fleet has reached its limit of sessions, leases or waiters")
+            }
+            Refusal::Stale => write!(f, "a later request of this session has been applied already"),
         }
     }
 }
--- a/crates/lease/journal/src/disk.rs
+++ b/crates/lease/journal/src/disk.rs
@@ -1,73 +1,74 @@
-//! File work as a trait, and the real one.
+//! File operations behind a trait, and their implementation on the file system.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
 
-/// The files of one folder. Nothing is lasting before `sync` (bytes) or `sync_directory` (names) returned well.
+/// The files of one directory. Content is durable once `sync` has succeeded, names once `sync_directory` has.
 pub trait Disk {
-    /// The names of all files.
+    /// Returns the names of all files.
     ///
     /// # Errors
     ///
-    /// As the system says.
+    /// Returns the error of the system.
     fn list(&self) -> io::Result<Vec<String>>;
-    /// All bytes of a file.
+    /// Returns the content of a file.
     ///
     /// # Errors
     ///
-    /// As the system says.
+    /// Returns the error of the system.
     fn read(&self, name: &str) -> io::Result<Vec<u8>>;
-    /// Puts bytes at the end of a file, which is made if it isn't there. After an error part of them may be
-    /// in the file.
+    /// Appends bytes to a file, which is created if it doesn't exist. After an error the file may contain
+    /// part of them.
     ///
     /// # Errors
     ///
-    /// As the system says; a full disk is `StorageFull`.
+    /// Returns the error of the system; `StorageFull` if the disk is full.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
-    /// Brings the bytes of a file to the medium.
+    /// Makes the content of a file durable.
     ///
     /// # Errors
     ///
-    /// As the system says. After an error nobody knows what is on the medium: the file must not be used on.
+    /// Returns the error of the system. After an error it is unknown which bytes are durable, and the file
+    /// must not be used any further.
     fn sync(&mut self, name: &str) -> io::Result<()>;
-    /// Gives a file another name, in place of a file that had it.
+    /// Renames a file and replaces any file of the new name.
     ///
     /// # Errors
     ///
-    /// As the system says.
+    /// Returns the error of the system.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
-    /// Takes a file away.
+    /// Removes a file.
     ///
     /// # Errors
     ///
-    /// As the system says.
+    /// Returns the error of the system.
     fn remove(&mut self, name: &str) -> io::Result<()>;
-    /// Brings the names of the folder to the medium.
+    /// Makes the names of the directory durable.
     ///
     /// # Errors
     ///
-    /// As the system says.
+    /// Returns the error of the system.
     fn sync_directory(&mut self) -> io::Result<()>;
 }
 
-/// A folder of the system's file system, held by a lock so that no second process opens it.
+/// A directory of the file system, locked against use by a second process.
 pub struct DirectoryDisk {
     folder: PathBuf,
-    /// Files open for appending, by name: two at the most, the journal and the one that takes its place.
+    /// Files open for appending, by name: at most the journal and its replacement.
     open: Vec<(String, File)>,
     _lock: File,
 }
 
-/// The file whose lock keeps a second process out.
+/// Name of the lock file.
 const LOCK: &str = "lock";
 
 impl DirectoryDisk {
-    /// Opens a folder, which is made if it isn't there.
+    /// Opens and locks a directory, which is created if it doesn't exist.
     ///
     /// # Errors
     ///
-    /// Fails where the folder cannot be made or another process holds it.
+    /// Fails if the directory cannot be created or opened, or another process has locked it.
     pub fn open(folder: &Path) -> io::Result<DirectoryDisk> {
         let named = |e: io::Error| io::Error::new(e.kind(), format!("{}: {e}", folder.display()));
         fs::create_dir_all(folder).map_err(named)?;
@@ -78,7 +79,7 @@
             .open(folder.join(LOCK))
             .map_err(named)?;
         rustix::fs::flock(&lock, rustix::fs::FlockOperation::NonBlockingLockExclusive)
-            .map_err(|_| named(io::Error::new(io::ErrorKind::WouldBlock, "held by another process")))?;
+            .map_err(|_| named(io::Error::new(io::ErrorKind::WouldBlock, "locked by another process")))?;
         Ok(DirectoryDisk { folder: folder.to_owned(), open: Vec::new(), _lock: lock })
     }
 
@@ -88,7 +89,7 @@
         }
         let file = OpenOptions::new().create(true).append(true).open(self.folder.join(name))?;
         self.open.push((name.to_owned(), file));
-        Ok(&mut self.open.last_mut().expect("just pushed").1)
+        Ok(&mut self.open.last_mut().expect("the file was just added").1)
     }
 
     fn close(&mut self, name: &str) {
--- a/crates/lease/journal/src/journal.rs
+++ b/crates/lease/journal/src/journal.rs
@@ -1,39 +1,39 @@
-//! A journal: records that are lasting once `sync` returned, read back in order at the next start.
+//! A journal of records that are durable once they are appended, and read back in order at the next start.
 //!
-//! A file `NAME.N` holds a head and then records; N grows with each rewrite. Each record is a length, a
-//! checksum over the length and the bytes, and the bytes. Each start writes
-//! the whole records of the last file to the next one. A torn last record is left out; a
-//! broken record with whole ones behind it is damage, and the journal doesn't open.
+//! A file `NAME.N` consists of a header and records; N grows with each rewrite. A record consists of its
+//! length, a checksum over the length and the content, and the content. Each start rewrites the intact
+//! records of the last file to a new one. A torn last record is dropped. A corrupt record with intact ones
+//! after it is damage, and the journal fails to open.
 
 use crate::Disk;
 use std::fmt;
 use std::io;
 
-/// The first bytes of each file: what it is, and the version of the format.
+/// The first bytes of each file: format identifier and version.
 const FILE_HEADER: &[u8; 8] = b"prjrnl\x00\x01";
-/// Length and checksum before each record.
+/// Length of the header of a record: length and checksum.
 const RECORD_HEADER_BYTES: usize = 8;
-/// No record is longer.
+/// Maximum length of a record, in bytes.
 const MAX_RECORD_BYTES: usize = 64 << 20;
 
 /// Why a journal cannot be used.
 #[derive(Debug)]
 pub enum JournalError {
-    /// The system said no.
+    /// An operation on the disk failed.
     Io(io::Error),
-    /// The file is no journal of this version.
+    /// The file is not a journal, or one of another version.
     UnknownFormat {
-        /// The file.
+        /// Name of the file.
         file: String,
     },
-    /// A record in the middle is broken.
+    /// A record before the end of the file is corrupt.
     Damaged {
-        /// The file.
+        /// Name of the file.
         file: String,
-        /// Where the broken record begins.
+        /// Offset of the corrupt record, in bytes.
         offset: usize,
     },
-    /// An earlier error left the medium in a state that nobody knows.
+    /// After an earlier error it is unknown what is durable.
     Poisoned,
 }
 
@@ -41,9 +41,13 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             JournalError::Io(e) => write!(f, "{e}"),
-            JournalError::UnknownFormat { file } => write!(f, "{file} is no journal of this version"),
-            JournalError::Damaged { file, offset } => write!(f, "{file} is damaged at byte {offset}"),
-            JournalError::Poisoned => write!(f, "not used on after an earlier error; open it anew"),
+            JournalError::UnknownFormat { file } => write!(f, "{file} is not a journal of this version"),
+            JournalError::Damaged { file, offset } => {
+                write!(f, "{file} has a corrupt record at byte {offset}")
+            }
+            JournalError::Poisoned => {
+                write!(f, "the journal is unusable after an earlier error and has to be opened again")
+            }
         }
     }
 }
@@ -56,7 +60,7 @@
     }
 }
 
-/// Records on a disk.
+/// An append-only sequence of records on a disk.
 pub struct Journal<D> {
     disk: D,
     name: String,
@@ -66,11 +70,11 @@
 }
 
 impl<D: Disk> Journal<D> {
-    /// Opens the journal `name` and gives its records; one that isn't there is begun.
+    /// Opens the journal `name` and returns its records. It is created if it doesn't exist.
     ///
     /// # Errors
     ///
-    /// Fails where the disk does, or where what is there is damaged: then nothing is changed.
+    /// Fails if the disk fails or the content is damaged. Damaged content is left unchanged.
     pub fn open(mut disk: D, name: &str) -> Result<(Journal<D>, Vec<Vec<u8>>), JournalError> {
         let prefix = format!("{name}.");
         let mut numbers: Vec<u64> =
@@ -88,23 +92,23 @@
             disk.remove(&format!("{name}.{old}"))?;
         }
         let mut journal = Journal { disk, name: name.to_owned(), number, length: 0, poisoned: false };
-        // Guards against bytes that can be read but never reached the medium, as after a failed `sync`: a new
-        // `sync` of the same file would answer well for them. Written anew, they are what they look like.
+        // After a failed `sync` the file may contain bytes that can be read but aren't durable, and another
+        // `sync` of the same file could succeed without writing them. A new file makes them durable.
         journal.rewrite(&records)?;
         Ok((journal, records))
     }
 
-    /// Bytes of the file.
+    /// Returns the length of the current file, in bytes.
     pub fn length(&self) -> u64 {
         self.length
     }
 
-    /// Writes records and makes them lasting, all as one write.
+    /// Appends records with a single write and makes them durable.
     ///
     /// # Errors
     ///
-    /// After an error the journal is spoilt: what of the records is there is known only when it is opened
-    /// anew. Guards against a second `sync` that answers well for bytes that the first one lost.
+    /// After an error the journal is poisoned: which of the records are durable is known only after it is
+    /// opened again. This avoids a second `sync` that succeeds without writing what the first one lost.
     pub fn append(&mut self, records: &[Vec<u8>]) -> Result<(), JournalError> {
         if self.poisoned {
             return Err(JournalError::Poisoned);
@@ -119,11 +123,11 @@
         Ok(())
     }
 
-    /// Puts these records in the place of all that the journal holds.
+    /// Replaces the content of the journal with these records.
     ///
     /// # Errors
     ///
-    /// After an error the journal is spoilt, as with `append`; the old file is still there.
+    /// After an error the journal is poisoned, as with `append`; the old file still exists.
     pub fn rewrite(&mut self, records: &[Vec<u8>]) -> Result<(), JournalError> {
         if self.poisoned {
             return Err(JournalError::Poisoned);
@@ -161,7 +165,7 @@
     into.extend_from_slice(record);
 }
 
-/// The record at an offset and where it ends; `None` if it isn't whole.
+/// Returns the record at an offset and the offset of its end, or `None` if it is incomplete or corrupt.
 fn record_at(bytes: &[u8], at: usize) -> Option<(&[u8], usize)> {
     let head = bytes.get(at..at + RECORD_HEADER_BYTES)?;
     let (length, sum) = (head[..4].try_into().ok()?, u32::from_le_bytes(head[4..].try_into().ok()?));
@@ -171,7 +175,7 @@
     (checksum(length, record) == sum).then_some((record, end))
 }
 
-/// The records of a file up to the last whole one.
+/// Returns the intact records of a file, up to its torn end if there is one.
 fn parse(file: &str, bytes: &[u8]) -> Result<Vec<Vec<u8>>, JournalError> {
     if bytes.get(..FILE_HEADER.len()) != Some(FILE_HEADER) {
         return Err(JournalError::UnknownFormat { file: file.to_owned() });
@@ -181,8 +185,8 @@
         records.push(record.to_vec());
         at = end;
     }
-    // Guards against damage taken for a torn tail: what was acknowledged after it would be lost in silence.
-    // An empty record would be eight zero bytes with the checksum of nothing, which a hole can't be.
+    // Damage must not pass for a torn end, since acknowledged records after it would be lost unnoticed. Empty
+    // records are ignored here. A hole of zero bytes can't pass for one, since the checksum covers the length.
     let intact_record_at = |from: usize| record_at(bytes, from).is_some_and(|(r, _)| !r.is_empty());
     if (at + 1..bytes.len().saturating_sub(RECORD_HEADER_BYTES)).any(intact_record_at) {
         return Err(JournalError::Damaged { file: file.to_owned(), offset: at });
--- a/crates/lease/journal/src/lib.rs
+++ b/crates/lease/journal/src/lib.rs
@@ -1,5 +1,5 @@
-//! What must live through a crash: file work behind the trait [`Disk`], and a [`Journal`] of checked
-//! records on it. The format of the journal's files is written down in `docs/formats/journal.md`.
+//! Crash-safe storage: file operations behind the trait [`Disk`], and a [`Journal`] of checksummed records on
+//! top. The file format is specified in `docs/formats/journal.md`.
 
 mod disk;
 mod journal;
--- a/crates/lease/journal/src/memory.rs
+++ b/crates/lease/journal/src/memory.rs
@@ -1,4 +1,4 @@
-//! A disk in memory that keeps apart what was written and what is durable, and fails on order.
+//! An in-memory disk for tests that distinguishes written from durable data and injects faults.
 
 use crate::Disk;
 use std::cell::RefCell;
@@ -6,15 +6,15 @@
 use std::io;
 use std::rc::Rc;
 
-/// A fault that the disk has until it is told otherwise.
+/// A fault that persists until another one is set.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Fault {
-    /// None.
+    /// No fault.
     #[default]
     None,
-    /// No room: every second append leaves half of its bytes behind.
+    /// The disk is full: every append fails, and every second one leaves half of its bytes in the file.
     Full,
-    /// `sync` fails, and what was not durable yet never will be.
+    /// `sync` fails, and data that is not durable yet never will be.
     SyncFails,
 }
 
@@ -22,24 +22,25 @@
 struct State {
     files: BTreeMap<String, Vec<u8>>,
     durable: BTreeMap<String, Vec<u8>>,
-    /// Bytes of `files` that `sync` brought to the medium, by name: they go where the name goes.
+    /// Number of bytes of each file in `files` that `sync` made durable. The entry follows the file on a
+    /// rename.
     synced: BTreeMap<String, usize>,
     fault: Fault,
     failed_appends: u64,
 }
 
-/// A disk in memory. Clones are the same disk, so that a test holds what the code under test uses.
+/// An in-memory disk. Clones share the same data, so that a test can access what the code under test uses.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryDisk(Rc<RefCell<State>>);
 
 impl MemoryDisk {
-    /// From now on the disk has this fault.
+    /// Sets the fault of the disk.
     pub fn set_fault(&self, fault: Fault) {
         self.0.borrow_mut().fault = fault;
     }
 
-    /// The power goes: what was not durable is lost, but for the first `keep` bytes of what each file had
-    /// beyond it (a torn write).
+    /// Simulates a power loss. Data that is not durable is lost, except for the first `keep` bytes of it in
+    /// each file (a torn write).
     pub fn lose_power(&self, keep: usize) {
         let state = &mut *self.0.borrow_mut();
         let mut after = BTreeMap::new();
@@ -56,12 +57,12 @@
         state.files = after;
     }
 
-    /// A copy of this disk as it is now, as an old backup would be.
+    /// Returns an independent copy of the current state, such as an old backup.
     pub fn deep_copy(&self) -> MemoryDisk {
         MemoryDisk(Rc::new(RefCell::new(self.0.borrow().clone())))
     }
 
-    /// Turns one bit of a file.
+    /// Flips one bit of a file.
     pub fn flip_bit(&self, name: &str, at: usize) {
         let state = &mut *self.0.borrow_mut();
         for files in [&mut state.files, &mut state.durable] {
@@ -73,7 +74,7 @@
 }
 
 fn no_file() -> io::Error {
-    io::Error::new(io::ErrorKind::NotFound, "no such file")
+    io::Error::new(io::ErrorKind::NotFound, "no such file on the simulated disk")
 }
 
 impl Disk for MemoryDisk {
@@ -93,7 +94,7 @@
             if state.failed_appends % 2 == 0 {
                 file.extend_from_slice(&bytes[..bytes.len() / 2]);
             }
-            return Err(io::Error::new(io::ErrorKind::StorageFull, "no room left"));
+            return Err(io::Error::new(io::ErrorKind::StorageFull, "the simulated disk is full"));
         }
         file.extend_from_slice(bytes);
         Ok(())
@@ -102,7 +103,7 @@
     fn sync(&mut self, name: &str) -> io::Result<()> {
         let state = &mut *self.0.borrow_mut();
         if state.fault == Fault::SyncFails {
-            return Err(io::Error::other("the medium failed"));
+            return Err(io::Error::other("the simulated disk failed to sync"));
         }
         let bytes = state.files.get(name).ok_or_else(no_file)?;
         state.synced.insert(name.to_owned(), bytes.len());
@@ -131,7 +132,7 @@
     fn sync_directory(&mut self) -> io::Result<()> {
         let state = &mut *self.0.borrow_mut();
         if state.fault == Fault::SyncFails {
-            return Err(io::Error::other("the medium failed"));
+            return Err(io::Error::other("the simulated disk failed to sync"));
         }
         state.durable = state
             .files
--- a/crates/lease/runtime/src/background_client.rs
+++ b/crates/lease/runtime/src/background_client.rs
@@ -1,5 +1,5 @@
-//! The fleet's thread in a process that does something else: it keeps a session with the voters. Nothing in the
-//! process waits for it; what it knows is read from a few numbers that it leaves behind.
+//! A background thread that keeps a session with the voters for a process with another main task. The process
+//! never waits for the thread; it reads the session's status from atomics.
 
 use crate::fleet_client::FleetClient;
 use crate::fleet_config::FleetConfig;
@@ -10,12 +10,12 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// The session's time to live.
+/// Time to live of the session.
 const SESSION_TTL: Duration = Duration::from_secs(10);
-/// The longest wait for something to happen: an end is noticed so late.
+/// Maximum time to wait for an event, and thus the delay until the thread notices that it should stop.
 const POLL_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// What the thread leaves to be read at any time.
+/// Status of the session, readable at any time.
 #[derive(Debug, Default)]
 pub struct SessionStatus {
     session: AtomicU64,
@@ -25,17 +25,17 @@
 }
 
 impl SessionStatus {
-    /// The session, if one is open.
+    /// Returns the open session, if there is one.
     pub fn session(&self) -> Option<u64> {
         Some(self.session.load(Ordering::Relaxed)).filter(|s| *s > 0)
     }
 
-    /// Sessions that were opened so far.
+    /// Returns the number of sessions opened so far.
     pub fn sessions_opened(&self) -> u64 {
         self.sessions_opened.load(Ordering::Relaxed)
     }
 
-    /// Another process has a session under this name.
+    /// Whether another process has a session under this name.
     pub fn name_taken(&self) -> bool {
         self.name_taken.load(Ordering::Relaxed)
     }
@@ -54,18 +54,18 @@
     }
 }
 
-/// The thread; its session is closed when this is dropped.
+/// The thread. Dropping this closes the session.
 pub struct BackgroundClient {
     status: Arc<SessionStatus>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl BackgroundClient {
-    /// Starts the thread. Voters that can't be reached are no error: it goes on calling them.
+    /// Starts the thread. Unreachable voters are not an error: the thread keeps trying to connect.
     ///
     /// # Errors
     ///
-    /// Fails where the system gives no poller or no thread.
+    /// Fails if the system provides no poller or no thread.
     pub fn start(fleet_config: &FleetConfig, name: &str) -> io::Result<BackgroundClient> {
         let mut fleet_client = FleetClient::new(fleet_config, name, SESSION_TTL)?;
         let status = Arc::new(SessionStatus::default());
@@ -74,18 +74,18 @@
             while !shared.stop.load(Ordering::Relaxed) {
                 match fleet_client.poll(POLL_TIMEOUT) {
                     Ok(news) => news.iter().for_each(|n| shared.update(n)),
-                    // A poller that fails once may do so again at once.
+                    // The poller may fail again at once, so this avoids a busy loop.
                     Err(_) => thread::sleep(POLL_TIMEOUT),
                 }
             }
             fleet_client.client.close();
-            // Nobody waits for what comes back: the session ends by itself if this gets lost.
+            // No response is awaited. If the request gets lost, the session expires.
             let _ = fleet_client.poll(Duration::ZERO);
         })?;
         Ok(BackgroundClient { status, thread: Some(thread) })
     }
 
-    /// What the thread leaves to be read.
+    /// Returns the shared status of the session.
     pub fn status(&self) -> Arc<SessionStatus> {
         self.status.clone()
     }
@@ -95,7 +95,7 @@
     fn drop(&mut self) {
         self.status.stop.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
-            // It has panicked or it has ended: nothing is shared to be done in either case.
+            // The thread has ended or panicked; there is nothing left to do in either case.
             let _ = thread.join();
         }
     }
--- a/crates/lease/runtime/src/durable_voter.rs
+++ b/crates/lease/runtime/src/durable_voter.rs
@@ -1,5 +1,5 @@
-//! A voter with its disk: what it writes is lasting before what it says leaves, and a disk that fails takes
-//! the voter out at once, until the disk takes writes again.
+//! A voter with its journal. Its records are durable before its frames are sent. A disk error stops the voter
+//! at once, until the disk accepts writes again.
 
 use passrelay_lease_consensus::mutant::{is_active, Mutant};
 use passrelay_lease_consensus::voter::{LinkId, Recipient, Voter, VoterConfig};
@@ -9,36 +9,36 @@
 use std::io;
 use std::time::Duration;
 
-/// The journal's name in a voter's folder.
+/// Name of the journal in the voter's directory.
 const JOURNAL_NAME: &str = "voter";
-/// A disk that failed is tried again after so long.
+/// Delay before a failed disk is opened again.
 const RETRY_INTERVAL: Duration = Duration::from_millis(500);
-/// A journal is rewritten_length once it is this much longer than after its last rewrite.
+/// The journal is rewritten once it has grown by more than this since the last rewrite, in bytes.
 const REWRITE_GROWTH_BYTES: u64 = 1 << 20;
 
-/// A voter that runs.
+/// A running voter with its open journal.
 struct Running<D> {
     voter: Voter,
     journal: Journal<D>,
     rewritten_length: u64,
 }
 
-/// A voter with its disk.
+/// A voter that stops when its disk fails and restarts from its journal.
 pub struct DurableVoter<D> {
     config: VoterConfig,
-    /// Opens the disk, at the start and after it failed.
+    /// Opens the disk, at the start and after a failure.
     disk: Box<dyn FnMut() -> io::Result<D>>,
     running: Option<Running<D>>,
-    /// Why it isn't running, and when it is tried again.
+    /// Why the voter is not running, and when to try to restart it.
     failure: Option<(String, Duration)>,
 }
 
-/// What a turn brought about.
+/// The output of a turn or tick.
 #[derive(Debug, Default)]
 pub struct Outcome {
-    /// To be sent.
+    /// Frames to send.
     pub frames: Vec<(Recipient, Frame)>,
-    /// The voter failure or came back: all links are to be closed, and called anew.
+    /// Whether the voter stopped or restarted, so that all connections have to be closed and opened anew.
     pub reset: bool,
 }
 
@@ -47,7 +47,7 @@
     ///
     /// # Errors
     ///
-    /// Says what is wrong with the disk or with what is on it.
+    /// Returns what is wrong with the disk or its content.
     pub fn open(
         config: VoterConfig,
         mut disk: Box<dyn FnMut() -> io::Result<D>>,
@@ -57,17 +57,17 @@
         Ok(DurableVoter { config, disk, running, failure: None })
     }
 
-    /// The voter, while it runs.
+    /// Returns the voter while it is running.
     pub fn voter(&self) -> Option<&Voter> {
         self.running.as_ref().map(|s| &s.voter)
     }
 
-    /// Why the voter doesn't run.
+    /// Returns why the voter is not running.
     pub fn failure(&self) -> Option<&str> {
         self.failure.as_ref().map(|(reason, _)| reason.as_str())
     }
 
-    /// How the voter is.
+    /// Returns the status of the voter, also while it is stopped.
     pub fn status(&self) -> VoterStatus {
         match &self.running {
             Some(running) => running.voter.status(),
@@ -79,40 +79,41 @@
         }
     }
 
-    /// A link that this voter called is up.
+    /// Handles a new connection that this voter opened.
     pub fn outbound_up(&mut self, voter: VoterId) {
         if let Some(running) = &mut self.running {
             running.voter.outbound_up(voter);
         }
     }
 
-    /// A link that this voter called is down.
+    /// Handles the loss of a connection that this voter opened.
     pub fn outbound_down(&mut self, voter: VoterId) {
         if let Some(running) = &mut self.running {
             running.voter.outbound_down(voter);
         }
     }
 
-    /// A voter that this one called answers.
+    /// Handles a frame from a voter on the connection that this voter opened.
     pub fn receive_from_voter(&mut self, voter: VoterId, frame: Frame) {
         if let Some(running) = &mut self.running {
             running.voter.receive_from_voter(voter, frame);
         }
     }
 
-    /// A link that somebody else called is down.
+    /// Handles the loss of a connection that the peer opened.
     pub fn inbound_closed(&mut self, link: LinkId) {
         if let Some(running) = &mut self.running {
             running.voter.inbound_closed(link);
         }
     }
 
-    /// A frame came on a link that somebody called. `false` where the link is to be closed.
+    /// Handles a frame on a connection that the peer opened. Returns `false` if the connection has to be
+    /// closed.
     pub fn receive(&mut self, link: LinkId, frame: Frame, now: Duration) -> bool {
         self.running.as_mut().is_some_and(|s| s.voter.receive(link, frame, now))
     }
 
-    /// Lets time pass; a voter whose disk failed tries to come back.
+    /// Advances the clock, or tries to restart a stopped voter.
     pub fn tick(&mut self, now: Duration) -> Outcome {
         if let Some(running) = &mut self.running {
             running.voter.tick(now);
@@ -128,14 +129,14 @@
         Outcome::default()
     }
 
-    /// Ends a turn: writes what has to be lasting, then gives what may be sent.
+    /// Ends a turn: makes its record durable, then returns the frames to send.
     pub fn finish_turn(&mut self, now: Duration) -> Outcome {
         let Some(running) = &mut self.running else { return Outcome::default() };
         let turn = running.voter.finish_turn();
         match running.persist(turn.record) {
             Ok(()) => Outcome { frames: turn.frames, reset: false },
             Err(e) => {
-                // Nothing of this turn leaves: it was never promised.
+                // No frame of this turn is sent, so nobody relies on the failed write.
                 self.running = None;
                 self.failure = Some((e.to_string(), now + RETRY_INTERVAL));
                 Outcome { reset: true, ..Outcome::default() }
--- a/crates/lease/runtime/src/fleet_client.rs
+++ b/crates/lease/runtime/src/fleet_client.rs
@@ -1,4 +1,5 @@
-//! A client's links: one voter at a time, another when that one says nothing.
+//! The network side of a client. It is connected to one voter at a time and switches to the next when that
+//! one is unresponsive.
 
 use crate::fleet_config::FleetConfig;
 use crate::links::{LinkEvent, LinkNumber, Links};
@@ -11,37 +12,38 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A voter that answers no question for so long is left for another.
+/// A voter without any response for this long is abandoned.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(800);
-/// A link that doesn't come up is given up after so long.
+/// Maximum time to establish a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A process of the fleet that votes not.
+/// A non-voting process of the fleet.
 pub struct FleetClient {
-    /// Its session.
+    /// The session of this process.
     pub client: Client,
     links: Links,
-    /// Those of the file, and those it was members of.
+    /// Addresses of the voters in the configuration file and of those learned from voters.
     addresses: BTreeMap<VoterId, SocketAddr>,
     voters: Vec<SocketAddr>,
     current: usize,
     link: Option<(LinkNumber, bool)>,
     connect_at: Duration,
     connecting_since: Duration,
-    /// Failed calls in a row: each makes the next wait longer, up to two seconds.
+    /// Consecutive failed connections. Each one lengthens the delay before the next attempt, up to two
+    /// seconds.
     failed_attempts: u32,
-    /// Asked without a session, and again at each new voter.
+    /// Requests that need no session. They are sent to each newly connected voter.
     queries: Vec<ClientRequest>,
-    /// Since when a question has been without an answer of any kind.
+    /// When the oldest query without any response was sent.
     unanswered_since: Option<Duration>,
 }
 
 impl FleetClient {
-    /// A process of this name.
+    /// Creates a client for a process of this name.
     ///
     /// # Errors
     ///
-    /// Fails where the system gives no poller.
+    /// Fails if the system provides no poller.
     pub fn new(fleet_config: &FleetConfig, name: &str, ttl: Duration) -> io::Result<FleetClient> {
         let voters: Vec<SocketAddr> = fleet_config.voters.values().copied().collect();
         let current = random_id() as usize % voters.len();
@@ -60,13 +62,13 @@
         })
     }
 
-    /// A question that needs no session; it is asked at each voter until an answer comes.
+    /// Sends a request that needs no session, now and again to each newly connected voter.
     pub fn add_query(&mut self, say: ClientRequest) {
         self.send(&say);
         self.queries.push(say);
     }
 
-    /// Asks the voter something that is of no use at the next one: whether it is still there.
+    /// Sends a request to the current voter only, for example to check that it is alive.
     pub fn send(&mut self, say: &ClientRequest) {
         if let Some((link, true)) = self.link {
             self.links.send(link, &Frame::Request(say.clone()));
@@ -74,21 +76,21 @@
         }
     }
 
-    /// Whether a session is wanted; a question alone needs none.
+    /// Whether there are queries, which need no session.
     fn is_query_only(&self) -> bool {
         !self.queries.is_empty()
     }
 
-    /// Lets up to this time pass, and gives what event.
+    /// Handles network events for up to `timeout`, and returns the client's events.
     ///
     /// # Errors
     ///
-    /// Fails where the poller does.
+    /// Fails if the poller fails.
     pub fn poll(&mut self, timeout: Duration) -> io::Result<Vec<ClientEvent>> {
         let time = now();
         let connect_timed_out =
             self.link.is_some_and(|(_, up)| !up) && time >= self.connecting_since + CONNECT_TIMEOUT;
-        // Guards against a question to a voter that was stopped, which would wait for as long as that lasts.
+        // A query to a stopped process would otherwise wait until that process continues.
         let response_timed_out = self.unanswered_since.is_some_and(|since| time >= since + RESPONSE_TIMEOUT);
         if connect_timed_out || response_timed_out || self.client.should_switch_voter(time) {
             self.switch_voter(time);
@@ -133,7 +135,8 @@
         Ok(self.client.take_events())
     }
 
-    /// Who votes now. Guards against a process that outlives all voters of its file, each replaced in its time.
+    /// Updates the list of voters. A process may run longer than all voters of its file, which are replaced
+    /// one by one.
     fn update_voters(&mut self, members: &[(VoterId, Option<String>)]) {
         for (voter, address) in members {
             if let Some(address) = address.as_ref().and_then(|a| a.parse().ok()) {
@@ -144,7 +147,7 @@
         let voters: Vec<SocketAddr> =
             self.addresses.iter().filter(|(voter, _)| votes(voter)).map(|(_, address)| *address).collect();
         if !voters.is_empty() {
-            // It stays with its voter; if that one is no more, the link will end.
+            // The client stays with its current voter. If that one was removed, the connection will end.
             let current = self.voters[self.current];
             self.current = voters.iter().position(|a| *a == current).unwrap_or(0);
             self.voters = voters;
@@ -160,7 +163,7 @@
         }
     }
 
-    /// Leaves this voter for the next.
+    /// Disconnects from this voter and schedules a connection to the next.
     fn switch_voter(&mut self, time: Duration) {
         if let Some((link, _)) = self.link.take() {
             self.links.close(link);
@@ -168,8 +171,8 @@
         self.client.disconnected();
         self.unanswered_since = None;
         self.current = (self.current + 1) % self.voters.len();
-        // The first few at once, so that a lost voter costs no lease; then spread, so that a returning one
-        // isn't called by all.
+        // The first attempts follow at once, so that the loss of a voter costs no lease. Later ones are
+        // spread out, so that a returning voter isn't contacted by all clients together.
         self.failed_attempts += 1;
         let most = (20u64 << self.failed_attempts.min(7)).min(2000);
         self.connect_at = time + Duration::from_millis(random_id() % most);
--- a/crates/lease/runtime/src/fleet_config.rs
+++ b/crates/lease/runtime/src/fleet_config.rs
@@ -1,4 +1,5 @@
-//! The fleet's file: who votes, and where. One file serves all processes of a fleet.
+//! The fleet's configuration file, which lists the voters and their addresses. All processes of a fleet can
+//! share one file.
 
 use passrelay_lease_consensus::lease_table::MAX_NAME_BYTES;
 use passrelay_lease_consensus::VoterId;
@@ -10,14 +11,14 @@
 use std::time::Duration;
 use toml::Spanned;
 
-/// What is error with a fleet's file, and where.
+/// An error in the fleet's configuration file.
 #[derive(Debug, PartialEq, Eq)]
 pub struct FleetConfigError {
-    /// The file.
+    /// Path of the configuration file.
     pub file: PathBuf,
-    /// The line, where one can be told.
+    /// Line of the error, if it is known.
     pub line: Option<usize>,
-    /// What is error, with the key.
+    /// Description of the error, with the key it concerns.
     pub problem: String,
 }
 
@@ -50,25 +51,25 @@
     address: Spanned<String>,
 }
 
-/// A fleet as its file says.
+/// The validated configuration of a fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FleetConfig {
-    /// The fleet's name, which every frame carries.
+    /// Name of the fleet, from which the fleet identifier in every frame is derived.
     pub fleet: String,
-    /// Where each voter listens.
+    /// Address of each voter.
     pub voters: BTreeMap<VoterId, SocketAddr>,
-    /// A voter keeps its journal in a folder below this one.
+    /// Directory below which each voter keeps its journal, in one of its own.
     pub data: PathBuf,
-    /// A lease whose holder vanished is given to nobody for so long.
+    /// How long a lease whose holder expired stays locked.
     pub lock_delay: Duration,
 }
 
 impl FleetConfig {
-    /// Reads a fleet's file.
+    /// Reads and validates the configuration file.
     ///
     /// # Errors
     ///
-    /// Names the line and the key that is error.
+    /// Returns the line and the key of the error.
     pub fn read(file: &Path) -> Result<FleetConfig, FleetConfigError> {
         let error = |line, problem| FleetConfigError { file: file.to_owned(), line, problem };
         let text = std::fs::read_to_string(file).map_err(|e| error(None, e.to_string()))?;
@@ -97,10 +98,10 @@
             })?;
             if voters.values().any(|known| *known == parsed) {
                 let at = line(voter.address.span().start);
-                return Err((at, format!("voter.address: {address} stands there twice")));
+                return Err((at, format!("voter.address: {address} is listed twice")));
             }
             if voters.insert(id, parsed).is_some() {
-                return Err((at, format!("voter.id: {id} stands there twice")));
+                return Err((at, format!("voter.id: {id} is listed twice")));
             }
         }
         if ![1, 3, 5, 7].contains(&voters.len()) {
--- a/crates/lease/runtime/src/fleet_config/tests.rs
+++ b/crates/lease/runtime/src/fleet_config/tests.rs
@@ -16,7 +16,7 @@
     };
     assert!(refused(&voters(&[a, b])).1.contains("there are 2"));
     assert!(refused(&voters(&[a, b, c, (4, "127.0.0.1:4")])).1.contains("there are 4"));
-    assert_eq!(refused(&voters(&[a, b, (2, "127.0.0.1:3")])), (9, "voter.id: 2 stands there twice".into()));
+    assert_eq!(refused(&voters(&[a, b, (2, "127.0.0.1:3")])), (9, "voter.id: 2 is listed twice".into()));
     assert_eq!(refused(&voters(&[a, b, (3, "127.0.0.1:2")])).0, 10);
     assert_eq!(refused(&voters(&[a, (0, "127.0.0.1:2"), c])).0, 6);
     assert_eq!(refused(&voters(&[a, b, (3, "here")])).0, 10);
--- a/crates/lease/runtime/src/lib.rs
+++ b/crates/lease/runtime/src/lib.rs
@@ -1,5 +1,6 @@
-//! What stands beside the crate `fleet`: a voter with its disk ([`durable_voter`]), and the links between processes
-//! with the loops that drive a voter and a client. None of it runs on the data path's thread.
+//! The I/O around `passrelay-lease-consensus`: a voter with its journal ([`durable_voter`]), the connections
+//! between processes ([`links`]), and the loops that drive a voter and a client. None of it runs on the data
+//! path's thread.
 
 pub mod background_client;
 pub mod durable_voter;
@@ -10,7 +11,8 @@
 
 use std::time::Duration;
 
-/// Time on a clock that goes on while the machine sleeps, which `std`'s does not on Linux.
+/// Returns the time on a clock that also advances while the machine is suspended, unlike `std`'s clock on
+/// Linux.
 pub fn now() -> Duration {
     adjusted(boot_time())
 }
@@ -20,7 +22,8 @@
     time
 }
 
-/// For fault injection: what this process takes for the time, by `PASSRELAY_TEST_CLOCK=RATE,SECONDS_AHEAD`.
+/// Distorts the clock of this process for fault injection, as set by
+/// `PASSRELAY_TEST_CLOCK=RATE,SECONDS_AHEAD`.
 #[cfg(feature = "moved-clocks")]
 fn adjusted(time: Duration) -> Duration {
     static CLOCK: std::sync::OnceLock<Option<(Duration, f64, f64)>> = std::sync::OnceLock::new();
@@ -37,17 +40,17 @@
     }
 }
 
-/// The variable that moves a process's clock, in builds for fault injection only.
+/// Environment variable that distorts the clock, in builds for fault injection only.
 #[cfg(feature = "moved-clocks")]
 pub const TEST_CLOCK: &str = "PASSRELAY_TEST_CLOCK";
 
-/// The same clock as the system has it.
+/// Returns the same clock without the distortion of fault injection.
 pub fn boot_time() -> Duration {
     let time = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
     Duration::new(time.tv_sec as u64, time.tv_nsec as u32)
 }
 
-/// A number that another process is not going to draw.
+/// Returns a number that no other process is likely to draw.
 pub fn random_id() -> u64 {
     use std::hash::{BuildHasher, Hasher};
     let mut hasher = std::collections::hash_map::RandomState::new().build_hasher();
--- a/crates/lease/runtime/src/links.rs
+++ b/crates/lease/runtime/src/links.rs
@@ -1,5 +1,6 @@
-//! Links: TCP connections that carry frames. Bounded in number and in bytes; a link that falls behind by more
-//! than its bound, or brings bytes that are no frames of this fleet, is closed and counted.
+//! TCP connections that carry frames. Their number and buffers are bounded. A connection whose peer falls
+//! behind by more than the send buffer, or which delivers an invalid frame, is closed; invalid frames are
+//! counted.
 
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token};
@@ -9,28 +10,29 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Most links of one process.
+/// Maximum number of connections of a process.
 const MAX_LINKS: usize = 4608;
-/// Bytes that may wait to be sent on one link.
+/// Maximum number of bytes that wait to be sent on a connection.
 const MAX_UNSENT_BYTES: usize = MAX_FRAME_BYTES + (1 << 20);
-/// Bytes read at one go.
+/// Size of the buffer for one read, in bytes.
 const READ_CHUNK_BYTES: usize = 64 << 10;
-/// The listener's token.
+/// Poll token of the listener.
 const LISTENER: Token = Token(usize::MAX - 1);
 
-/// A link's number. None is given twice: whoever still speaks of a link that is gone never means another.
+/// The number of a connection. It is never reused, so that a reference to a closed connection can't reach
+/// another one.
 pub type LinkNumber = usize;
 
-/// What happened on a link.
+/// An event on a connection.
 #[derive(Debug)]
 pub enum LinkEvent {
-    /// Somebody outbound.
+    /// A peer connected to the listener.
     Accepted,
-    /// A link that was outbound is up.
+    /// A connection opened by this process is established.
     Connected,
-    /// A frame came.
+    /// A frame was received.
     Frame(Frame),
-    /// The link is gone, and its number with it.
+    /// The connection is closed and its number no longer valid.
     Closed,
 }
 
@@ -43,7 +45,7 @@
     sent: usize,
 }
 
-/// All links of one process.
+/// All connections of a process.
 pub struct Links {
     poll: Poll,
     poll_events: Events,
@@ -56,11 +58,11 @@
 }
 
 impl Links {
-    /// Links of a fleet's process, which listens there if at all.
+    /// Creates the connections of a process, with a listener if `listen` is given.
     ///
     /// # Errors
     ///
-    /// Fails where the address can't be listened on.
+    /// Fails if the system provides no poller or the address cannot be listened on.
     pub fn open(fleet: &str, listen: Option<SocketAddr>) -> io::Result<Links> {
         let poll = Poll::new()?;
         let listener = match listen {
@@ -76,16 +78,16 @@
         Ok(Links { poll, poll_events, listener, links, next: 0, fleet, events: Vec::new(), rejected_frames })
     }
 
-    /// Frames that were refused, by what was wrong with them.
+    /// Returns the number of rejected frames by cause.
     pub fn rejected_frames(&self) -> &BTreeMap<FrameError, u64> {
         &self.rejected_frames
     }
 
-    /// Calls a process; `Up` or `Gone` follows.
+    /// Starts to connect to a process. [`LinkEvent::Connected`] or [`LinkEvent::Closed`] follows.
     ///
     /// # Errors
     ///
-    /// Fails where the system gives no socket.
+    /// Fails if the system provides no socket or the limit of connections is reached.
     pub fn connect(&mut self, to: SocketAddr) -> io::Result<LinkNumber> {
         let socket = TcpStream::connect(to)?;
         self.add(socket, true)
@@ -93,7 +95,7 @@
 
     fn add(&mut self, mut socket: TcpStream, outbound: bool) -> io::Result<LinkNumber> {
         if self.links.len() >= MAX_LINKS {
-            return Err(io::Error::other("too many links"));
+            return Err(io::Error::other(format!("the limit of {MAX_LINKS} connections is reached")));
         }
         let number = self.next;
         let interest = Interest::READABLE | Interest::WRITABLE;
@@ -105,7 +107,8 @@
         Ok(number)
     }
 
-    /// Sends a frame, now or as soon as the other side reads. Where that fails the link is lost: `Gone` follows.
+    /// Sends a frame as soon as the peer reads. On failure the connection is closed, and
+    /// [`LinkEvent::Closed`] follows.
     pub fn send(&mut self, number: LinkNumber, frame: &Frame) {
         let Some(link) = self.links.get_mut(&number) else { return };
         link.unsent.extend(encode(self.fleet, frame));
@@ -114,7 +117,7 @@
         }
     }
 
-    /// Closes a link; no `Gone` follows.
+    /// Closes a connection without a [`LinkEvent::Closed`].
     pub fn close(&mut self, number: LinkNumber) {
         if let Some(mut link) = self.links.remove(&number) {
             let _ = self.poll.registry().deregister(&mut link.socket);
@@ -122,18 +125,18 @@
         }
     }
 
-    /// The numbers of all links.
+    /// Returns the numbers of all open connections.
     pub fn open_links(&self) -> Vec<LinkNumber> {
         self.links.keys().copied().collect()
     }
 
-    /// Waits for something to happen, no longer than this.
+    /// Waits for events, at most for `timeout`.
     ///
     /// # Errors
     ///
-    /// As the system says.
+    /// Returns the error of the poller.
     pub fn wait(&mut self, timeout: Duration) -> io::Result<Vec<(LinkNumber, LinkEvent)>> {
-        // What happened already, a link lost in sending, waits for nothing.
+        // Pending events, such as a connection lost while sending, are returned at once.
         let timeout = if self.events.is_empty() { timeout } else { Duration::ZERO };
         if let Err(e) = self.poll.poll(&mut self.poll_events, Some(timeout)) {
             if e.kind() != ErrorKind::Interrupted {
@@ -153,7 +156,7 @@
 
     fn accept_all(&mut self) {
         while let Some(Ok((socket, _))) = self.listener.as_ref().map(TcpListener::accept) {
-            // Over the bound the caller finds its link closed, and calls again later.
+            // Beyond the limit the connection is dropped, and the peer tries again later.
             if let Ok(number) = self.add(socket, false) {
                 self.events.push((number, LinkEvent::Accepted));
             }
@@ -212,7 +215,7 @@
 }
 
 impl Link {
-    /// Reads what is there; `false` at the end of the link.
+    /// Reads all available bytes. Returns `false` if the connection has ended.
     fn read(&mut self) -> bool {
         let mut buffer = [0; READ_CHUNK_BYTES];
         loop {
--- a/crates/lease/runtime/src/voter_loop.rs
+++ b/crates/lease/runtime/src/voter_loop.rs
@@ -1,4 +1,4 @@
-//! A voter's loop: its voter with the disk and its links.
+//! The event loop of a voter process, which drives the voter, its journal and its connections.
 
 use crate::durable_voter::DurableVoter;
 use crate::fleet_config::FleetConfig;
@@ -13,13 +13,13 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// The longest wait for something to happen.
+/// Maximum time to wait for an event.
 const POLL_TIMEOUT: Duration = Duration::from_millis(10);
-/// A voter that can't be reached is outbound again after so long, and something beside, so that voters that
-/// come back together don't call together.
+/// Delay before another connection attempt to an unreachable voter. A random part is added, so that voters
+/// that restart together don't connect in step.
 const RECONNECT_DELAY: Duration = Duration::from_millis(100);
 
-/// One voter.
+/// A voter process.
 pub struct VoterLoop {
     voter: VoterId,
     fleet_config: FleetConfig,
@@ -30,12 +30,12 @@
 }
 
 impl VoterLoop {
-    /// Opens the voter's disk and listens. On a new disk, one that `joining` waits to be added to a fleet that goes
-    /// on; any other begins one together with all voters of the file.
+    /// Opens the voter's disk and listens on its address. With a new disk, a `joining` voter waits to be
+    /// added to a running fleet; any other founds one together with all voters of the file.
     ///
     /// # Errors
     ///
-    /// Says what is wrong with the disk or the address.
+    /// Returns what is wrong with the configuration, the disk or the address.
     pub fn open(fleet_config: &FleetConfig, voter: VoterId, joining: bool) -> Result<VoterLoop, String> {
         let listen = *fleet_config.voters.get(&voter).ok_or_else(|| {
             let known: Vec<VoterId> = fleet_config.voters.keys().copied().collect();
@@ -57,11 +57,11 @@
         Ok(VoterLoop { voter, fleet_config: fleet_config.clone(), durable, links, outbound, connect_at })
     }
 
-    /// Votes until agreed to end. `log` gets an event's name and its values for the log.
+    /// Runs until `end` is set. `log` receives the name and the values of each event.
     ///
     /// # Errors
     ///
-    /// Fails where the poller does.
+    /// Fails if the poller fails.
     pub fn run(&mut self, end: &AtomicBool, log: &mut dyn FnMut(&str, &str)) -> Result<(), String> {
         let mut state = String::new();
         while !end.load(Ordering::Relaxed) {
@@ -98,7 +98,7 @@
                 self.durable.outbound_down(voter);
             }
             (None, LinkEvent::Frame(Frame::Request(ClientRequest::Status { request_id }))) => {
-                // A voter without a disk answers this, and nothing else.
+                // A voter without a working disk responds to status requests only.
                 let mut status = self.durable.status();
                 status.rejected_links = self
                     .links
@@ -119,10 +119,10 @@
         }
     }
 
-    /// The other voters as far as it is known where they listen; those of the file while no others are known.
+    /// Returns the other voters with known addresses, or those of the file while the membership is unknown.
     fn others(&self) -> Vec<(VoterId, SocketAddr)> {
         let file = &self.fleet_config.voters;
-        // A file of one's own goes before: it may lead over another address.
+        // The local file takes precedence, since it may route through another address.
         let info = |voter: &VoterId, agreed: Option<&String>| {
             let address = file.get(voter).copied().or_else(|| agreed?.parse().ok());
             Some((*voter, address?))
@@ -174,7 +174,7 @@
         }
     }
 
-    /// Closes all links: whoever was promised something asks again.
+    /// Closes all connections, so that peers repeat their unanswered requests.
     fn reset(&mut self) {
         for link in self.links.open_links() {
             self.links.close(link);
