--- a/crates/testing/load-simulator/src/cli.rs
+++ b/crates/testing/load-simulator/src/cli.rs
@@ -93,7 +93,7 @@
         #[arg(long, default_value_t = 1000)]
         histories: u64,
         /// Clients, on half as many leases.
-        #[arg(long, default_value_t = timed::CLIENTS)]
+        #[arg(long, default_value_t = timed::DEFAULT_CLIENTS)]
         clients: usize,
         /// Plays a wrong version, to see that it is caught.
         #[arg(long)]
--- a/crates/testing/load-simulator/src/cli/faults.rs
+++ b/crates/testing/load-simulator/src/cli/faults.rs
@@ -1,4 +1,4 @@
-//! Commands that play leases under faults.
+//! The `fault-injection` commands.
 
 use super::*;
 
@@ -9,8 +9,8 @@
     holders: usize,
     named: Option<PathBuf>,
 ) -> Result<(), Failure> {
-    let laboratory = std::env::current_exe().map_err(|e| Failure(1, e.to_string()))?;
-    let command = [&laboratory.to_string_lossy(), "fault-injection", "act"].map(str::to_owned).to_vec();
+    let simulator = std::env::current_exe().map_err(|e| Failure(1, e.to_string()))?;
+    let command = [&simulator.to_string_lossy(), "fault-injection", "act"].map(str::to_owned).to_vec();
     let plan = processes::Plan { program: program(named)?, command, voters, holders, seconds, seed };
     let outcome = processes::play(&plan, &*stop_flag()?).map_err(|e| Failure(1, e))?;
     let (acts, refused) = outcome.acts;
@@ -25,18 +25,18 @@
     if outcome.violations.is_empty() {
         return Ok(());
     }
-    let wrong: Vec<String> = outcome.violations.iter().take(5).map(ToString::to_string).collect();
-    Err(Failure(1, format!("{}\nfaults:\n{}", wrong.join("\n"), outcome.faults.join("\n"))))
+    let violations: Vec<String> = outcome.violations.iter().take(5).map(ToString::to_string).collect();
+    Err(Failure(1, format!("{}\nfaults:\n{}", violations.join("\n"), outcome.faults.join("\n"))))
 }
 
 pub(super) fn inject_crowd(plan: &crowd::Plan) -> Result<(), Failure> {
     let outcome = crowd::play(plan, &*stop_flag()?).map_err(|e| Failure(1, e))?;
     let crowd::Plan { voters, clients, leases, seconds, grants, .. } = plan;
-    let (p50, p99, most) = outcome.grant_ms;
+    let (p50, p99, max) = outcome.grant_ms;
     let list = |values: Vec<String>| values.join(",");
     print(&format!(
         "voters={voters} clients={clients} leases={leases} seconds={seconds} grants={grants} grant_p50_ms={p50:.2} \
-         grant_p99_ms={p99:.2} grant_max_ms={most:.2} all_held_s={:.2} cores={} loopback_bytes_per_s={:.0} \
+         grant_p99_ms={p99:.2} grant_max_ms={max:.2} all_held_s={:.2} cores={} loopback_bytes_per_s={:.0} \
          rss_mib={} lost={} after_kill_s={} lost_to_kills={}\n",
         outcome.all_held,
         list(outcome.cores.iter().map(|c| format!("{c:.3}")).collect()),
@@ -57,21 +57,21 @@
     let named = |name: &str| Mutant::ALL.into_iter().find(|m| format!("{m:?}").eq_ignore_ascii_case(name));
     let known = || Mutant::ALL.map(|m| format!("{m:?}")).join(", ");
     let mutant = match mutant {
-        Some(name) => Some(
-            named(name).ok_or_else(|| Failure(2, format!("--mutant: '{name}' is none of {}", known())))?,
-        ),
+        Some(name) => Some(named(name).ok_or_else(|| {
+            Failure(2, format!("--mutant: unknown mutant '{name}', expected one of {}", known()))
+        })?),
         None => None,
     };
-    let began = Instant::now();
-    let many = timed::play_many(seed..seed + histories, clients.max(1), mutant);
-    let (faults, grants, effects) = many.counts;
+    let started_at = Instant::now();
+    let summary = timed::play_many(seed..seed + histories, clients.max(1), mutant);
+    let timed::Summary { faults, grants, effects, .. } = summary;
     print(&format!(
         "histories={} violated={} faults={faults} grants={grants} effects={effects} seconds={:.1}\n",
-        many.played,
-        many.violated,
-        began.elapsed().as_secs_f64()
+        summary.played,
+        summary.violated,
+        started_at.elapsed().as_secs_f64()
     ))?;
-    let Some((seed, outcome)) = many.first else { return Ok(()) };
-    let wrong: Vec<String> = outcome.violations.iter().map(ToString::to_string).collect();
-    Err(Failure(1, format!("seed {seed}: {}\nfaults:\n{}", wrong.join("\n"), outcome.faults.join("\n"))))
+    let Some((seed, outcome)) = summary.first_violation else { return Ok(()) };
+    let violations: Vec<String> = outcome.violations.iter().map(ToString::to_string).collect();
+    Err(Failure(1, format!("seed {seed}: {}\nfaults:\n{}", violations.join("\n"), outcome.faults.join("\n"))))
 }
--- a/crates/testing/load-simulator/src/fault_injection/clock.rs
+++ b/crates/testing/load-simulator/src/fault_injection/clock.rs
@@ -1,38 +1,38 @@
-//! Clocks that run fast or slow.
+//! Simulated clocks that run fast or slow.
 
 use std::time::Duration;
 
-/// A process's clock against true time, in straight pieces.
+/// A process's clock as a piecewise linear function of true time.
 #[derive(Clone, Debug)]
 pub struct Clock {
-    /// True time, clock's time, rate from there on; in seconds.
-    pieces: Vec<(f64, f64, f64)>,
+    /// Start in true time, clock reading at the start, both in seconds, and the rate from there on.
+    segments: Vec<(f64, f64, f64)>,
 }
 
 impl Clock {
-    /// A clock that shows this at true time 0 and runs at this rate.
-    pub fn new(shows: f64, rate: f64) -> Clock {
-        Clock { pieces: vec![(0.0, shows, rate)] }
+    /// Creates a clock that reads `reading` seconds at true time 0 and runs at `rate`.
+    pub fn new(reading: f64, rate: f64) -> Clock {
+        Clock { segments: vec![(0.0, reading, rate)] }
     }
 
-    /// What it shows at a true time.
-    pub fn shows(&self, at: f64) -> Duration {
-        let later = self.pieces.iter().rev().find(|(t, ..)| *t <= at);
-        let (t, shown, rate) = later.copied().unwrap_or(self.pieces[0]);
-        Duration::from_secs_f64(shown + (at - t) * rate)
+    /// Returns the clock's reading at a true time in seconds.
+    pub fn reading(&self, at: f64) -> Duration {
+        let segment = self.segments.iter().rev().find(|(t, ..)| *t <= at);
+        let (t, start_reading, rate) = segment.copied().unwrap_or(self.segments[0]);
+        Duration::from_secs_f64(start_reading + (at - t) * rate)
     }
 
-    /// The true time at which it shows this, as far as its rate is known.
-    pub fn when(&self, shows: Duration) -> f64 {
-        let shows = shows.as_secs_f64();
-        let piece = self.pieces.iter().rev().find(|(_, s, _)| *s <= shows);
-        let (t, shown, rate) = piece.copied().unwrap_or(self.pieces[0]);
-        t + (shows - shown) / rate
+    /// Returns the true time in seconds of a reading. Beyond the last change of rate, that rate is extrapolated.
+    pub fn true_time(&self, reading: Duration) -> f64 {
+        let reading = reading.as_secs_f64();
+        let segment = self.segments.iter().rev().find(|(_, s, _)| *s <= reading);
+        let (t, start_reading, rate) = segment.copied().unwrap_or(self.segments[0]);
+        t + (reading - start_reading) / rate
     }
 
-    /// Runs at another rate from now on.
-    pub fn run_at(&mut self, at: f64, rate: f64) {
-        let shows = self.shows(at).as_secs_f64();
-        self.pieces.push((at, shows, rate));
+    /// Changes the rate from true time `at` on; the reading stays continuous.
+    pub fn set_rate(&mut self, at: f64, rate: f64) {
+        let reading = self.reading(at).as_secs_f64();
+        self.segments.push((at, reading, rate));
     }
 }
--- a/crates/testing/load-simulator/src/fault_injection/crowd.rs
+++ b/crates/testing/load-simulator/src/fault_injection/crowd.rs
@@ -1,6 +1,7 @@
-//! What leases cost: real voters, a crowd of clients in this process, and what the voters use meanwhile.
+//! Measures the cost of leases: voters as processes, many clients in this process, and the resources that the voters
+//! use meanwhile.
 
-use super::{start_quietly, voters_of};
+use super::{spawn_without_output, voter_statuses};
 use crate::sockets::program::cpu_of;
 use hdrhistogram::Histogram;
 use passrelay_lease_consensus::client::News;
@@ -14,47 +15,48 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// What is measured.
+/// Parameters of a measurement.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// The program.
+    /// Path of the program that runs the voters.
     pub program: PathBuf,
-    /// Voters.
+    /// Number of voters.
     pub voters: usize,
-    /// Clients.
+    /// Number of clients.
     pub clients: usize,
-    /// Leases that each one holds.
+    /// Number of leases that each client holds.
     pub leases: usize,
-    /// Seconds for which they hold them.
+    /// Seconds for which the clients hold all their leases.
     pub seconds: f64,
-    /// Grants of a free lease that are timed, one after another.
+    /// Number of grants of a free lease that are timed, one after another.
     pub grants: usize,
-    /// Kills of the leader after that, while all leases are held.
+    /// Number of times that the leader is killed after that, while all leases are held.
     pub kills: usize,
 }
 
-/// What came of it.
+/// Results of a measurement.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
-    /// From the wish for a free lease to the leave to act: median, 99th percentile and highest, in ms.
+    /// Time from the request for a free lease until the client may act under it: median, 99th percentile and maximum,
+    /// in ms.
     pub grant_ms: (f64, f64, f64),
-    /// Until all clients held all their leases, in seconds.
+    /// Time until all clients held all their leases, in seconds.
     pub all_held: f64,
-    /// Each voter's share of a core while the leases were held.
+    /// CPU cores used by each voter while the leases were held.
     pub cores: Vec<f64>,
-    /// Bytes a second over loopback, in both directions of all links.
+    /// Bytes per second over the loopback interface, in both directions of all links.
     pub bytes: f64,
-    /// Each voter's resident memory in MiB: a tenth into the time and at its end.
+    /// Each voter's resident memory in MiB, after a tenth of the holding time and at its end.
     pub memory: Vec<(f64, f64)>,
-    /// Leases lost while nothing was wrong.
+    /// Number of leases lost before the first kill.
     pub lost: usize,
-    /// From each kill of the leader to the next grant of a free lease, in seconds.
+    /// Time from each kill of the leader to the next grant of a free lease, in seconds.
     pub after_kill: Vec<f64>,
-    /// Leases lost from the first kill on.
+    /// Number of leases lost from the first kill on.
     pub lost_to_kills: usize,
 }
 
-/// Voters as processes with their folder; gone when dropped.
+/// The voter processes and their folder. Dropping it kills the voters and deletes the folder.
 struct Voters {
     program: PathBuf,
     folder: PathBuf,
@@ -72,41 +74,42 @@
 }
 
 impl Voters {
-    fn vote(&self, id: usize) -> Result<Child, String> {
+    fn start_voter(&self, id: usize) -> Result<Child, String> {
         let mut command = Command::new(&self.program);
         command.args(["voter", "--id", &id.to_string(), "--fleet"]).arg(self.folder.join("fleet.toml"));
-        start_quietly(&mut command).map_err(|e| format!("{}: {e}", self.program.display()))
+        spawn_without_output(&mut command).map_err(|e| format!("{}: {e}", self.program.display()))
     }
 
-    /// The leader, once all vote under one.
+    /// Returns the leader's id if all voters are voting and agree on the leader.
     fn leader(&self) -> Option<usize> {
-        let voters = voters_of(&self.program, &self.folder.join("fleet.toml"))?;
+        let voters = voter_statuses(&self.program, &self.folder.join("fleet.toml"))?;
         let leader = voters.first()?["leader"].as_u64()?;
-        let votes = |v: &serde_json::Value| v["state"] == "voting" && v["leader"] == leader;
-        voters.iter().all(votes).then_some(leader as usize)
+        let agrees = |v: &serde_json::Value| v["state"] == "voting" && v["leader"] == leader;
+        voters.iter().all(agrees).then_some(leader as usize)
     }
 }
 
 fn start(plan: &Plan) -> Result<(Voters, Fleet), String> {
     let folder = std::env::temp_dir().join(format!("passrelay-crowd-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).map_err(|e| e.to_string())?;
+    std::fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
     let (program, children) = (plan.program.clone(), Vec::new());
     let mut voters = Voters { program, folder: folder.clone(), children };
     let mut text = "fleet = \"crowd\"\n".to_owned();
     for id in 1..=plan.voters {
-        let address = free_address().map_err(|e| e.to_string())?;
+        let address = free_address().map_err(|e| format!("no free address for voter {id}: {e}"))?;
         text += &format!("[[voter]]\nid = {id}\naddress = \"{address}\"\n");
     }
     let file = folder.join("fleet.toml");
-    std::fs::write(&file, text).map_err(|e| e.to_string())?;
+    std::fs::write(&file, text).map_err(|e| format!("{}: {e}", file.display()))?;
     for id in 1..=plan.voters {
-        let child = voters.vote(id)?;
+        let child = voters.start_voter(id)?;
         voters.children.push(child);
     }
     Ok((voters, Fleet::read(&file).map_err(|e| e.to_string())?))
 }
 
-fn memory_of(pid: u32) -> f64 {
+/// Returns a process's resident memory in MiB, or 0 if it cannot be read.
+fn resident_memory_mib(pid: u32) -> f64 {
     let status = std::fs::read_to_string(Path::new("/proc").join(pid.to_string()).join("status"));
     let line = |text: &str| {
         let line = text.lines().find(|l| l.starts_with("VmRSS:"))?;
@@ -115,8 +118,8 @@
     status.ok().and_then(|text| line(&text)).unwrap_or(0.0) / 1024.0
 }
 
-/// Bytes that loopback has carried.
-fn carried() -> f64 {
+/// Returns the number of bytes that the loopback interface has received since boot.
+fn loopback_bytes() -> f64 {
     let text = std::fs::read_to_string("/proc/net/dev").unwrap_or_default();
     let line = text.lines().find_map(|l| l.trim().strip_prefix("lo:"));
     line.and_then(|l| l.split_whitespace().next()?.parse().ok()).unwrap_or(0.0)
@@ -126,7 +129,7 @@
     Op::Acquire { lease, ttl_ms: 10_000, wait: true }
 }
 
-/// Times grants of a free lease, each from the wish to the leave to act.
+/// Times grants of a free lease, each from the request until the client may act under it, in µs.
 fn time_grants(plan: &Plan, fleet: &Fleet, stop: &AtomicBool) -> Result<Histogram<u64>, String> {
     let mut member = Member::new(fleet, "one", Duration::from_secs(10)).map_err(|e| e.to_string())?;
     let mut times = Histogram::new(3).map_err(|e| e.to_string())?;
@@ -137,15 +140,16 @@
         while member.client.guard(&lease, now()).is_none() && !stop.load(Ordering::Relaxed) {
             member.step(Duration::from_millis(10)).map_err(|e| e.to_string())?;
         }
-        // The first one waits for the voters to begin and for a session.
+        // The first request also waits for the voters to start and for a session, so grants of a second or more are not
+        // recorded.
         if member.client.session().is_some() && began + Duration::from_secs(1) > now() {
             times.record((now() - began).as_micros() as u64).map_err(|e| e.to_string())?;
         }
-        let wish = member.client.ask(Op::Release { lease: lease.clone() }, now());
+        let release = member.client.ask(Op::Release { lease: lease.clone() }, now());
         let mut released = false;
         while !released && !stop.load(Ordering::Relaxed) {
             let news = member.step(Duration::from_millis(10)).map_err(|e| e.to_string())?;
-            released = news.iter().any(|n| matches!(n, News::Answered(seq, _) if *seq == wish));
+            released = news.iter().any(|n| matches!(n, News::Answered(seq, _) if *seq == release));
         }
     }
     member.client.close();
@@ -153,7 +157,7 @@
     Ok(times)
 }
 
-/// The crowd, and what it has heard so far.
+/// The clients, with the number of grants and losses that they were told of so far.
 struct Crowd {
     members: Vec<Member>,
     held: usize,
@@ -161,8 +165,8 @@
 }
 
 impl Crowd {
-    /// All are looked after, then nothing is done for the rest of 5 ms: that leaves the cores to the voters.
-    fn round(&mut self) -> Result<(), String> {
+    /// Steps all clients once, then sleeps for the rest of 5 ms, which leaves the cores to the voters.
+    fn step_all(&mut self) -> Result<(), String> {
         let began = now();
         for member in &mut self.members {
             for news in member.step(Duration::ZERO).map_err(|e| e.to_string())? {
@@ -178,21 +182,22 @@
     }
 }
 
-/// Kills the leader, and times the next grant of a free lease.
+/// Kills the leader, times the next grant of a free lease in seconds, and restarts the voter. Returns `None` if the
+/// leader was not found before `stop`.
 fn kill_leader(
     voters: &mut Voters,
     fleet: &Fleet,
     crowd: &mut Crowd,
     stop: &AtomicBool,
 ) -> Result<Option<f64>, String> {
-    let mut asked = now();
+    let mut last_query = now();
     let leader = loop {
-        crowd.round()?;
-        if now() >= asked + Duration::from_millis(200) {
+        crowd.step_all()?;
+        if now() >= last_query + Duration::from_millis(200) {
             if let Some(leader) = voters.leader() {
                 break leader;
             }
-            asked = now();
+            last_query = now();
         }
         if stop.load(Ordering::Relaxed) {
             return Ok(None);
@@ -201,7 +206,7 @@
     let mut member = Member::new(fleet, "after", Duration::from_secs(2)).map_err(|e| e.to_string())?;
     while member.client.session().is_none() && !stop.load(Ordering::Relaxed) {
         member.step(Duration::ZERO).map_err(|e| e.to_string())?;
-        crowd.round()?;
+        crowd.step_all()?;
     }
     let child = &mut voters.children[leader - 1];
     child.kill().and_then(|()| child.wait()).map_err(|e| e.to_string())?;
@@ -209,20 +214,20 @@
     member.client.ask(acquire("after".to_owned()), killed);
     while member.client.guard("after", now()).is_none() && !stop.load(Ordering::Relaxed) {
         member.step(Duration::ZERO).map_err(|e| e.to_string())?;
-        crowd.round()?;
+        crowd.step_all()?;
     }
-    let passed = (now() - killed).as_secs_f64();
+    let elapsed = (now() - killed).as_secs_f64();
     member.client.close();
     member.step(Duration::ZERO).map_err(|e| e.to_string())?;
-    voters.children[leader - 1] = voters.vote(leader)?;
-    Ok(Some(passed))
+    voters.children[leader - 1] = voters.start_voter(leader)?;
+    Ok(Some(elapsed))
 }
 
-/// Measures; `stop` ends it early.
+/// Runs the measurement; setting `stop` ends it early.
 ///
 /// # Errors
 ///
-/// Says what can't be started or read.
+/// Returns a message if a file, address, voter or client fails, or if `stop` was set before all leases were held.
 pub fn play(plan: &Plan, stop: &AtomicBool) -> Result<Outcome, String> {
     let (mut voters, fleet) = start(plan)?;
     let times = time_grants(plan, &fleet, stop)?;
@@ -240,35 +245,36 @@
     let pids: Vec<u32> = voters.children.iter().map(Child::id).collect();
     let cpu =
         || pids.iter().map(|pid| cpu_of(&format!("/proc/{pid}/stat")).unwrap_or(0.0)).collect::<Vec<f64>>();
-    let memory = || pids.iter().map(|pid| memory_of(*pid)).collect::<Vec<f64>>();
+    let memory = || pids.iter().map(|pid| resident_memory_mib(*pid)).collect::<Vec<f64>>();
     let wanted = plan.clients * plan.leases;
     let began = now();
-    let mut from: Option<(Duration, Vec<f64>, f64)> = None;
-    let mut early = Vec::new();
+    let mut holding: Option<(Duration, Vec<f64>, f64)> = None;
+    let mut early_memory = Vec::new();
     while !stop.load(Ordering::Relaxed) {
-        crowd.round()?;
-        match &from {
+        crowd.step_all()?;
+        match &holding {
             None if crowd.held >= wanted => {
                 outcome.all_held = (now() - began).as_secs_f64();
-                from = Some((now(), cpu(), carried()));
+                holding = Some((now(), cpu(), loopback_bytes()));
             }
             Some((since, ..)) => {
-                let passed = (now() - *since).as_secs_f64();
-                if early.is_empty() && passed >= plan.seconds / 10.0 {
-                    early = memory();
+                let elapsed = (now() - *since).as_secs_f64();
+                if early_memory.is_empty() && elapsed >= plan.seconds / 10.0 {
+                    early_memory = memory();
                 }
-                if passed >= plan.seconds {
+                if elapsed >= plan.seconds {
                     break;
                 }
             }
             None => {}
         }
     }
-    let (since, cpu_then, carried_then) = from.ok_or("ended before all leases were held")?;
-    let passed = (now() - since).as_secs_f64();
-    outcome.cores = cpu().iter().zip(&cpu_then).map(|(a, b)| (a - b) / passed).collect();
-    outcome.bytes = (carried() - carried_then) / passed;
-    outcome.memory = early.into_iter().zip(memory()).collect();
+    let (since, cpu_at_start, bytes_at_start) =
+        holding.ok_or("the measurement was stopped before all leases were held")?;
+    let elapsed = (now() - since).as_secs_f64();
+    outcome.cores = cpu().iter().zip(&cpu_at_start).map(|(a, b)| (a - b) / elapsed).collect();
+    outcome.bytes = (loopback_bytes() - bytes_at_start) / elapsed;
+    outcome.memory = early_memory.into_iter().zip(memory()).collect();
     outcome.lost = crowd.lost;
     for _ in 0..plan.kills {
         outcome.after_kill.extend(kill_leader(&mut voters, &fleet, &mut crowd, stop)?);
--- a/crates/testing/load-simulator/src/fault_injection/history.rs
+++ b/crates/testing/load-simulator/src/fault_injection/history.rs
@@ -1,86 +1,87 @@
-//! What was observed in a run, and the checker. It knows beliefs, acts and acknowledgements by true time,
-//! and nothing of sessions, voters or logs.
+//! The observations of one run, and the checker for them. All times are true time in seconds. The checker sees
+//! beliefs, acts and acknowledgements only; it has no knowledge of sessions, voters or logs.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// A process believed that it holds a lease, from and until true times in seconds.
+/// An interval in which a process believed that it held a lease.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Belief {
-    /// Which process; a restarted one is another.
+    /// The process's name; a restarted process counts as a different one.
     pub process: String,
-    /// The lease.
+    /// Name of the lease.
     pub lease: String,
-    /// The grant.
+    /// Fencing token of the grant.
     pub token: u64,
-    /// The first time that it was seen to believe.
+    /// The first time at which the belief was observed.
     pub from: f64,
-    /// When its belief ended.
+    /// When the belief ended.
     pub to: f64,
 }
 
-/// An effect outside the fleet.
+/// An effect on a target outside the fleet, made by a process that checked its lease first.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Act {
-    /// Who acted.
+    /// The process that acted.
     pub process: String,
-    /// The lease.
+    /// Name of the lease.
     pub lease: String,
-    /// The grant that it carried.
+    /// Fencing token that the act carried.
     pub token: u64,
-    /// When the process checked that it holds the lease.
+    /// When the process checked that it held the lease.
     pub checked: f64,
     /// When the act reached the target.
     pub arrived: f64,
-    /// Whether a target that keeps the highest token took it.
+    /// Whether a target that stores the highest token seen accepted it.
     pub accepted: bool,
 }
 
-/// An effect that the fleet itself acknowledged.
+/// An effect that the fleet itself recorded for a lease and acknowledged.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Noted {
-    /// Who asked.
+pub struct AcknowledgedEffect {
+    /// The process that requested it.
     pub process: String,
-    /// The lease.
+    /// Name of the lease.
     pub lease: String,
-    /// The grant.
+    /// Fencing token of the grant.
     pub token: u64,
-    /// When it was asked for.
-    pub asked: f64,
-    /// When it was acknowledged.
+    /// When the process sent the request.
+    pub requested: f64,
+    /// When the acknowledgement reached the process.
     pub answered: f64,
 }
 
-/// All that was observed.
+/// All observations of one run.
 #[derive(Clone, Debug, Default)]
 pub struct History {
-    /// Beliefs.
+    /// Beliefs of all processes, in any order.
     pub beliefs: Vec<Belief>,
-    /// Acts.
+    /// Acts that reached a target, in any order.
     pub acts: Vec<Act>,
-    /// Acknowledged effects.
-    pub noted: Vec<Noted>,
-    /// At the end, for each lease: the token of the last effect that the fleet remembers.
-    pub remembered: BTreeMap<String, u64>,
-    /// Processes that got nothing though a majority could talk for long enough.
-    pub stuck: Vec<String>,
-    /// An act that takes no longer from check to target than this must not meet a newer holder.
+    /// Effects that the fleet acknowledged, in any order.
+    pub acknowledged: Vec<AcknowledgedEffect>,
+    /// For each lease, the token of the last effect that the fleet has stored at the end of the run.
+    pub last_effects: BTreeMap<String, u64>,
+    /// Processes that got no lease although a majority of voters could communicate for long enough.
+    pub starved: Vec<String>,
+    /// An act that takes at most this long from check to target must arrive before a newer holder believes; in
+    /// seconds.
     pub grace: f64,
 }
 
-/// What is wrong, with the part of the history that shows it.
+/// A broken rule, with the part of the history that proves it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
-    /// The rule.
+    /// Description of the broken rule.
     pub rule: &'static str,
-    /// The observations that show it, in order of time.
-    pub shows: Vec<String>,
+    /// The observations that prove it, in order of time.
+    pub evidence: Vec<String>,
 }
 
 impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.rule)?;
-        self.shows.iter().try_for_each(|line| write!(f, "\n  {line}"))
+        self.evidence.iter().try_for_each(|line| write!(f, "\n  {line}"))
     }
 }
 
@@ -94,66 +95,75 @@
 impl fmt::Display for Act {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Act { process, lease, token, checked, arrived, accepted } = self;
-        let taken = if *accepted { "taken" } else { "refused" };
+        let verdict = if *accepted { "accepted" } else { "refused" };
         write!(
             f,
-            "{arrived:.6} act of {process} on {lease} under token {token}, checked {checked:.6}: {taken}"
+            "{arrived:.6} act of {process} on {lease} under token {token}, checked {checked:.6}: {verdict}"
         )
     }
 }
 
-impl fmt::Display for Noted {
+impl fmt::Display for AcknowledgedEffect {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Noted { process, lease, token, asked, answered } = self;
-        write!(f, "{asked:.6} to {answered:.6} {process} has an effect on {lease} noted under token {token}")
+        let AcknowledgedEffect { process, lease, token, requested, answered } = self;
+        write!(
+            f,
+            "{requested:.6} to {answered:.6} effect of {process} on {lease} acknowledged under token {token}"
+        )
     }
 }
 
-/// Everything that is wrong with a history.
+/// Returns all violations found in a history.
 pub fn check(history: &History) -> Vec<Violation> {
-    let mut wrong = Vec::new();
-    one_holder(history, &mut wrong);
-    acts_in_order(history, &mut wrong);
-    notes_in_order(history, &mut wrong);
-    for process in &history.stuck {
-        wrong.push(Violation { rule: "a waiting process was never served", shows: vec![process.clone()] });
+    let mut violations = Vec::new();
+    check_mutual_exclusion(history, &mut violations);
+    check_fencing(history, &mut violations);
+    check_acknowledged_effects(history, &mut violations);
+    for process in &history.starved {
+        violations
+            .push(Violation { rule: "a waiting process never got a lease", evidence: vec![process.clone()] });
     }
-    wrong
+    violations
 }
 
-/// Beliefs of two holders never overlap, and a later holder has a higher token.
-fn one_holder(history: &History, wrong: &mut Vec<Violation>) {
+/// Checks that beliefs of two holders never overlap and that a later holder has a higher token.
+fn check_mutual_exclusion(history: &History, violations: &mut Vec<Violation>) {
     let mut beliefs: Vec<&Belief> = history.beliefs.iter().collect();
-    beliefs.sort_by(|a, b| (&a.lease, a.from).partial_cmp(&(&b.lease, b.from)).expect("times are numbers"));
-    // The belief before it that lasts longest: any overlap is an overlap with that one.
-    let mut longest: Option<&Belief> = None;
+    beliefs.sort_by(|a, b| (&a.lease, a.from).partial_cmp(&(&b.lease, b.from)).expect("times are never NaN"));
+    // The earlier belief that ends last: a belief that overlaps any earlier one overlaps this one.
+    let mut latest_ending: Option<&Belief> = None;
     for belief in beliefs {
-        if let Some(before) = longest.filter(|b| b.lease == belief.lease) {
+        if let Some(before) = latest_ending.filter(|b| b.lease == belief.lease) {
             let same = before.token == belief.token && before.process == belief.process;
-            let shows = || vec![before.to_string(), belief.to_string()];
+            let evidence = || vec![before.to_string(), belief.to_string()];
             if !same && belief.from < before.to {
-                wrong.push(Violation { rule: "two processes held one lease at once", shows: shows() });
+                violations
+                    .push(Violation { rule: "two processes held one lease at once", evidence: evidence() });
             } else if belief.token < before.token || (belief.token == before.token && !same) {
-                wrong.push(Violation { rule: "a later grant has no higher token", shows: shows() });
+                violations.push(Violation {
+                    rule: "a later grant does not have a higher token",
+                    evidence: evidence(),
+                });
             }
         }
-        if longest.is_none_or(|b| b.lease != belief.lease || b.to <= belief.to) {
-            longest = Some(belief);
+        if latest_ending.is_none_or(|b| b.lease != belief.lease || b.to <= belief.to) {
+            latest_ending = Some(belief);
         }
     }
 }
 
-/// A target that keeps the highest token takes none that is older; and a target that keeps nothing sees none
-/// of an older holder once a newer one believes, unless the act was under way for longer than the grace.
-fn acts_in_order(history: &History, wrong: &mut Vec<Violation>) {
+/// Checks that a target that stores the highest token accepts no older one, and that a target without fencing sees
+/// no act of an older holder once a newer one believes, unless the act was under way for longer than the grace
+/// period.
+fn check_fencing(history: &History, violations: &mut Vec<Violation>) {
     let mut acts: Vec<&Act> = history.acts.iter().collect();
-    acts.sort_by(|a, b| a.arrived.partial_cmp(&b.arrived).expect("times are numbers"));
+    acts.sort_by(|a, b| a.arrived.partial_cmp(&b.arrived).expect("times are never NaN"));
     let mut highest: BTreeMap<&String, &Act> = BTreeMap::new();
     for act in acts {
         match highest.get(&act.lease) {
-            Some(newer) if newer.token > act.token && act.accepted => wrong.push(Violation {
-                rule: "an older effect was taken after a newer one",
-                shows: vec![newer.to_string(), act.to_string()],
+            Some(newer) if newer.token > act.token && act.accepted => violations.push(Violation {
+                rule: "an act with an older token was accepted after a newer one",
+                evidence: vec![newer.to_string(), act.to_string()],
             }),
             Some(newer) if newer.token >= act.token => {}
             _ if act.accepted => drop(highest.insert(&act.lease, act)),
@@ -164,32 +174,33 @@
         }
         let newer = |b: &&Belief| b.lease == act.lease && b.token > act.token && b.from < act.arrived;
         if let Some(belief) = history.beliefs.iter().find(newer) {
-            wrong.push(Violation {
-                rule: "a prompt act arrived when a newer holder already believed",
-                shows: vec![belief.to_string(), act.to_string()],
+            violations.push(Violation {
+                rule: "an act within the grace period arrived when a newer holder already believed",
+                evidence: vec![belief.to_string(), act.to_string()],
             });
         }
     }
 }
 
-/// Acknowledged effects stand in order of their tokens, and none is forgotten.
-fn notes_in_order(history: &History, wrong: &mut Vec<Violation>) {
-    let mut noted: Vec<&Noted> = history.noted.iter().collect();
-    noted.sort_by(|a, b| a.asked.partial_cmp(&b.asked).expect("times are numbers"));
-    for (at, note) in noted.iter().enumerate() {
-        let before = noted[..at].iter().filter(|n| n.lease == note.lease && n.answered <= note.asked);
-        if let Some(newer) = before.max_by_key(|n| n.token).filter(|n| n.token > note.token) {
-            wrong.push(Violation {
-                rule: "an older effect was noted after a newer one",
-                shows: vec![newer.to_string(), note.to_string()],
+/// Checks that acknowledged effects are in the order of their tokens and that the fleet lost none of them.
+fn check_acknowledged_effects(history: &History, violations: &mut Vec<Violation>) {
+    let mut acknowledged: Vec<&AcknowledgedEffect> = history.acknowledged.iter().collect();
+    acknowledged.sort_by(|a, b| a.requested.partial_cmp(&b.requested).expect("times are never NaN"));
+    for (at, effect) in acknowledged.iter().enumerate() {
+        let before =
+            acknowledged[..at].iter().filter(|n| n.lease == effect.lease && n.answered <= effect.requested);
+        if let Some(newer) = before.max_by_key(|n| n.token).filter(|n| n.token > effect.token) {
+            violations.push(Violation {
+                rule: "an older effect was acknowledged after a newer one",
+                evidence: vec![newer.to_string(), effect.to_string()],
             });
         }
-        let remembered = history.remembered.get(&note.lease).copied().unwrap_or(0);
-        if remembered < note.token {
-            let end = format!("at the end the fleet remembers token {remembered}");
-            wrong.push(Violation {
-                rule: "an acknowledged effect was forgotten",
-                shows: vec![note.to_string(), end],
+        let stored_token = history.last_effects.get(&effect.lease).copied().unwrap_or(0);
+        if stored_token < effect.token {
+            let stored = format!("at the end the fleet has stored token {stored_token}");
+            violations.push(Violation {
+                rule: "an acknowledged effect was lost",
+                evidence: vec![effect.to_string(), stored],
             });
         }
     }
--- a/crates/testing/load-simulator/src/fault_injection/mod.rs
+++ b/crates/testing/load-simulator/src/fault_injection/mod.rs
@@ -1,5 +1,5 @@
-//! Fault injection into a fleet: leases under faults of every kind, in simulated time and with real processes, and a
-//! checker that knows nothing of how leases are made.
+//! Fault injection for leases, in simulated time and with real processes, and a checker for the recorded histories.
+//! The checker is independent of the lease implementation.
 
 pub mod clock;
 pub mod crowd;
@@ -11,15 +11,16 @@
 use std::path::Path;
 use std::process::{Child, Command, Stdio};
 
-/// Starts a process of a run, whose streams nobody reads.
-fn start_quietly(command: &mut Command) -> std::io::Result<Child> {
+/// Spawns a process with all standard streams connected to the null device.
+fn spawn_without_output(command: &mut Command) -> std::io::Result<Child> {
     command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::null()).spawn()
 }
 
-/// What the voters of a fleet's file say of themselves.
-fn voters_of(program: &Path, file: &Path) -> Option<Vec<serde_json::Value>> {
+/// Returns the rows that `fleet status` prints for the voters in a fleet file, or `None` if the command's output
+/// cannot be read.
+fn voter_statuses(program: &Path, fleet_file: &Path) -> Option<Vec<serde_json::Value>> {
     let mut command = Command::new(program);
-    command.args(["fleet", "status", "--output", "json", "--fleet"]).arg(file).stdin(Stdio::null());
+    command.args(["fleet", "status", "--output", "json", "--fleet"]).arg(fleet_file).stdin(Stdio::null());
     let status: serde_json::Value = serde_json::from_slice(&command.output().ok()?.stdout).ok()?;
     status["voters"].as_array().cloned()
 }
--- a/crates/testing/load-simulator/src/fault_injection/relay.rs
+++ b/crates/testing/load-simulator/src/fault_injection/relay.rs
@@ -1,5 +1,5 @@
-//! A relay between two processes: for each direction of a link it can hold bytes back and release them late,
-//! delay them, stop in the middle of a frame, and drop the connections.
+//! A TCP relay that injects faults into the link between two processes. It can block either direction and deliver
+//! the bytes later, delay them, stop in the middle of a frame, and drop all connections.
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -8,97 +8,106 @@
 use std::thread;
 use std::time::Duration;
 
-/// Bytes carried at one go: less than most frames, so that a cut falls in the middle of one.
-const CHUNK: usize = 64;
-/// How often a thread looks whether something changed.
-const LOOK: Duration = Duration::from_millis(5);
+/// Bytes forwarded per read. Smaller than most frames, so that a block takes effect in the middle of a frame.
+const CHUNK_BYTES: usize = 64;
+/// Interval at which the relay's threads check for new connections and for changed faults.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What is wrong with a link now.
+/// The faults currently injected into a link, shared with the relay's threads.
 #[derive(Default)]
-pub struct Wrong {
-    /// Bytes are held back: on the way there, on the way back.
-    pub cut: [AtomicBool; 2],
-    /// Each chunk is delayed by so many milliseconds.
+pub struct LinkFaults {
+    /// Whether bytes are held back, toward the target (index 0) and back from it (index 1).
+    pub blocked: [AtomicBool; 2],
+    /// Delay of each chunk of [`CHUNK_BYTES`], in milliseconds.
     pub delay_ms: AtomicU64,
-    /// Grows with each time that all connections are to be dropped.
-    pub dropped: AtomicU64,
-    /// The relay ends.
-    pub end: AtomicBool,
+    /// Incremented to drop all connections: a connection closes once this differs from the value at its start.
+    pub drop_count: AtomicU64,
+    /// Stops the relay and all its threads.
+    pub shut_down: AtomicBool,
 }
 
-/// A relay.
+/// A relay from a loopback port to one target address. Dropping it stops its threads.
 pub struct Relay {
-    /// Where it listens.
+    /// The loopback address on which the relay accepts connections.
     pub address: SocketAddr,
-    /// What is wrong with it.
-    pub wrong: Arc<Wrong>,
+    /// The faults of this link; writes take effect within [`POLL_INTERVAL`].
+    pub faults: Arc<LinkFaults>,
 }
 
 impl Relay {
-    /// A relay to an address, on a free port of loopback.
+    /// Starts a relay to `to` on a free loopback port.
     ///
     /// # Errors
     ///
-    /// Fails where there is none.
+    /// Returns an error if no port can be bound.
     pub fn start(to: SocketAddr) -> io::Result<Relay> {
-        let door = TcpListener::bind("127.0.0.1:0")?;
-        door.set_nonblocking(true)?;
-        let (address, wrong) = (door.local_addr()?, Arc::new(Wrong::default()));
-        let shared = wrong.clone();
+        let listener = TcpListener::bind("127.0.0.1:0")?;
+        listener.set_nonblocking(true)?;
+        let (address, faults) = (listener.local_addr()?, Arc::new(LinkFaults::default()));
+        let shared = faults.clone();
         thread::spawn(move || {
-            while !shared.end.load(Ordering::Relaxed) {
-                match door.accept() {
+            while !shared.shut_down.load(Ordering::Relaxed) {
+                match listener.accept() {
                     Ok((socket, _)) => {
-                        let wrong = shared.clone();
-                        thread::spawn(move || carry(socket, to, &wrong));
+                        let faults = shared.clone();
+                        thread::spawn(move || forward_connection(socket, to, &faults));
                     }
-                    Err(_) => thread::sleep(LOOK),
+                    Err(_) => thread::sleep(POLL_INTERVAL),
                 }
             }
         });
-        Ok(Relay { address, wrong })
+        Ok(Relay { address, faults })
     }
 }
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        self.wrong.end.store(true, Ordering::Relaxed);
+        self.faults.shut_down.store(true, Ordering::Relaxed);
     }
 }
 
-/// Carries one connection, each direction in a thread.
-fn carry(from: TcpStream, to: SocketAddr, wrong: &Arc<Wrong>) {
-    let dropped = wrong.dropped.load(Ordering::Relaxed);
-    let over = || wrong.end.load(Ordering::Relaxed) || wrong.dropped.load(Ordering::Relaxed) != dropped;
-    // A call doesn't come up while the way there is cut.
-    while wrong.cut[0].load(Ordering::Relaxed) {
-        if over() {
+/// Forwards one connection, with one thread for each direction.
+fn forward_connection(from: TcpStream, to: SocketAddr, faults: &Arc<LinkFaults>) {
+    let drop_count = faults.drop_count.load(Ordering::Relaxed);
+    let closed = || {
+        faults.shut_down.load(Ordering::Relaxed) || faults.drop_count.load(Ordering::Relaxed) != drop_count
+    };
+    // No upstream connection is made while the direction toward the target is blocked.
+    while faults.blocked[0].load(Ordering::Relaxed) {
+        if closed() {
             return;
         }
-        thread::sleep(LOOK);
+        thread::sleep(POLL_INTERVAL);
     }
-    let Ok(onward) = TcpStream::connect_timeout(&to, Duration::from_secs(1)) else { return };
-    let pair = |a: &TcpStream, b: &TcpStream| Some((a.try_clone().ok()?, b.try_clone().ok()?));
-    let Some((back_from, back_to)) = pair(&onward, &from) else { return };
-    let shared = wrong.clone();
-    let back = thread::spawn(move || pump(back_from, back_to, 1, dropped, &shared));
-    pump(from, onward, 0, dropped, wrong);
+    let Ok(upstream) = TcpStream::connect_timeout(&to, Duration::from_secs(1)) else { return };
+    let clone_both = |a: &TcpStream, b: &TcpStream| Some((a.try_clone().ok()?, b.try_clone().ok()?));
+    let Some((back_from, back_to)) = clone_both(&upstream, &from) else { return };
+    let shared = faults.clone();
+    let back = thread::spawn(move || forward_bytes(back_from, back_to, 1, drop_count, &shared));
+    forward_bytes(from, upstream, 0, drop_count, faults);
     let _ = back.join();
 }
 
-fn pump(mut from: TcpStream, mut to: TcpStream, way: usize, dropped: u64, wrong: &Wrong) {
-    let _ = from.set_read_timeout(Some(LOOK));
+fn forward_bytes(
+    mut from: TcpStream,
+    mut to: TcpStream,
+    direction: usize,
+    drop_count: u64,
+    faults: &LinkFaults,
+) {
+    let _ = from.set_read_timeout(Some(POLL_INTERVAL));
     let _ = to.set_nodelay(true);
-    let mut buffer = [0; CHUNK];
-    while !wrong.end.load(Ordering::Relaxed) && wrong.dropped.load(Ordering::Relaxed) == dropped {
-        if wrong.cut[way].load(Ordering::Relaxed) {
-            thread::sleep(LOOK);
+    let mut buffer = [0; CHUNK_BYTES];
+    while !faults.shut_down.load(Ordering::Relaxed) && faults.drop_count.load(Ordering::Relaxed) == drop_count
+    {
+        if faults.blocked[direction].load(Ordering::Relaxed) {
+            thread::sleep(POLL_INTERVAL);
             continue;
         }
         match from.read(&mut buffer) {
             Ok(0) => break,
             Ok(n) => {
-                let delay = wrong.delay_ms.load(Ordering::Relaxed);
+                let delay = faults.delay_ms.load(Ordering::Relaxed);
                 if delay > 0 {
                     thread::sleep(Duration::from_millis(delay));
                 }
--- a/crates/testing/load-simulator/src/fault_injection/timed.rs
+++ b/crates/testing/load-simulator/src/fault_injection/timed.rs
@@ -1,5 +1,5 @@
-//! Fault injection in simulated time: the real voters with their journals, the real clients and frames, on links,
-//! disks and clocks that fail as the seed says.
+//! Fault injection in simulated time. Voters with their journals, clients and frames are the production code; the
+//! links, disks and clocks are simulated, and their faults are drawn from a seed.
 
 mod actors;
 mod connections;
@@ -7,7 +7,7 @@
 mod members;
 
 use super::clock::Clock;
-use super::history::{check, Act, Belief, History, Noted, Violation};
+use super::history::{check, AcknowledgedEffect, Act, Belief, History, Violation};
 use crate::random::{Stream, Streams};
 use passrelay_lease_consensus::client::{Client, News};
 use passrelay_lease_consensus::lease_table::{Op, Reply};
@@ -23,46 +23,46 @@
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 use std::time::Duration;
 
-/// The fleet's number in frames.
+/// The fleet identifier in frames.
 const FLEET: u64 = 7;
-/// Faults begin here: the first start needs all voters.
-const CALM_UNTIL: f64 = 2.0;
-/// After the last fault, so long for everyone to get on.
-const HEALING: f64 = 14.0;
-/// Times to live of sessions and leases, in ms.
+/// When faults begin, in simulated seconds. A fleet's first start needs all voters.
+const FAULTS_FROM: f64 = 2.0;
+/// Seconds after the last fault within which each client has to get a lease.
+const RECOVERY: f64 = 14.0;
+/// Times to live from which those of sessions and leases are chosen, in ms.
 const TTLS_MS: [u64; 3] = [600, 1000, 2000];
-/// How long a process waits in line before it leaves it.
-const PATIENCE: f64 = 8.0;
+/// Seconds after which a client stops waiting for a lease, except while the fleet recovers.
+const MAX_WAIT: f64 = 8.0;
 
-/// What is played.
+/// Parameters of one simulated run.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
-    /// Voters.
+    /// Number of voters at the start.
     pub voters: usize,
-    /// Voters that can be added.
+    /// Number of further voters that can be added during the run.
     pub spares: usize,
-    /// Clients.
+    /// Number of clients, which compete for half as many leases.
     pub clients: usize,
-    /// Seconds with faults.
+    /// Simulated seconds during which faults are injected.
     pub seconds: f64,
     /// The lock delay, in seconds.
     pub lock_delay: f64,
-    /// The seed.
+    /// Seed of all random draws of the run.
     pub seed: u64,
-    /// A wrong version of a part, to see that it is caught.
+    /// A deliberately broken variant of the code under test, which the checker has to detect.
     pub mutant: Option<Mutant>,
 }
 
-/// What a history came to.
+/// Result of one simulated run.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
-    /// What is wrong.
+    /// Violations that the checker found; empty for a correct run.
     pub violations: Vec<Violation>,
-    /// The faults, in order.
+    /// Log of the injected faults in order of time, followed by the final state of each voter.
     pub faults: Vec<String>,
-    /// Grants that somebody believed in.
+    /// Number of grants that a client believed to hold.
     pub grants: usize,
-    /// Acts outside and effects inside.
+    /// Number of acts on targets plus effects that the fleet acknowledged.
     pub effects: usize,
 }
 
@@ -70,7 +70,7 @@
 type ConnId = usize;
 
 #[derive(Clone, Debug)]
-enum Item {
+enum Segment {
     Open,
     Bytes(Vec<u8>),
     Close,
@@ -79,115 +79,127 @@
 struct Conn {
     ends: [ProcId; 2],
     open: [bool; 2],
-    /// When the last item arrives in each direction: links keep the order.
-    last: [f64; 2],
-    held: [VecDeque<Item>; 2],
+    /// Latest scheduled arrival in each direction; later items must not arrive earlier, as links preserve order.
+    last_arrival: [f64; 2],
+    /// Items sent from each end while its direction was cut, delivered once the link is restored.
+    held: [VecDeque<Segment>; 2],
 }
 
 enum Event {
-    Arrive { conn: ConnId, to: usize, item: Item },
+    Arrive { conn: ConnId, to: usize, segment: Segment },
     Tick { proc: ProcId, life: u32 },
     Fault,
     Undo(Undo),
-    Land(Act),
+    ActArrival(Act),
 }
 
 #[derive(Clone, Debug)]
 enum Undo {
-    Heal(ProcId, ProcId),
-    Go(ProcId),
-    Start(ProcId),
-    Disk(ProcId),
-    /// Not an undoing: it falls silent again, until then.
-    Mute(ProcId, f64),
+    RestoreLink(ProcId, ProcId),
+    Resume(ProcId),
+    Restart(ProcId),
+    RepairDisk(ProcId),
+    /// Starts a fault instead of undoing one: silences the process again, until the given time.
+    Silence(ProcId, f64),
 }
 
-struct Due(f64, u64, Event);
+/// An event with its time and its sequence number, which orders events of equal time.
+struct ScheduledEvent(f64, u64, Event);
 
-impl PartialEq for Due {
-    fn eq(&self, other: &Due) -> bool {
+impl PartialEq for ScheduledEvent {
+    fn eq(&self, other: &ScheduledEvent) -> bool {
         (self.0, self.1) == (other.0, other.1)
     }
 }
-impl Eq for Due {}
-impl PartialOrd for Due {
-    fn partial_cmp(&self, other: &Due) -> Option<std::cmp::Ordering> {
+impl Eq for ScheduledEvent {}
+impl PartialOrd for ScheduledEvent {
+    fn partial_cmp(&self, other: &ScheduledEvent) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
-impl Ord for Due {
-    fn cmp(&self, other: &Due) -> std::cmp::Ordering {
+impl Ord for ScheduledEvent {
+    fn cmp(&self, other: &ScheduledEvent) -> std::cmp::Ordering {
         self.0.total_cmp(&other.0).then(self.1.cmp(&other.1))
     }
 }
 
-/// What a client process is about.
+/// What a client process is doing.
 #[derive(Clone, Debug)]
-enum Doing {
+enum Activity {
     Idle { until: f64 },
-    Wanting { lease: String, since: f64, ttl_ms: u64, wait: bool },
+    Waiting { lease: String, since: f64, ttl_ms: u64, wait: bool },
     Acting { lease: String, next: f64, end: f64, busy: f64 },
     Leaving { seq: u64 },
 }
 
-struct Member {
+/// A client process with its connection and its current activity.
+struct ClientHost {
     client: Client,
     conn: Option<ConnId>,
-    /// Which of `voters` it is with.
+    /// Index in `voters` of the voter it is connected to.
     voter: usize,
     voters: Vec<ProcId>,
-    call_at: f64,
-    doing: Doing,
-    /// Effects asked of the fleet: lease, token, when.
-    asked: BTreeMap<u64, (String, u64, f64)>,
-    /// An effect that was checked, and is asked for later: the process was busy in between.
-    late: Option<(f64, Op, String, u64)>,
+    connect_at: f64,
+    activity: Activity,
+    /// Effects requested from the fleet and not yet answered, by sequence number: lease, token, time of the request.
+    pending_effects: BTreeMap<u64, (String, u64, f64)>,
+    /// An effect that was checked but is requested later, as if the process had been busy in between: time of the
+    /// request, operation, lease, token.
+    deferred_effect: Option<(f64, Op, String, u64)>,
+    /// Current beliefs by lease and token: their start in true time and their end by the local clock.
     beliefs: BTreeMap<(String, u64), (f64, Duration)>,
-    served: u32,
-    calm: bool,
+    grants_after_healing: u32,
+    /// Whether faults have ended.
+    healed: bool,
 }
 
-struct Desk {
+/// A voter process with its disk and its connections to other voters.
+struct VoterHost {
     durable: Option<DurableVoter<MemoryDisk>>,
     disk: MemoryDisk,
-    old: Option<MemoryDisk>,
-    called: Vec<Option<ConnId>>,
-    call_at: Vec<f64>,
-    /// Its disk was lost or is an older copy: it is out, and another comes in its place.
-    out: bool,
-    /// The voters of its file; none while it is a spare.
-    file: Vec<VoterId>,
+    /// A copy of the disk from earlier in the run, for faults that roll the disk back.
+    older_copy: Option<MemoryDisk>,
+    outgoing: Vec<Option<ConnId>>,
+    connect_at: Vec<f64>,
+    /// Whether its disk was lost or replaced by an older copy. Such a voter no longer counts, and another may
+    /// replace it.
+    disk_invalid: bool,
+    /// The voters in its configuration file; empty while the host is a spare.
+    config: Vec<VoterId>,
 }
 
-/// Whoever adds and removes voters, one after another, asking until each is done.
+/// The operator that adds and removes voters one at a time, repeating each request until it is done.
 #[derive(Default)]
 struct Operator {
-    orders: VecDeque<Order>,
+    pending_changes: VecDeque<MembershipChange>,
     conn: Option<ConnId>,
-    ask_at: f64,
+    request_at: f64,
     ticket: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Order {
+enum MembershipChange {
     Add(ProcId),
     Remove(ProcId),
 }
 
 enum Role {
-    Voter(Box<Desk>),
-    Client(Box<Member>),
+    Voter(Box<VoterHost>),
+    Client(Box<ClientHost>),
     Operator(Operator),
 }
 
 struct Proc {
     name: String,
     clock: Clock,
-    /// What somebody set the wall clock ahead by.
-    wall: f64,
+    /// Seconds by which the wall clock was set ahead.
+    wall_ahead: f64,
     up: bool,
+    /// Whether the process is suspended, as by `SIGSTOP`.
     stopped: bool,
-    inbox: VecDeque<(ConnId, usize, Item)>,
+    /// What arrived while the process was suspended.
+    inbox: VecDeque<(ConnId, usize, Segment)>,
+    /// Number of starts; events of an earlier life are ignored.
     life: u32,
     role: Role,
 }
@@ -195,37 +207,41 @@
 struct World {
     plan: Plan,
     now: f64,
-    number: u64,
-    due: BinaryHeap<Reverse<Due>>,
+    event_count: u64,
+    queue: BinaryHeap<Reverse<ScheduledEvent>>,
     procs: Vec<Proc>,
     conns: Vec<Conn>,
+    /// Whether the link from one process to another is cut, one direction at a time.
     cut: Vec<Vec<bool>>,
+    /// Typical delay of links, in seconds.
     delay: f64,
     random: Stream,
     faults: Vec<String>,
     history: History,
-    targets: BTreeMap<String, u64>,
+    /// The highest token that the target of each lease has seen.
+    target_tokens: BTreeMap<String, u64>,
+    /// Whether faults have ended and the fleet recovers.
     healing: bool,
-    /// Who votes when all orders so far are done.
+    /// The voters once all pending changes are done.
     membership: Vec<ProcId>,
 }
 
-/// Plays one history.
+/// Runs one simulation and checks its history.
 pub fn play(plan: Plan) -> Outcome {
     turn_on(plan.mutant);
     let mut world = World::new(plan);
-    // A voter that ends itself over what it finds is seen like any other fault of the code under test.
-    let ended = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| world.run()));
+    // A panic, as of a voter that finds invalid state, is reported like any other violation.
+    let result = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| world.run()));
     turn_on(None);
-    if let Err(panic) = ended {
-        let said = panic.downcast_ref::<String>().cloned().unwrap_or_default();
-        let violations = vec![Violation { rule: "a process ended itself", shows: vec![said] }];
+    if let Err(panic) = result {
+        let message = panic.downcast_ref::<String>().cloned().unwrap_or_default();
+        let violations = vec![Violation { rule: "a process panicked", evidence: vec![message] }];
         return Outcome { violations, faults: world.faults, ..Outcome::default() };
     }
-    let History { beliefs, acts, noted, .. } = &world.history;
+    let History { beliefs, acts, acknowledged, .. } = &world.history;
     Outcome {
         grants: beliefs.iter().map(|b| b.token).collect::<std::collections::BTreeSet<_>>().len(),
-        effects: acts.len() + noted.len(),
+        effects: acts.len() + acknowledged.len(),
         violations: check(&world.history),
         faults: world.faults,
     }
@@ -234,38 +250,38 @@
 impl World {
     fn new(plan: Plan) -> World {
         let mut random = Streams::new(plan.seed).of("siege", 0);
-        let desks = plan.voters + plan.spares;
-        let size = desks + plan.clients + 1;
+        let voter_hosts = plan.voters + plan.spares;
+        let size = voter_hosts + plan.clients + 1;
         let mut procs = Vec::new();
         for at in 0..size {
-            // Often close to the bound that the promise is given for.
+            // Often close to 10 % fast or slow, the bound up to which the guarantees hold.
             let rate = if random.random_bool(0.4) {
                 [0.902, 1.098][random.random_range(0..2)]
             } else {
                 random.random_range(0.91..1.09)
             };
             let clock = Clock::new(random.random_range(0.0..86_400.0), rate);
-            let voter = at < desks;
+            let voter = at < voter_hosts;
             let name = match at {
                 _ if voter => format!("voter-{}", at + 1),
                 _ if at + 1 == size => "operator".to_owned(),
-                _ => format!("client-{}", at - desks),
+                _ => format!("client-{}", at - voter_hosts),
             };
             let founders = (1..=plan.voters as u64).collect();
             let role = if at + 1 == size {
                 Role::Operator(Operator::default())
             } else if voter {
-                Role::Voter(Box::new(Desk {
+                Role::Voter(Box::new(VoterHost {
                     durable: None,
                     disk: MemoryDisk::default(),
-                    old: None,
-                    called: vec![None; desks],
-                    call_at: vec![0.0; desks],
-                    out: false,
-                    file: if at < plan.voters { founders } else { Vec::new() },
+                    older_copy: None,
+                    outgoing: vec![None; voter_hosts],
+                    connect_at: vec![0.0; voter_hosts],
+                    disk_invalid: false,
+                    config: if at < plan.voters { founders } else { Vec::new() },
                 }))
             } else {
-                Role::Client(Box::new(Member::new(
+                Role::Client(Box::new(ClientHost::new(
                     &name,
                     random.random(),
                     random.random_range(0..plan.voters),
@@ -273,13 +289,22 @@
                 )))
             };
             let inbox = VecDeque::new();
-            procs.push(Proc { name, clock, wall: 0.0, up: false, stopped: false, inbox, life: 0, role });
+            procs.push(Proc {
+                name,
+                clock,
+                wall_ahead: 0.0,
+                up: false,
+                stopped: false,
+                inbox,
+                life: 0,
+                role,
+            });
         }
         let mut world = World {
             plan,
             now: 0.0,
-            number: 0,
-            due: BinaryHeap::new(),
+            event_count: 0,
+            queue: BinaryHeap::new(),
             procs,
             conns: Vec::new(),
             cut: vec![vec![false; size]; size],
@@ -287,95 +312,95 @@
             random,
             faults: Vec::new(),
             history: History { grace: plan.lock_delay / 1.1, ..History::default() },
-            targets: BTreeMap::new(),
+            target_tokens: BTreeMap::new(),
             healing: false,
             membership: (0..plan.voters).collect(),
         };
         (0..size).for_each(|p| world.start(p));
-        world.at(CALM_UNTIL, Event::Fault);
+        world.schedule(FAULTS_FROM, Event::Fault);
         world
     }
 
-    fn at(&mut self, time: f64, event: Event) {
-        self.number += 1;
-        self.due.push(Reverse(Due(time, self.number, event)));
+    fn schedule(&mut self, time: f64, event: Event) {
+        self.event_count += 1;
+        self.queue.push(Reverse(ScheduledEvent(time, self.event_count, event)));
     }
 
     fn run(&mut self) {
-        let end = CALM_UNTIL + self.plan.seconds;
-        while let Some(Reverse(Due(time, _, event))) = self.due.pop() {
+        let end = FAULTS_FROM + self.plan.seconds;
+        while let Some(Reverse(ScheduledEvent(time, _, event))) = self.queue.pop() {
             if time >= end && !self.healing {
                 self.heal_all();
             }
-            if time >= end + HEALING {
+            if time >= end + RECOVERY {
                 break;
             }
             self.now = time;
             match event {
-                Event::Arrive { conn, to, item } => self.arrive(conn, to, item),
+                Event::Arrive { conn, to, segment } => self.arrive(conn, to, segment),
                 Event::Tick { proc, life } => self.tick(proc, life),
                 Event::Fault if !self.healing => {
-                    self.fault();
+                    self.inject_fault();
                     let next = self.now + self.random.random_range(0.05..1.2);
-                    self.at(next, Event::Fault);
+                    self.schedule(next, Event::Fault);
                 }
                 Event::Fault => {}
                 Event::Undo(undo) => self.undo(&undo),
-                Event::Land(act) => self.land(act),
+                Event::ActArrival(act) => self.record_act(act),
             }
         }
-        self.conclude();
+        self.finish();
     }
 
-    /// Processes that vote or may be added; clients come behind them.
-    fn desks(&self) -> usize {
+    /// Number of processes that are voters or spares; they precede the clients in `procs`.
+    fn voter_hosts(&self) -> usize {
         self.plan.voters + self.plan.spares
     }
 
-    fn local(&self, proc: ProcId) -> Duration {
-        let wall = if is(Mutant::WallClock) { self.procs[proc].wall } else { 0.0 };
-        self.procs[proc].clock.shows(self.now) + Duration::from_secs_f64(wall)
+    /// Returns a process's local time.
+    fn local_time(&self, proc: ProcId) -> Duration {
+        let wall = if is(Mutant::WallClock) { self.procs[proc].wall_ahead } else { 0.0 };
+        self.procs[proc].clock.reading(self.now) + Duration::from_secs_f64(wall)
     }
 
-    // Processes.
-
     fn start(&mut self, proc: ProcId) {
-        let now = self.local(proc);
+        let now = self.local_time(proc);
         let fresh = self.random.random();
-        let (founders, desks) = (self.plan.voters, self.desks());
+        let (founders, voter_hosts) = (self.plan.voters, self.voter_hosts());
         let lock_delay = Duration::from_secs_f64(self.plan.lock_delay);
         let p = &mut self.procs[proc];
-        if matches!(&p.role, Role::Voter(desk) if desk.file.is_empty()) {
+        if matches!(&p.role, Role::Voter(host) if host.config.is_empty()) {
             return;
         }
         (p.up, p.stopped, p.life) = (true, false, p.life + 1);
         p.inbox.clear();
         match &mut p.role {
-            Role::Voter(desk) => {
+            Role::Voter(host) => {
                 let identity = VoterIdentity {
                     voter: proc as u64 + 1,
-                    voters: desk.file.clone(),
+                    voters: host.config.clone(),
                     joins: proc >= founders,
                     lock_delay,
                     new_disk: fresh,
                     life: fresh,
                 };
-                let disk = desk.disk.clone();
+                let disk = host.disk.clone();
                 let open = Box::new(move || Ok(disk.clone()));
-                // A disk that is full at the start: the durable is tried again with the next tick.
-                desk.durable = DurableVoter::open(identity, open, now).ok();
-                desk.called = vec![None; desks];
-                desk.call_at = vec![0.0; desks];
+                // Opening fails if the disk is full; the next tick tries again.
+                host.durable = DurableVoter::open(identity, open, now).ok();
+                host.outgoing = vec![None; voter_hosts];
+                host.connect_at = vec![0.0; voter_hosts];
             }
-            Role::Client(member) => {
-                let (voter, calm, served) = (member.voter, member.calm, member.served);
-                **member = Member::new(&p.name.clone(), fresh, voter, member.voters.clone());
-                (member.calm, member.served) = (calm, served);
+            Role::Client(client_host) => {
+                let (voter, healed, grants_after_healing) =
+                    (client_host.voter, client_host.healed, client_host.grants_after_healing);
+                **client_host = ClientHost::new(&p.name.clone(), fresh, voter, client_host.voters.clone());
+                (client_host.healed, client_host.grants_after_healing) = (healed, grants_after_healing);
             }
             Role::Operator(operator) => operator.conn = None,
         }
         let life = p.life;
-        self.at(self.now + 0.02, Event::Tick { proc, life });
+        self.schedule(self.now + 0.02, Event::Tick { proc, life });
     }
 
     fn kill(&mut self, proc: ProcId) {
@@ -386,8 +411,8 @@
         let p = &mut self.procs[proc];
         (p.up, p.stopped) = (false, false);
         p.inbox.clear();
-        if let Role::Voter(desk) = &mut p.role {
-            desk.durable = None;
+        if let Role::Voter(host) = &mut p.role {
+            host.durable = None;
         }
         for conn in 0..self.conns.len() {
             for end in 0..2 {
@@ -398,81 +423,93 @@
         }
     }
 
-    // Links.
-
-    fn say(&mut self, what: String) {
-        self.faults.push(format!("{:.3} {what}", self.now));
+    fn log_fault(&mut self, text: String) {
+        self.faults.push(format!("{:.3} {text}", self.now));
     }
 
-    fn conclude(&mut self) {
-        for proc in 0..self.desks() {
-            if let Role::Voter(desk) = &self.procs[proc].role {
-                let durable = desk.durable.as_ref();
-                let how = durable.map_or_else(|| "no voter".to_owned(), |s| format!("{:?}", s.status()));
-                self.say(how);
+    fn finish(&mut self) {
+        for proc in 0..self.voter_hosts() {
+            if let Role::Voter(host) = &self.procs[proc].role {
+                let durable = host.durable.as_ref();
+                let status =
+                    durable.map_or_else(|| "voter not running".to_owned(), |s| format!("{:?}", s.status()));
+                self.log_fault(status);
             }
         }
-        for proc in self.desks()..self.procs.len() {
+        for proc in self.voter_hosts()..self.procs.len() {
             self.end_beliefs(proc);
             let p = &self.procs[proc];
-            if let Role::Client(member) = &p.role {
-                if member.served == 0 {
-                    self.history.stuck.push(format!("{}: {:?}", p.name, member.doing));
+            if let Role::Client(client_host) = &p.role {
+                if client_host.grants_after_healing == 0 {
+                    self.history.starved.push(format!("{}: {:?}", p.name, client_host.activity));
                 }
             }
         }
         let voters = self.procs.iter().filter_map(|p| match &p.role {
-            Role::Voter(desk) => desk.durable.as_ref()?.voter().filter(|v| v.votes()),
+            Role::Voter(host) => host.durable.as_ref()?.voter().filter(|v| v.votes()),
             Role::Client(_) | Role::Operator(_) => None,
         });
         if let Some(voter) = voters.max_by_key(|v| v.status().applied) {
             let leases = voter.table().leases().iter();
-            self.history.remembered = leases.map(|(name, lease)| (name.clone(), lease.effect)).collect();
+            self.history.last_effects = leases.map(|(name, lease)| (name.clone(), lease.effect)).collect();
         }
     }
 }
 
-/// Clients of a history.
-pub const CLIENTS: usize = 4;
+/// Default number of clients of a run.
+pub const DEFAULT_CLIENTS: usize = 4;
 
-/// The plan of a seed: three voters and five in turn, half as many leases as clients, fifteen seconds of faults.
-pub fn drawn(seed: u64, clients: usize, mutant: Option<Mutant>) -> Plan {
+/// Returns the plan for a seed: three voters for even seeds and five for odd ones, three spares, half as many leases as
+/// clients, and fifteen seconds of faults.
+pub fn plan_for_seed(seed: u64, clients: usize, mutant: Option<Mutant>) -> Plan {
     let voters = if seed % 2 == 0 { 3 } else { 5 };
-    // A short one hides less of what goes wrong.
+    // A short lock delay hides fewer faults.
     let lock_delay = if seed % 3 == 0 { 0.02 } else { 0.2 };
     Plan { lock_delay, voters, spares: 3, clients, seconds: 15.0, seed, mutant }
 }
 
-/// What many histories came to.
+/// Combined result of many runs.
 #[derive(Clone, Debug, Default)]
-pub struct Many {
-    /// Histories played.
+pub struct Summary {
+    /// Number of runs.
     pub played: usize,
-    /// Faults, grants, effects in all of them.
-    pub counts: (usize, usize, usize),
-    /// The lowest seed with a violation, and what it came to.
-    pub first: Option<(u64, Outcome)>,
-    /// Histories with a violation.
+    /// Injected faults in all runs, counted by their log lines.
+    pub faults: usize,
+    /// Sum of [`Outcome::grants`] over all runs.
+    pub grants: usize,
+    /// Sum of [`Outcome::effects`] over all runs.
+    pub effects: usize,
+    /// The lowest seed with a violation, and its outcome.
+    pub first_violation: Option<(u64, Outcome)>,
+    /// Number of runs with a violation.
     pub violated: usize,
 }
 
-/// Plays the histories of these seeds on all cores.
-pub fn play_many(seeds: std::ops::Range<u64>, clients: usize, mutant: Option<Mutant>) -> Many {
+/// Runs the simulations of these seeds on all cores.
+pub fn play_many(seeds: std::ops::Range<u64>, clients: usize, mutant: Option<Mutant>) -> Summary {
     use rayon::prelude::*;
-    let one = |seed: u64| {
-        let outcome = play(drawn(seed, clients, mutant));
-        let counts = (outcome.faults.len(), outcome.grants, outcome.effects);
-        let bad = !outcome.violations.is_empty();
-        Many { played: 1, counts, violated: usize::from(bad), first: bad.then_some((seed, outcome)) }
+    let run_one = |seed: u64| {
+        let outcome = play(plan_for_seed(seed, clients, mutant));
+        let violated = !outcome.violations.is_empty();
+        Summary {
+            played: 1,
+            faults: outcome.faults.len(),
+            grants: outcome.grants,
+            effects: outcome.effects,
+            violated: usize::from(violated),
+            first_violation: violated.then_some((seed, outcome)),
+        }
     };
-    let join = |a: Many, b: Many| Many {
+    let combine = |a: Summary, b: Summary| Summary {
         played: a.played + b.played,
-        counts: (a.counts.0 + b.counts.0, a.counts.1 + b.counts.1, a.counts.2 + b.counts.2),
+        faults: a.faults + b.faults,
+        grants: a.grants + b.grants,
+        effects: a.effects + b.effects,
         violated: a.violated + b.violated,
-        first: match (a.first, b.first) {
+        first_violation: match (a.first_violation, b.first_violation) {
             (Some(a), Some(b)) => Some(if a.0 < b.0 { a } else { b }),
             (a, b) => a.or(b),
         },
     };
-    seeds.into_par_iter().map(one).reduce(Many::default, join)
+    seeds.into_par_iter().map(run_one).reduce(Summary::default, combine)
 }
--- a/crates/testing/load-simulator/src/fault_injection/timed/actors.rs
+++ b/crates/testing/load-simulator/src/fault_injection/timed/actors.rs
@@ -1,4 +1,4 @@
-//! What voters, clients and the operator do on their own: turns, leases, beliefs.
+//! Periodic work of voters, clients and the operator, and the tracking of clients' beliefs.
 
 use super::*;
 
@@ -15,80 +15,82 @@
             }
         }
         let next = self.now + self.random.random_range(0.015..0.025);
-        self.at(next, Event::Tick { proc, life });
+        self.schedule(next, Event::Tick { proc, life });
     }
 
     pub(super) fn tick_voter(&mut self, proc: ProcId) {
-        let now = self.local(proc);
-        let Role::Voter(desk) = &mut self.procs[proc].role else { return };
-        let Some(durable) = &mut desk.durable else {
-            // A new life has a tick of its own.
+        let now = self.local_time(proc);
+        let Role::Voter(host) = &mut self.procs[proc].role else { return };
+        let Some(durable) = &mut host.durable else {
+            // A successful start schedules the ticks of the new life.
             return self.start(proc);
         };
         let reset = durable.tick(now).reset;
         if reset {
-            self.reset(proc);
+            self.close_connections(proc);
         }
-        for other in self.others(proc) {
-            let Role::Voter(desk) = &mut self.procs[proc].role else { return };
-            if other == proc || desk.called[other].is_some() || self.now < desk.call_at[other] {
+        for other in self.known_voters(proc) {
+            let Role::Voter(host) = &mut self.procs[proc].role else { return };
+            if other == proc || host.outgoing[other].is_some() || self.now < host.connect_at[other] {
                 continue;
             }
             let wait = self.random.random_range(0.05..0.3);
-            let conn = self.call(proc, other);
-            let Role::Voter(desk) = &mut self.procs[proc].role else { return };
-            desk.called[other] = Some(conn);
-            desk.call_at[other] = self.now + wait;
-            if let Some(durable) = &mut desk.durable {
+            let conn = self.connect(proc, other);
+            let Role::Voter(host) = &mut self.procs[proc].role else { return };
+            host.outgoing[other] = Some(conn);
+            host.connect_at[other] = self.now + wait;
+            if let Some(durable) = &mut host.durable {
                 durable.linked(other as u64 + 1);
             }
         }
-        self.turn(proc);
+        self.run_voter(proc);
     }
 
-    /// The voters that a voter knows of; those of its file while it knows none.
-    pub(super) fn others(&self, proc: ProcId) -> Vec<ProcId> {
-        let Role::Voter(desk) = &self.procs[proc].role else { return Vec::new() };
-        let known = desk.durable.as_ref().and_then(DurableVoter::voter).map(|v| {
+    /// Returns the voters that a voter knows, or those in its configuration file while it knows none.
+    pub(super) fn known_voters(&self, proc: ProcId) -> Vec<ProcId> {
+        let Role::Voter(host) = &self.procs[proc].role else { return Vec::new() };
+        let known = host.durable.as_ref().and_then(DurableVoter::voter).map(|v| {
             let visitors = v.visitors().keys().copied().filter(|_| !v.membership().places().is_empty());
             v.membership().voters().into_iter().chain(visitors).collect::<Vec<_>>()
         });
-        let voters = known.filter(|k| !k.is_empty()).unwrap_or_else(|| desk.file.clone());
+        let voters = known.filter(|k| !k.is_empty()).unwrap_or_else(|| host.config.clone());
         voters.iter().map(|v| *v as usize - 1).collect()
     }
 
     pub(super) fn tick_operator(&mut self, proc: ProcId) {
         let voter = self.membership[self.random.random_range(0..self.membership.len())];
         let Role::Operator(operator) = &mut self.procs[proc].role else { return };
-        let Some(order) = operator.orders.front().copied().filter(|_| self.now >= operator.ask_at) else {
+        let Some(order) =
+            operator.pending_changes.front().copied().filter(|_| self.now >= operator.request_at)
+        else {
             return;
         };
-        operator.ask_at = self.now + 0.6;
+        operator.request_at = self.now + 0.6;
         let (before, ticket) = (operator.conn.take(), operator.ticket);
         if let Some(conn) = before {
             self.close(conn, 0);
         }
         let change = match order {
-            Order::Remove(which) => Change::Remove { voter: which as u64 + 1 },
-            Order::Add(which) => {
-                let Role::Voter(desk) = &self.procs[which].role else { return };
-                // Its disk's name counts once it is lasting.
-                let Some(disk) = desk.durable.as_ref().map(|s| s.status().disk).filter(|d| *d > 0) else {
+            MembershipChange::Remove(which) => Change::Remove { voter: which as u64 + 1 },
+            MembershipChange::Add(which) => {
+                let Role::Voter(host) = &self.procs[which].role else { return };
+                // The disk identifier counts once it is durable.
+                let Some(disk) = host.durable.as_ref().map(|s| s.status().disk).filter(|d| *d > 0) else {
                     return;
                 };
                 let place = Place { address: format!("127.0.0.1:{}", which + 1), disk };
                 Change::Add { voter: which as u64 + 1, place }
             }
         };
-        let conn = self.call(proc, voter);
+        let conn = self.connect(proc, voter);
         if let Role::Operator(operator) = &mut self.procs[proc].role {
             operator.conn = Some(conn);
         }
-        self.send(conn, 0, Item::Bytes(encode(FLEET, &Frame::Client(Say::Change { ticket, change }))));
+        self.send(conn, 0, Segment::Bytes(encode(FLEET, &Frame::Client(Say::Change { ticket, change }))));
     }
 
-    /// Closes all of a voter's links.
-    pub(super) fn reset(&mut self, proc: ProcId) {
+    /// Closes all connections of a voter.
+    pub(super) fn close_connections(&mut self, proc: ProcId) {
         for conn in 0..self.conns.len() {
             for end in 0..2 {
                 if self.conns[conn].ends[end] == proc {
@@ -96,113 +98,116 @@
                 }
             }
         }
-        if let Role::Voter(desk) = &mut self.procs[proc].role {
-            desk.called.fill(None);
+        if let Role::Voter(host) = &mut self.procs[proc].role {
+            host.outgoing.fill(None);
         }
     }
 
-    pub(super) fn turn(&mut self, proc: ProcId) {
-        let now = self.local(proc);
-        let Role::Voter(desk) = &mut self.procs[proc].role else { return };
-        let Some(durable) = &mut desk.durable else { return };
+    pub(super) fn run_voter(&mut self, proc: ProcId) {
+        let now = self.local_time(proc);
+        let Role::Voter(host) = &mut self.procs[proc].role else { return };
+        let Some(durable) = &mut host.durable else { return };
         let outcome = durable.turn(now);
-        let called = desk.called.clone();
+        let outgoing = host.outgoing.clone();
         if outcome.reset {
-            return self.reset(proc);
+            return self.close_connections(proc);
         }
         for (to, frame) in outcome.frames {
             let (conn, end) = match to {
-                To::Voter(voter) => (called[voter as usize - 1], 0),
+                To::Voter(voter) => (outgoing[voter as usize - 1], 0),
                 To::Link(link) => (Some(link as usize), 1),
             };
             if let Some(conn) = conn.filter(|c| self.conns[*c].open[end]) {
-                self.send(conn, end, Item::Bytes(encode(FLEET, &frame)));
+                self.send(conn, end, Segment::Bytes(encode(FLEET, &frame)));
             }
         }
     }
 
     pub(super) fn tick_client(&mut self, proc: ProcId) {
-        let now = self.local(proc);
-        let Role::Client(member) = &mut self.procs[proc].role else { return };
-        if member.client.wants_another(now) {
-            if let Some(conn) = member.conn.take() {
-                member.client.down();
+        let now = self.local_time(proc);
+        let Role::Client(client_host) = &mut self.procs[proc].role else { return };
+        if client_host.client.wants_another(now) {
+            if let Some(conn) = client_host.conn.take() {
+                client_host.client.down();
                 self.close(conn, 0);
             }
         }
-        let Role::Client(member) = &mut self.procs[proc].role else { return };
-        if member.conn.is_none() && self.now >= member.call_at {
+        let Role::Client(client_host) = &mut self.procs[proc].role else { return };
+        if client_host.conn.is_none() && self.now >= client_host.connect_at {
             if !is(Mutant::NeverLeaves) {
-                member.voter = (member.voter + 1) % member.voters.len();
+                client_host.voter = (client_host.voter + 1) % client_host.voters.len();
             }
-            let voter = member.voters[member.voter % member.voters.len()];
-            let conn = self.call(proc, voter);
+            let voter = client_host.voters[client_host.voter % client_host.voters.len()];
+            let conn = self.connect(proc, voter);
             let wait = self.random.random_range(0.02..0.15);
-            let Role::Client(member) = &mut self.procs[proc].role else { return };
-            member.conn = Some(conn);
-            member.call_at = self.now + wait;
-            member.client.up(now);
-        }
-        let Role::Client(member) = &mut self.procs[proc].role else { return };
-        member.client.tick(now);
-        self.serve(proc);
+            let Role::Client(client_host) = &mut self.procs[proc].role else { return };
+            client_host.conn = Some(conn);
+            client_host.connect_at = self.now + wait;
+            client_host.client.up(now);
+        }
+        let Role::Client(client_host) = &mut self.procs[proc].role else { return };
+        client_host.client.tick(now);
+        self.run_client(proc);
     }
 
-    /// Lets a client's process act on what it heard, and sends what it says.
-    pub(super) fn serve(&mut self, proc: ProcId) {
-        let (local, now) = (self.local(proc), self.now);
+    /// Lets a client react to its news and act, and sends its pending requests.
+    pub(super) fn run_client(&mut self, proc: ProcId) {
+        let (local, now) = (self.local_time(proc), self.now);
         let p = &mut self.procs[proc];
-        let Role::Client(member) = &mut p.role else { return };
-        for news in member.client.news() {
-            if let Some(noted) = member.hear(news, local, now, &p.name) {
-                self.history.noted.push(noted);
+        let Role::Client(client_host) = &mut p.role else { return };
+        for news in client_host.client.news() {
+            if let Some(effect) = client_host.handle_news(news, local, now, &p.name) {
+                self.history.acknowledged.push(effect);
             }
         }
-        let landing = member.act(local, now, &p.name, self.healing, &self.plan, &mut self.random);
-        let (says, conn) = (member.client.says(), member.conn);
-        if let Some(act) = landing {
-            self.at(act.arrived, Event::Land(act));
+        let act = client_host.act(local, now, &p.name, self.healing, &self.plan, &mut self.random);
+        let (requests, conn) = (client_host.client.says(), client_host.conn);
+        if let Some(act) = act {
+            self.schedule(act.arrived, Event::ActArrival(act));
         }
-        self.note_beliefs(proc);
+        self.update_beliefs(proc);
         if let Some(conn) = conn.filter(|c| self.conns[*c].open[0]) {
-            for say in says {
-                self.send(conn, 0, Item::Bytes(encode(FLEET, &Frame::Client(say))));
+            for request in requests {
+                self.send(conn, 0, Segment::Bytes(encode(FLEET, &Frame::Client(request))));
             }
         }
     }
 
-    /// An act reaches its target, which keeps the highest token it has seen.
-    pub(super) fn land(&mut self, act: Act) {
-        let highest = self.targets.entry(act.lease.clone()).or_default();
+    /// Records an act on arrival at its target, which stores the highest token it has seen.
+    pub(super) fn record_act(&mut self, act: Act) {
+        let highest = self.target_tokens.entry(act.lease.clone()).or_default();
         let accepted = act.token >= *highest;
         *highest = act.token.max(*highest);
         self.history.acts.push(Act { accepted, ..act });
     }
 
-    // Beliefs.
-
-    pub(super) fn note_beliefs(&mut self, proc: ProcId) {
-        let (local, now) = (self.local(proc), self.now);
-        let Role::Client(member) = &mut self.procs[proc].role else { return };
-        let guards = member.client.guards(local);
+    /// Updates a client's beliefs from the guards it holds, and records those that have ended.
+    pub(super) fn update_beliefs(&mut self, proc: ProcId) {
+        let (local, now) = (self.local_time(proc), self.now);
+        let Role::Client(client_host) = &mut self.procs[proc].role else { return };
+        let guards = client_host.client.guards(local);
         let believed = |key: &(String, u64)| guards.iter().any(|g| g.lease() == key.0 && g.token() == key.1);
-        // What was let go ended now; what merely ran out ended when it said it would.
-        let ended: Vec<_> =
-            member.beliefs.iter().filter(|(key, _)| !believed(key)).map(|(k, v)| (k.clone(), *v)).collect();
+        // A released lease ends now, an expired one at its announced end.
+        let ended: Vec<_> = client_host
+            .beliefs
+            .iter()
+            .filter(|(key, _)| !believed(key))
+            .map(|(k, v)| (k.clone(), *v))
+            .collect();
         for guard in &guards {
             let key = (guard.lease().to_owned(), guard.token());
-            let (_, until) = member.beliefs.entry(key).or_insert((now, guard.until()));
+            let (_, until) = client_host.beliefs.entry(key).or_insert((now, guard.until()));
             *until = guard.until();
         }
         for (key, _) in &ended {
-            member.beliefs.remove(key);
+            client_host.beliefs.remove(key);
         }
         for (key, (from, until)) in ended {
-            self.keep_belief(proc, key, from, until);
+            self.record_belief(proc, key, from, until);
         }
     }
 
-    pub(super) fn keep_belief(
+    pub(super) fn record_belief(
         &mut self,
         proc: ProcId,
         (lease, token): (String, u64),
@@ -210,20 +215,18 @@
         until: Duration,
     ) {
         let p = &self.procs[proc];
-        let wall = if is(Mutant::WallClock) { p.wall } else { 0.0 };
-        let to = p.clock.when(until.saturating_sub(Duration::from_secs_f64(wall)));
+        let wall = if is(Mutant::WallClock) { p.wall_ahead } else { 0.0 };
+        let to = p.clock.true_time(until.saturating_sub(Duration::from_secs_f64(wall)));
         let process = format!("{}.{}", p.name, p.life);
         self.history.beliefs.push(Belief { process, lease, token, from, to: to.min(self.now).max(from) });
     }
 
-    /// Its beliefs end now, at the latest.
+    /// Ends all beliefs of a client now, or earlier if they expired before.
     pub(super) fn end_beliefs(&mut self, proc: ProcId) {
-        self.note_beliefs(proc);
-        let Role::Client(member) = &mut self.procs[proc].role else { return };
-        for (key, (from, until)) in std::mem::take(&mut member.beliefs) {
-            self.keep_belief(proc, key, from, until);
+        self.update_beliefs(proc);
+        let Role::Client(client_host) = &mut self.procs[proc].role else { return };
+        for (key, (from, until)) in std::mem::take(&mut client_host.beliefs) {
+            self.record_belief(proc, key, from, until);
         }
     }
-
-    // Faults.
 }
--- a/crates/testing/load-simulator/src/fault_injection/timed/faults.rs
+++ b/crates/testing/load-simulator/src/fault_injection/timed/faults.rs
@@ -1,35 +1,35 @@
-//! Faults as they come and are undone.
+//! Random faults and their ends.
 
 use super::*;
 
 impl World {
-    pub(super) fn undo_in(&mut self, from: f64, to: f64, undo: Undo) {
+    pub(super) fn schedule_undo(&mut self, from: f64, to: f64, undo: Undo) {
         let time = self.now + self.random.random_range(from..to);
-        self.at(time, Event::Undo(undo));
+        self.schedule(time, Event::Undo(undo));
     }
 
-    pub(super) fn cut_link(&mut self, from: ProcId, to: ProcId, longest: f64) {
+    pub(super) fn cut_link(&mut self, from: ProcId, to: ProcId, max_duration: f64) {
         if from != to && !self.cut[from][to] {
             self.cut[from][to] = true;
-            self.undo_in(0.1, longest, Undo::Heal(from, to));
+            self.schedule_undo(0.1, max_duration, Undo::RestoreLink(from, to));
         }
     }
 
-    pub(super) fn fault(&mut self) {
-        let (desks, size) = (self.desks(), self.procs.len());
-        let (voter, voters) = (self.random.random_range(0..size), self.started());
-        // A leader more often than others: most of what can go wrong goes wrong there.
+    pub(super) fn inject_fault(&mut self) {
+        let (voter_hosts, size) = (self.voter_hosts(), self.procs.len());
+        let (voter, voters) = (self.random.random_range(0..size), self.configured_voters());
+        // The leader is chosen more often than other voters, as most faults concern it.
         let leader = self.leader().filter(|_| self.random.random_bool(0.3));
         let voter = leader.unwrap_or(voters[voter % voters.len()]);
-        let client = desks + self.random.random_range(0..self.plan.clients);
+        let client = voter_hosts + self.random.random_range(0..self.plan.clients);
         let any = self.random.random_range(0..size);
         let name = |w: &World, p: ProcId| w.procs[p].name.clone();
         match self.random.random_range(0..100) {
             0..14 => {
                 let other = voters[self.random.random_range(0..voters.len())];
                 let both = self.random.random_bool(0.4);
-                self.say(format!(
-                    "link cut from {} to {}, both ways: {both}",
+                self.log_fault(format!(
+                    "link from {} to {} cut, both directions: {both}",
                     name(self, any),
                     name(self, other)
                 ));
@@ -40,31 +40,34 @@
             }
             14..20 => {
                 let client = self.holder().unwrap_or(client);
-                // For about as long as a time to live: what it said meanwhile arrives late, all at once.
+                // For about one time to live; what the client sends meanwhile arrives late and all at once.
                 let ttl = match &self.procs[client].role {
-                    Role::Client(member) => member.client.ttl().as_secs_f64(),
+                    Role::Client(client_host) => client_host.client.ttl().as_secs_f64(),
                     Role::Voter(_) | Role::Operator(_) => 1.0,
                 };
                 let time = self.now + ttl * self.random.random_range(0.9..1.2);
-                self.say(format!("{} not heard until {time:.3}", name(self, client)));
-                self.mute(client, time);
-                // Heard for a moment, with all it had said, and then not again.
+                self.log_fault(format!("messages from {} held back until {time:.3}", name(self, client)));
+                self.silence(client, time);
+                // Then the link is restored for a moment, delivers everything held back, and is cut again.
                 if self.random.random_bool(0.8) {
                     let (again, long) =
                         (time + self.random.random_range(0.01..0.3), self.random.random_range(0.5..2.0));
-                    self.at(again, Event::Undo(Undo::Mute(client, again + long)));
+                    self.schedule(again, Event::Undo(Undo::Silence(client, again + long)));
                 }
             }
             20..24 => {
-                let (out, back) =
+                let (outgoing, incoming) =
                     [(true, true), (true, false), (false, true)][self.random.random_range(0..3)];
                 let p = if self.random.random_bool(0.7) { voter } else { client };
-                self.say(format!("{} alone: not heard {out}, hears nothing {back}", name(self, p)));
+                self.log_fault(format!(
+                    "{} isolated: outgoing cut {outgoing}, incoming cut {incoming}",
+                    name(self, p)
+                ));
                 for other in 0..size {
-                    if out {
+                    if outgoing {
                         self.cut_link(p, other, 3.0);
                     }
-                    if back {
+                    if incoming {
                         self.cut_link(other, p, 3.0);
                     }
                 }
@@ -76,79 +79,83 @@
                 }
                 let conn = open[self.random.random_range(0..open.len())];
                 let [a, b] = self.conns[conn].ends;
-                self.say(format!("connection from {} to {} lost", name(self, a), name(self, b)));
+                self.log_fault(format!("connection from {} to {} broken", name(self, a), name(self, b)));
                 self.break_conn(conn);
             }
             32..50 => {
                 let p = if self.random.random_bool(0.5) { voter } else { client };
-                self.say(format!("{} stopped", name(self, p)));
+                self.log_fault(format!("{} suspended", name(self, p)));
                 if self.procs[p].up && !self.procs[p].stopped {
                     self.procs[p].stopped = true;
-                    self.undo_in(0.05, 4.0, Undo::Go(p));
+                    self.schedule_undo(0.05, 4.0, Undo::Resume(p));
                 }
             }
             50..60 => {
-                let power = self.random.random_bool(0.5);
-                self.say(format!("{} killed, power lost: {power}", name(self, voter)));
-                self.kill_voter(voter, power);
-                self.undo_in(0.05, 3.0, Undo::Start(voter));
+                let power_lost = self.random.random_bool(0.5);
+                self.log_fault(format!("{} killed, power lost: {power_lost}", name(self, voter)));
+                self.kill_voter(voter, power_lost);
+                self.schedule_undo(0.05, 3.0, Undo::Restart(voter));
             }
             60..63 => {
-                self.say("all voters killed".to_owned());
+                self.log_fault("all voters killed".to_owned());
                 for v in voters {
                     self.kill_voter(v, true);
-                    self.undo_in(0.05, 1.5, Undo::Start(v));
+                    self.schedule_undo(0.05, 1.5, Undo::Restart(v));
                 }
             }
             63..73 => {
-                self.say(format!("{} killed", name(self, client)));
+                self.log_fault(format!("{} killed", name(self, client)));
                 self.kill(client);
-                self.undo_in(0.02, 2.0, Undo::Start(client));
+                self.schedule_undo(0.02, 2.0, Undo::Restart(client));
             }
             73..77 => {
                 let fault = if self.random.random_bool(0.6) { Fault::Full } else { Fault::SyncFails };
                 let count = self.random.random_range(1..=2);
-                self.say(format!("disk of {} (and {} more): {fault:?}", name(self, voter), count - 1));
+                self.log_fault(format!(
+                    "disk fault {fault:?} at {} and {} more voters",
+                    name(self, voter),
+                    count - 1
+                ));
                 let first = voters.iter().position(|v| *v == voter).unwrap_or(0);
                 for v in (0..count).map(|n| voters[(first + n) % voters.len()]) {
-                    if let Role::Voter(desk) = &self.procs[v].role {
-                        desk.disk.fail(fault);
+                    if let Role::Voter(host) = &self.procs[v].role {
+                        host.disk.fail(fault);
                     }
-                    self.undo_in(0.2, 3.0, Undo::Disk(v));
+                    self.schedule_undo(0.2, 3.0, Undo::RepairDisk(v));
                 }
             }
-            77..80 => self.lose_disk(voter),
+            77..80 => self.lose_or_roll_back_disk(voter),
             80..84 => self.change_membership(voter),
             84..86 => {
                 let rate = [0.902, 1.0, 1.098][self.random.random_range(0..3)];
-                self.say(format!("clock of {} runs at {rate:.3}", name(self, any)));
+                self.log_fault(format!("clock of {} runs at {rate:.3}", name(self, any)));
                 let now = self.now;
-                self.procs[any].clock.run_at(now, rate);
+                self.procs[any].clock.set_rate(now, rate);
             }
             86..91 => {
-                // Small ones end some sessions and not others, if anybody counts by it.
+                // Small jumps would end some sessions and not others if any code measured time by the wall clock.
                 let most = if self.random.random_bool(0.8) { 2.5 } else { 3600.0 };
                 let jump = self.random.random_range(0.0..most);
-                self.say(format!("wall clock of {} set ahead by {jump:.0} s", name(self, voter)));
-                self.procs[voter].wall += jump;
+                self.log_fault(format!("wall clock of {} set ahead by {jump:.0} s", name(self, voter)));
+                self.procs[voter].wall_ahead += jump;
                 if self.random.random_bool(0.7) {
                     let time = self.now + self.random.random_range(0.3..1.5);
-                    self.say(format!("{} not heard until {time:.3}", name(self, client)));
-                    self.mute(client, time);
+                    self.log_fault(format!("messages from {} held back until {time:.3}", name(self, client)));
+                    self.silence(client, time);
                 }
             }
             _ => {
                 self.delay = if self.delay > 0.01 { 0.001 } else { self.random.random_range(0.02..0.2) };
-                self.say(format!("delays of {:.0} ms", self.delay * 1000.0));
+                self.log_fault(format!("link delays around {:.0} ms", self.delay * 1000.0));
             }
         }
     }
 
-    /// No voter hears this process until then.
-    pub(super) fn mute(&mut self, proc: ProcId, until: f64) {
-        for voter in 0..self.desks() {
+    /// Holds back everything that a process sends to voters, until the given time.
+    pub(super) fn silence(&mut self, proc: ProcId, until: f64) {
+        for voter in 0..self.voter_hosts() {
             if !std::mem::replace(&mut self.cut[proc][voter], true) {
-                self.at(until, Event::Undo(Undo::Heal(proc, voter)));
+                self.schedule(until, Event::Undo(Undo::RestoreLink(proc, voter)));
             }
         }
     }
@@ -156,47 +163,47 @@
     pub(super) fn break_conn(&mut self, conn: ConnId) {
         for end in 0..2 {
             if self.conns[conn].open[end] {
-                self.arrive(conn, end, Item::Close);
+                self.arrive(conn, end, Segment::Close);
             }
         }
     }
 
-    pub(super) fn kill_voter(&mut self, voter: ProcId, power: bool) {
+    pub(super) fn kill_voter(&mut self, voter: ProcId, power_lost: bool) {
         self.kill(voter);
         let keep = self.random.random_range(0..200);
-        if let Role::Voter(desk) = &self.procs[voter].role {
-            if power {
-                desk.disk.power_lost(keep);
+        if let Role::Voter(host) = &self.procs[voter].role {
+            if power_lost {
+                host.disk.power_lost(keep);
             }
         }
     }
 
-    /// Voters that run or will, removed ones too.
-    pub(super) fn started(&self) -> Vec<ProcId> {
-        let started = |p: &&ProcId| matches!(&self.procs[**p].role, Role::Voter(d) if !d.file.is_empty());
-        (0..self.desks()).collect::<Vec<_>>().iter().filter(started).copied().collect()
+    /// Returns the voters with a configuration file, including removed ones.
+    pub(super) fn configured_voters(&self) -> Vec<ProcId> {
+        let started = |p: &&ProcId| matches!(&self.procs[**p].role, Role::Voter(d) if !d.config.is_empty());
+        (0..self.voter_hosts()).collect::<Vec<_>>().iter().filter(started).copied().collect()
     }
 
-    /// Whom most voters take for the leader.
+    /// Returns the process that most voters consider the leader.
     pub(super) fn leader(&self) -> Option<ProcId> {
         let named = |p: &Proc| match &p.role {
-            Role::Voter(desk) if p.up => Some(desk.durable.as_ref()?.voter()?.leader()? as usize - 1),
+            Role::Voter(host) if p.up => Some(host.durable.as_ref()?.voter()?.leader()? as usize - 1),
             _ => None,
         };
         let named: Vec<ProcId> = self.procs.iter().filter_map(named).collect();
         named.iter().copied().max_by_key(|l| named.iter().filter(|n| *n == l).count())
     }
 
-    /// A process that believes in a lease now.
+    /// Returns the first client that believes it holds a lease.
     pub(super) fn holder(&self) -> Option<ProcId> {
         let holds = |p: &ProcId| matches!(&self.procs[*p].role, Role::Client(m) if !m.beliefs.is_empty());
-        (self.desks()..self.procs.len()).find(holds)
+        (self.voter_hosts()..self.procs.len()).find(holds)
     }
 
-    /// Voters of the membership whose disk is as it should be.
-    pub(super) fn sound(&self) -> usize {
-        let sound = |p: &&ProcId| matches!(&self.procs[**p].role, Role::Voter(desk) if !desk.out);
-        self.membership.iter().filter(sound).count()
+    /// Returns the number of members whose disk was not lost or replaced by an older copy.
+    pub(super) fn voters_with_valid_disk(&self) -> usize {
+        let valid = |p: &&ProcId| matches!(&self.procs[**p].role, Role::Voter(host) if !host.disk_invalid);
+        self.membership.iter().filter(valid).count()
     }
 
     pub(super) fn operator(&mut self) -> &mut Operator {
@@ -206,96 +213,102 @@
         }
     }
 
-    pub(super) fn order(&mut self, order: Order) {
-        self.say(format!("asked for: {order:?}"));
+    pub(super) fn request_change(&mut self, order: MembershipChange) {
+        self.log_fault(format!("membership change requested: {order:?}"));
         match order {
-            Order::Add(which) => self.membership.push(which),
-            Order::Remove(which) => self.membership.retain(|p| *p != which),
+            MembershipChange::Add(which) => self.membership.push(which),
+            MembershipChange::Remove(which) => self.membership.retain(|p| *p != which),
         }
-        self.operator().orders.push_back(order);
+        self.operator().pending_changes.push_back(order);
     }
 
-    /// Starts a spare, which waits to be added.
+    /// Starts a spare and requests that it be added. Returns `false` if no spare is left.
     pub(super) fn add_spare(&mut self) -> bool {
         let file: Vec<VoterId> = self.membership.iter().map(|p| *p as u64 + 1).collect();
-        let Some(spare) = (0..self.desks()).find(|p| !self.started().contains(p)) else { return false };
-        if let Role::Voter(desk) = &mut self.procs[spare].role {
-            desk.file = [file, vec![spare as u64 + 1]].concat();
+        let Some(spare) = (0..self.voter_hosts()).find(|p| !self.configured_voters().contains(p)) else {
+            return false;
+        };
+        if let Role::Voter(host) = &mut self.procs[spare].role {
+            host.config = [file, vec![spare as u64 + 1]].concat();
         }
         self.start(spare);
-        self.order(Order::Add(spare));
+        self.request_change(MembershipChange::Add(spare));
         true
     }
 
-    /// A voter more, a voter less, or one in the place of another.
+    /// Adds a voter, removes one, or replaces one by another.
     pub(super) fn change_membership(&mut self, voter: ProcId) {
-        if !self.operator().orders.is_empty() {
+        if !self.operator().pending_changes.is_empty() {
             return;
         }
         let how = self.random.random_range(0..3);
         if how != 1 && self.membership.len() < 7 {
             self.add_spare();
         }
-        let enough =
-            self.sound().saturating_sub(1) > (self.membership.len() - 1) / 2 && self.membership.len() > 2;
+        let enough = self.voters_with_valid_disk().saturating_sub(1) > (self.membership.len() - 1) / 2
+            && self.membership.len() > 2;
         if how != 0 && self.membership.contains(&voter) && enough {
-            self.order(Order::Remove(voter));
+            self.request_change(MembershipChange::Remove(voter));
         }
     }
 
-    /// A voter comes back with an empty disk or an older copy. No more than a minority may at a time; in most
-    /// cases another comes in its place.
-    pub(super) fn lose_disk(&mut self, voter: ProcId) {
+    /// Restarts a voter with an empty disk or an older copy of it, at most a minority at a time. In half of the cases,
+    /// another voter replaces it.
+    pub(super) fn lose_or_roll_back_disk(&mut self, voter: ProcId) {
         let (empty, replaced) = (self.random.random_bool(0.5), self.random.random_bool(0.5));
-        let few = self.membership.len() - self.sound() >= (self.membership.len() - 1) / 2;
-        if !self.operator().orders.is_empty() || few || !self.membership.contains(&voter) {
+        let too_few_valid =
+            self.membership.len() - self.voters_with_valid_disk() >= (self.membership.len() - 1) / 2;
+        if !self.operator().pending_changes.is_empty() || too_few_valid || !self.membership.contains(&voter) {
             return;
         }
-        let Role::Voter(desk) = &mut self.procs[voter].role else { return };
-        if desk.out {
+        let Role::Voter(host) = &mut self.procs[voter].role else { return };
+        if host.disk_invalid {
             return;
         }
         if !empty {
-            let Some(old) = desk.old.take() else {
-                desk.old = Some(desk.disk.copy());
+            let Some(old) = host.older_copy.take() else {
+                host.older_copy = Some(host.disk.copy());
                 return;
             };
-            desk.disk = old;
+            host.disk = old;
         } else {
-            desk.disk = MemoryDisk::default();
+            host.disk = MemoryDisk::default();
         }
-        desk.out = true;
+        host.disk_invalid = true;
         let name = self.procs[voter].name.clone();
-        self.say(format!("{name} killed, its disk {}", if empty { "lost" } else { "an older copy" }));
+        self.log_fault(format!(
+            "{name} killed, its disk {}",
+            if empty { "lost" } else { "replaced by an older copy" }
+        ));
         self.kill(voter);
-        self.undo_in(0.05, 1.0, Undo::Start(voter));
+        self.schedule_undo(0.05, 1.0, Undo::Restart(voter));
         if replaced && self.membership.len() > 1 {
-            self.order(Order::Remove(voter));
+            self.request_change(MembershipChange::Remove(voter));
             self.add_spare();
         }
     }
 
     pub(super) fn undo(&mut self, undo: &Undo) {
         match *undo {
-            Undo::Heal(from, to) => self.heal(from, to),
-            Undo::Go(proc) => {
+            Undo::RestoreLink(from, to) => self.restore_link(from, to),
+            Undo::Resume(proc) => {
                 if std::mem::replace(&mut self.procs[proc].stopped, false) {
                     let waiting: Vec<_> = self.procs[proc].inbox.drain(..).collect();
-                    for (conn, end, item) in waiting {
-                        self.arrive(conn, end, item);
+                    for (conn, end, segment) in waiting {
+                        self.arrive(conn, end, segment);
                     }
                 }
             }
-            Undo::Start(proc) => {
+            Undo::Restart(proc) => {
                 if !self.procs[proc].up {
                     self.start(proc);
                 }
             }
-            Undo::Mute(proc, until) if !self.healing => self.mute(proc, until),
-            Undo::Mute(..) => {}
-            Undo::Disk(proc) => {
-                if let Role::Voter(desk) = &self.procs[proc].role {
-                    desk.disk.fail(Fault::None);
+            Undo::Silence(proc, until) if !self.healing => self.silence(proc, until),
+            Undo::Silence(..) => {}
+            Undo::RepairDisk(proc) => {
+                if let Role::Voter(host) = &self.procs[proc].role {
+                    host.disk.fail(Fault::None);
                 }
             }
         }
@@ -306,13 +319,13 @@
         self.delay = 0.001;
         for from in 0..self.procs.len() {
             for to in 0..self.procs.len() {
-                self.heal(from, to);
+                self.restore_link(from, to);
             }
-            self.undo(&Undo::Disk(from));
-            self.undo(&Undo::Go(from));
-            self.undo(&Undo::Start(from));
-            if let Role::Client(member) = &mut self.procs[from].role {
-                member.calm = true;
+            self.undo(&Undo::RepairDisk(from));
+            self.undo(&Undo::Resume(from));
+            self.undo(&Undo::Restart(from));
+            if let Role::Client(client_host) = &mut self.procs[from].role {
+                client_host.healed = true;
             }
         }
     }
--- a/crates/testing/load-simulator/src/fault_injection/timed/members.rs
+++ b/crates/testing/load-simulator/src/fault_injection/timed/members.rs
@@ -1,44 +1,50 @@
-//! Clients of leases: what they hear and what they ask for next.
+//! Simulated clients of leases: their reaction to news and their requests.
 
 use super::*;
 
-impl Member {
-    pub(super) fn new(name: &str, nonce: u64, voter: usize, voters: Vec<ProcId>) -> Member {
-        Member {
+impl ClientHost {
+    pub(super) fn new(name: &str, nonce: u64, voter: usize, voters: Vec<ProcId>) -> ClientHost {
+        ClientHost {
             client: Client::new(name, nonce, Duration::from_millis(TTLS_MS[nonce as usize % 3])),
             conn: None,
             voter,
             voters,
-            call_at: 0.0,
-            doing: Doing::Idle { until: 0.0 },
-            asked: BTreeMap::new(),
-            late: None,
+            connect_at: 0.0,
+            activity: Activity::Idle { until: 0.0 },
+            pending_effects: BTreeMap::new(),
+            deferred_effect: None,
             beliefs: BTreeMap::new(),
-            served: 0,
-            calm: false,
+            grants_after_healing: 0,
+            healed: false,
         }
     }
 
-    /// Takes in news; an effect that was acknowledged goes to the history.
-    pub(super) fn hear(&mut self, news: News, local: Duration, now: f64, name: &str) -> Option<Noted> {
+    /// Handles one piece of news. Returns an effect that the fleet has acknowledged, for the history.
+    pub(super) fn handle_news(
+        &mut self,
+        news: News,
+        local: Duration,
+        now: f64,
+        name: &str,
+    ) -> Option<AcknowledgedEffect> {
         match news {
             News::Answered(seq, reply) => {
-                if let Some((lease, token, asked)) = self.asked.remove(&seq) {
+                if let Some((lease, token, requested)) = self.pending_effects.remove(&seq) {
                     let process = name.to_owned();
-                    return (reply == Reply::Done).then_some(Noted {
+                    return (reply == Reply::Done).then_some(AcknowledgedEffect {
                         process,
                         lease,
                         token,
-                        asked,
+                        requested,
                         answered: now,
                     });
                 }
-                match &self.doing {
-                    Doing::Leaving { seq: leaving } if *leaving == seq => {
-                        self.doing = Doing::Idle { until: now + 0.05 };
+                match &self.activity {
+                    Activity::Leaving { seq: leaving } if *leaving == seq => {
+                        self.activity = Activity::Idle { until: now + 0.05 };
                     }
-                    Doing::Wanting { .. } if matches!(reply, Reply::Refused(_)) => {
-                        self.doing = Doing::Idle { until: now + 0.1 };
+                    Activity::Waiting { .. } if matches!(reply, Reply::Refused(_)) => {
+                        self.activity = Activity::Idle { until: now + 0.1 };
                     }
                     _ => {}
                 }
@@ -48,18 +54,18 @@
                 self.voters = voters.iter().map(|(voter, _)| *voter as usize - 1).collect();
                 self.voter = self.voters.iter().position(|v| *v == current).unwrap_or(0);
             }
-            // Handed on by another process: nothing to do with it here.
+            // A lease that this client did not request was transferred by another process; it is released.
             News::Holds(grant) => {
-                let mine = match &self.doing {
-                    Doing::Wanting { lease, .. } | Doing::Acting { lease, .. } => *lease == grant.lease,
-                    Doing::Idle { .. } | Doing::Leaving { .. } => false,
+                let requested = match &self.activity {
+                    Activity::Waiting { lease, .. } | Activity::Acting { lease, .. } => *lease == grant.lease,
+                    Activity::Idle { .. } | Activity::Leaving { .. } => false,
                 };
-                if !mine {
+                if !requested {
                     self.client.ask(Op::Release { lease: grant.lease }, local);
                 }
             }
             News::Ended | News::LeftOut(_) | News::Lost(_) => {
-                if let Doing::Wanting { lease, ttl_ms, wait, .. } = self.doing.clone() {
+                if let Activity::Waiting { lease, ttl_ms, wait, .. } = self.activity.clone() {
                     self.client.ask(Op::Acquire { lease, ttl_ms, wait }, local);
                 }
             }
@@ -68,7 +74,7 @@
         None
     }
 
-    /// Does the next thing; gives an act that is to reach a target.
+    /// Performs the client's next step. Returns an act that is to be delivered to a target.
     pub(super) fn act(
         &mut self,
         local: Duration,
@@ -78,65 +84,66 @@
         plan: &Plan,
         random: &mut Stream,
     ) -> Option<Act> {
-        if let Some((_, op, lease, token)) = self.late.take_if(|(at, ..)| now >= *at) {
+        if let Some((_, op, lease, token)) = self.deferred_effect.take_if(|(at, ..)| now >= *at) {
             let seq = self.client.ask(op, local);
-            self.asked.insert(seq, (lease, token, now));
+            self.pending_effects.insert(seq, (lease, token, now));
         }
-        match self.doing.clone() {
-            Doing::Idle { until } if now >= until => {
+        match self.activity.clone() {
+            Activity::Idle { until } if now >= until => {
                 let lease = format!("lease-{}", random.random_range(0..plan.clients.div_ceil(2)));
                 let ttl_ms = TTLS_MS[random.random_range(0..3)];
                 let wait = healing || random.random_bool(0.7);
                 self.client.ask(Op::Acquire { lease: lease.clone(), ttl_ms, wait }, local);
-                self.doing = Doing::Wanting { lease, since: now, ttl_ms, wait };
+                self.activity = Activity::Waiting { lease, since: now, ttl_ms, wait };
             }
-            Doing::Wanting { lease, since, .. } => {
+            Activity::Waiting { lease, since, .. } => {
                 if self.client.guard(&lease, local).is_some() {
-                    self.served += u32::from(self.calm);
+                    self.grants_after_healing += u32::from(self.healed);
                     let hold = if healing { 0.2 } else { random.random_range(0.05..2.5) };
-                    self.doing = Doing::Acting { lease, next: now, end: now + hold, busy: now };
-                } else if now > since + PATIENCE && !healing {
-                    self.doing = Doing::Leaving { seq: self.client.ask(Op::Release { lease }, local) };
+                    self.activity = Activity::Acting { lease, next: now, end: now + hold, busy: now };
+                } else if now > since + MAX_WAIT && !healing {
+                    self.activity = Activity::Leaving { seq: self.client.ask(Op::Release { lease }, local) };
                 }
             }
-            Doing::Acting { lease, next, end, busy } => {
+            Activity::Acting { lease, next, end, busy } => {
                 let Some(guard) = self.client.guard(&lease, local) else {
-                    // What is still under way has to arrive before the lease is let go, else nothing would
-                    // keep it from the next holder's.
+                    // Acts under way have to arrive before the lease is released, or they could overlap with
+                    // those of the next holder.
                     if now < busy {
                         if random.random_bool(0.1) {
-                            self.doing =
-                                Doing::Leaving { seq: self.client.ask(Op::Abandon { lease }, local) };
+                            self.activity =
+                                Activity::Leaving { seq: self.client.ask(Op::Abandon { lease }, local) };
                         }
                         return None;
                     }
-                    // Most hope that it is still theirs, and go on if a renewal says so.
+                    // Most clients keep an expired lease and continue if a renewal confirms it.
                     if !healing && self.client.listed(&lease) && random.random_bool(0.98) {
                         return None;
                     }
-                    self.doing = Doing::Leaving { seq: self.client.ask(Op::Release { lease }, local) };
+                    self.activity = Activity::Leaving { seq: self.client.ask(Op::Release { lease }, local) };
                     return None;
                 };
                 if now >= end {
-                    // A well-behaved holder lets go when all that it did has arrived.
-                    if now >= busy && self.asked.is_empty() {
+                    // A correct holder releases the lease once all its acts have arrived.
+                    if now >= busy && self.pending_effects.is_empty() {
                         let to = format!("client-{}", random.random_range(0..plan.clients as u64));
                         let op = match random.random_range(0..10) {
                             0 | 1 if !healing => Op::Transfer { lease, to },
                             _ => Op::Release { lease },
                         };
-                        self.doing = Doing::Leaving { seq: self.client.ask(op, local) };
+                        self.activity = Activity::Leaving { seq: self.client.ask(op, local) };
                     }
                 } else if now >= next {
                     let next = now + random.random_range(0.01..0.2);
-                    if self.late.is_none() && random.random_bool(0.1) {
+                    if self.deferred_effect.is_none() && random.random_bool(0.1) {
                         let (op, token) = (guard.effect(name), guard.token());
-                        self.late = Some((now + random.random_range(0.5..4.0), op, lease.clone(), token));
+                        self.deferred_effect =
+                            Some((now + random.random_range(0.5..4.0), op, lease.clone(), token));
                     }
-                    if random.random_bool(0.2) && self.asked.is_empty() {
+                    if random.random_bool(0.2) && self.pending_effects.is_empty() {
                         let seq = self.client.ask(guard.effect(name), local);
-                        self.asked.insert(seq, (lease.clone(), guard.token(), now));
-                        self.doing = Doing::Acting { lease, next, end, busy };
+                        self.pending_effects.insert(seq, (lease.clone(), guard.token(), now));
+                        self.activity = Activity::Acting { lease, next, end, busy };
                         return None;
                     }
                     let slow = random.random_bool(0.03);
@@ -146,7 +153,7 @@
                         plan.lock_delay * random.random_range(0.0..0.9)
                     };
                     let busy = busy.max(now + delay);
-                    self.doing = Doing::Acting { lease: lease.clone(), next, end, busy };
+                    self.activity = Activity::Acting { lease: lease.clone(), next, end, busy };
                     let (process, token) = (name.to_owned(), guard.token());
                     return Some(Act {
                         process,
