--- a/crates/testing/load-simulator/src/cli.rs
+++ b/crates/testing/load-simulator/src/cli.rs
@@ -13,7 +13,7 @@
 use crate::sockets::fleet::Fleet;
 use crate::sockets::load::{Live, Load};
 use crate::sockets::{bench, sidecar_config};
-use crate::world::{play, Mutant as WorldMutant, RunError, Wanted};
+use crate::world::{play, Mutant as WorldMutant, RunError, RunOptions};
 use crate::{tables, theory};
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use passrelay_lease_consensus::mutant::Mutant;
@@ -365,7 +365,7 @@
 
 impl From<RunError> for Failure {
     fn from(e: RunError) -> Self {
-        let code = if matches!(e, RunError::Broken(_)) { 3 } else { 2 };
+        let code = if matches!(e, RunError::RuleViolated(_)) { 3 } else { 2 };
         Failure(code, e.to_string())
     }
 }
@@ -464,7 +464,8 @@
     let began = Instant::now();
     // Rivals do not know the rules; only the module is held to them by ending the run.
     let strict = !run.lenient && run.policy == Policy::Passrelay;
-    let outcome = play(&experiment, run.policy, seed, Wanted { nodes, strict, mutant: WorldMutant::None })?;
+    let outcome =
+        play(&experiment, run.policy, seed, RunOptions { nodes, strict, mutant: WorldMutant::None })?;
     if !run.quiet {
         let took = began.elapsed().as_secs_f64();
         let memory = peak_memory_mb().map_or(String::new(), |mb| format!(", {mb:.0} MB at most"));
--- a/crates/testing/load-simulator/src/experiment.rs
+++ b/crates/testing/load-simulator/src/experiment.rs
@@ -1,4 +1,4 @@
-//! An experiment as its file describes it: TOML, checked, with the place of each fault.
+//! Experiment files: their format in TOML, parsing, and validation errors with line and column.
 
 mod check;
 mod place;
@@ -14,17 +14,17 @@
 
 use place::{line_and_column, locate, with_nearest};
 
-/// The most nodes of one run.
-pub const MOST_NODES: usize = 200_000;
+/// Maximum number of nodes of one run.
+pub const MAX_NODES: usize = 200_000;
 
-/// What is wrong with an experiment, and where.
+/// An error in an experiment, with its position if known.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ExperimentError {
-    /// The file, if there is one.
+    /// The experiment's file; `None` if it was parsed from a text.
     pub file: Option<String>,
-    /// Line and column, both from 1, where they are known.
+    /// Line and column, both from 1, if they are known.
     pub place: Option<(usize, usize)>,
-    /// What is wrong.
+    /// Description of the error, usually with the key.
     pub problem: String,
 }
 
@@ -40,73 +40,73 @@
 
 impl std::error::Error for ExperimentError {}
 
-/// An experiment.
+/// An experiment: a fleet, the calls to it, and the troubles that it meets.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Experiment {
-    /// What it is called.
+    /// Name of the experiment; by default that of the file.
     pub name: String,
-    /// What it is for, in a sentence.
+    /// Purpose of the experiment, in one sentence.
     pub about: String,
-    /// How long calls come in; what is under way then is still answered.
+    /// Seconds during which calls arrive. Calls in progress at the end are still answered.
     pub length_s: f64,
-    /// Calls that come in before this time do not count.
+    /// Seconds from the start whose arriving calls are not measured.
     pub warm_up_s: f64,
-    /// Seed of all random streams, where the command line names none.
+    /// Seed of all random streams, unless the command line sets one.
     pub seed: u64,
-    /// Multiplies the nodes, the sidecars of the first tier and the rate of calls.
+    /// Factor on the number of nodes, the number of first-tier sidecars and the rate of calls.
     pub scale: f64,
-    /// The arrivals.
+    /// The arrival process of calls.
     pub load: Load,
-    /// How callers behave.
+    /// Patience and retries of callers.
     pub callers: Callers,
-    /// Delays and zones.
+    /// Message delays and zones.
     pub network: Network,
-    /// The service that tells the node lists.
+    /// The service that provides the node lists.
     pub discovery: Discovery,
-    /// What a sidecar may do.
+    /// What sidecars are allowed to do.
     pub limits: Limits,
-    /// The figures of the rules.
+    /// Parameters of the rules that the observer checks.
     pub rules: Rules,
-    /// The weights of the goal.
+    /// Weights of the parts of the goal.
     pub goal: Goal,
-    /// The tiers, the one that callers reach first.
+    /// The tiers, in the order in which calls reach them.
     pub tier: Vec<Tier>,
     /// The classes of calls.
     pub class: Vec<ClassSpec>,
-    /// Who calls; none: callers have no names.
+    /// The tenants; if empty, calls belong to no tenant.
     pub tenant: Vec<TenantSpec>,
-    /// What goes wrong.
+    /// The faults and load changes of the run.
     pub trouble: Vec<Trouble>,
 }
 
-/// The arrivals.
+/// The arrival process of calls.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Load {
-    /// First tries a second, on average.
+    /// Mean number of new calls per second, without retries.
     pub rate: f64,
-    /// How the rate moves.
+    /// Shape of the rate over time.
     pub shape: Shape,
-    /// By how much of itself the rate swings, 0 to 1.
+    /// Relative amplitude of the rate's changes, 0 to 1.
     pub swing: f64,
-    /// How long one swing takes.
+    /// Period of the rate's changes, in seconds.
     pub period_s: f64,
-    /// A CSV file with the columns `at_s`, `class`, `tenant` and `work_ms` (the last two may be empty), in place
-    /// of drawn arrivals.
+    /// A CSV file with the columns `at_s`, `class`, `tenant` and `work_ms` (the last two may be empty),
+    /// used instead of random arrivals.
     pub captured: Option<String>,
 }
 
-/// How the rate of calls moves.
+/// Shape of the rate of calls over time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Shape {
-    /// A Poisson process of one rate.
+    /// A Poisson process of constant rate.
     #[default]
     Steady,
-    /// The rate follows a sine.
+    /// The rate follows a sine wave.
     Waves,
-    /// The rate jumps between high and low.
+    /// The rate alternates between high and low in each period.
     Bursts,
 }
 
@@ -116,38 +116,39 @@
     }
 }
 
-/// How callers behave.
+/// Patience and retries of callers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Callers {
-    /// Tries after the first.
+    /// Maximum number of retries of a call.
     pub retries: u32,
-    /// How long a caller waits before another try.
+    /// Rule for the wait before a retry.
     pub wait: Wait,
-    /// The wait, or the first of growing ones.
+    /// The wait in milliseconds, or the first one of an exponential sequence.
     pub wait_ms: f64,
-    /// The part of callers that stays away for as long as a refusal says.
+    /// Fraction of callers that wait for as long as a refusal advises.
     pub follow_advice: f64,
-    /// A try is given up after this part of the class's deadline, drawn for each caller.
+    /// Range of the fraction of the class's deadline after which a caller gives up a try, drawn for each call.
     pub patience: [f64; 2],
-    /// Repeats are marked as such.
+    /// Whether retries are marked as such to the sidecar.
     pub mark_repeats: bool,
-    /// The front notices so late that a sidecar has died or come back.
+    /// Seconds after which the front layer notices that a sidecar has stopped or restarted.
     pub front_notice_s: f64,
-    /// A call carries how much time its caller has left; otherwise its class's whole deadline.
+    /// Whether a request to the next tier carries the caller's remaining time. Otherwise it carries the full deadline
+    /// of its class.
     pub pass_budget: bool,
 }
 
-/// How long a caller waits before another try.
+/// Rule for the wait before a retry.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Wait {
-    /// Not at all.
+    /// No wait.
     None,
-    /// Always the same.
+    /// The same wait before each retry.
     #[default]
     Fixed,
-    /// Twice as long each time.
+    /// The wait doubles with each retry.
     Exponential,
 }
 
@@ -166,17 +167,17 @@
     }
 }
 
-/// Delays and zones.
+/// Message delays and zones.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Network {
-    /// One way, within a zone.
+    /// One-way delay within a zone.
     pub one_way_ms: f64,
-    /// Spread of the delay, as its coefficient of variation.
+    /// Coefficient of variation of the delay.
     pub jitter: f64,
-    /// One way, between zones.
+    /// One-way delay between zones.
     pub cross_zone_ms: f64,
-    /// Zones; nodes and sidecars are dealt round them.
+    /// Number of zones; nodes and sidecars are assigned to them in turn.
     pub zones: usize,
 }
 
@@ -186,19 +187,19 @@
     }
 }
 
-/// The service that tells the node lists.
+/// The service that provides the node lists.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Discovery {
-    /// It hears so late of what happens to a node, drawn anew each time.
+    /// Range of the delay in seconds until a node's change is published, drawn for each change.
     pub notice_s: [f64; 2],
-    /// It takes so long for each answer, one after another.
+    /// Service time of a call; calls are served one after another.
     pub call_ms: f64,
-    /// A call that has waited so long for its turn fails.
+    /// Longest time that a call waits for service; it fails after that.
     pub timeout_ms: f64,
-    /// A watch is answered after this time at the latest.
+    /// Seconds after which a watch without changes is answered.
     pub watch_s: f64,
-    /// Changes that it remembers; who asks for older ones gets the whole list.
+    /// Number of changes that are kept. A client that is further behind gets the full list.
     pub history: usize,
 }
 
@@ -208,25 +209,25 @@
     }
 }
 
-/// What a sidecar may do.
+/// What sidecars are allowed to do.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Limits {
-    /// Attempts of one request.
+    /// Maximum number of attempts of one request.
     pub attempts: u32,
-    /// Two attempts of one request may be out together.
+    /// Whether two attempts of one request may be in flight at once.
     pub duplicates: bool,
-    /// Attempts may be withdrawn.
+    /// Whether attempts may be cancelled.
     pub cancel: bool,
-    /// Nodes may be probed.
+    /// Whether nodes may be probed.
     pub probes: bool,
-    /// Refused callers are told when to come again, at most after this; 0: they are not told.
+    /// Longest retry advice in refusals, in seconds; 0 for no advice.
     pub retry_after_s: f64,
-    /// A connection has to be up within this time.
+    /// Time within which a connection has to be established.
     pub connect_timeout_ms: f64,
-    /// A connection is closed when it has been idle for so long.
+    /// Idle time in seconds after which a connection is closed.
     pub conn_idle_s: f64,
-    /// Timers fire on whole ticks.
+    /// Length of a tick; timers fire on whole ticks.
     pub tick_ms: f64,
 }
 
@@ -245,17 +246,17 @@
     }
 }
 
-/// The figures of the rules.
+/// Parameters of the rules that the observer checks.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Rules {
-    /// A final answer may go out so long after the caller's deadline.
+    /// Time after the caller's deadline within which a final answer is still allowed.
     pub answer_slack_ms: f64,
-    /// After this time nothing new may go to a node that is known to drain.
+    /// Seconds after which no new request may be sent to a node that is known to drain or to be removed.
     pub drain_grace_s: f64,
-    /// A cold node falls over when it is sent more than this multiple of what it can do...
+    /// A cold node fails if it is sent more than this multiple of its capacity within `fall_s`, plus some slack.
     pub overload_factor: f64,
-    /// ... within this time.
+    /// Window in seconds for `overload_factor`.
     pub fall_s: f64,
 }
 
@@ -265,17 +266,17 @@
     }
 }
 
-/// The weights of the goal; what they add up to is the whole.
+/// Weights of the fractions of earned worth in the goal. They need not add up to 1.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Goal {
-    /// Of the whole run.
+    /// Weight of the whole run.
     pub whole: f64,
-    /// Of the worst 10 s.
+    /// Weight of the worst 10 s.
     pub worst_window: f64,
-    /// Of the worst-served class.
+    /// Weight of the worst-served class.
     pub worst_class: f64,
-    /// Of the worst-served tenant.
+    /// Weight of the worst-served tenant.
     pub worst_tenant: f64,
 }
 
@@ -289,25 +290,25 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ClassSpec {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// Its part of the calls; the parts need not add up to 1.
+    /// Share of the calls; the shares need not add up to 1.
     pub share: f64,
-    /// Its mean work over all tiers, for one request of each tier.
+    /// Mean work over all tiers, for one request at each.
     pub work_ms: f64,
-    /// How its work is spread.
+    /// Distribution of the work.
     pub work: Form,
-    /// The coefficient of variation of its work, for log-normal and Pareto.
+    /// Coefficient of variation of the work, for log-normal and Pareto.
     pub cv: f64,
-    /// Spread between two attempts of the same request.
+    /// Coefficient of variation of the work between attempts of one request.
     pub attempt_noise: f64,
-    /// An answer within this time has its whole worth, a later one none.
+    /// Time within which an answer earns its full worth; a later one earns none.
     pub aim_s: f64,
-    /// Callers wait so long.
+    /// Time after which callers give up a call.
     pub deadline_s: f64,
-    /// What an answer is worth.
+    /// Worth of an answer in time.
     pub worth: f64,
-    /// It may run again.
+    /// Whether a request may be executed more than once.
     pub safe: bool,
 }
 
@@ -328,17 +329,17 @@
     }
 }
 
-/// Who calls.
+/// A tenant, to which calls belong.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TenantSpec {
-    /// Its name.
+    /// Name of the tenant.
     pub name: String,
-    /// Its part of the calls; the parts need not add up to 1.
+    /// Share of the calls; the shares need not add up to 1.
     pub share: f64,
-    /// First tries a second that are worth their whole worth; what comes beyond is worth `over_worth` of it.
+    /// Calls per second, without retries, that have their full worth.
     pub allowance_per_s: f64,
-    /// See `allowance_per_s`.
+    /// Fraction of the worth that calls beyond `allowance_per_s` have.
     pub over_worth: f64,
 }
 
@@ -348,33 +349,33 @@
     }
 }
 
-/// Something that goes wrong.
+/// A fault or load change during the run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Trouble {
-    /// What it is.
+    /// Kind of the trouble.
     pub kind: TroubleKind,
-    /// When it begins.
+    /// Seconds from the start of the run at which it begins.
     pub from_s: f64,
-    /// How long it lasts.
+    /// Duration in seconds.
     #[serde(default = "Trouble::usual_length")]
     pub for_s: f64,
-    /// The tier that it strikes, by name; the first if there is none.
+    /// Name of the affected tier; the first one if absent.
     #[serde(default)]
     pub tier: Option<String>,
-    /// The part of the tier's nodes, at least one.
+    /// Fraction of the tier's nodes that are affected, at least one node.
     #[serde(default = "Trouble::usual_part")]
     pub part: f64,
-    /// How strong it is; what that means stands at each kind.
+    /// Strength, with the meaning that [`TroubleKind`] gives; a default of the kind if absent.
     #[serde(default)]
     pub size: Option<f64>,
-    /// The class that it strikes, by name; all if there is none.
+    /// Name of the affected class; all classes if absent.
     #[serde(default)]
     pub class: Option<String>,
-    /// The zone that it strikes.
+    /// Index of the affected zone.
     #[serde(default)]
     pub zone: usize,
-    /// Nodes that come back do so under new ids, at the old addresses.
+    /// Whether restarted nodes get new ids at their old addresses.
     #[serde(default)]
     pub new_ids: bool,
 }
@@ -388,7 +389,7 @@
         0.1
     }
 
-    /// The size, or what is usual for the kind.
+    /// Returns the size, or the default of the kind.
     pub fn size(&self) -> f64 {
         self.size.unwrap_or(match self.kind {
             TroubleKind::Slow => 5.0,
@@ -401,7 +402,7 @@
     }
 }
 
-/// The kinds of trouble.
+/// Kinds of trouble.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TroubleKind {
@@ -409,39 +410,39 @@
     Slow,
     /// Nodes fail `size` of their requests at once.
     FailFast,
-    /// Nodes report that they are idle, take requests and never answer.
+    /// Nodes report that they are idle, accept requests and never answer.
     Gray,
-    /// Nodes are jammed as if they had been crowded.
+    /// Nodes become jammed, as if they had held too many requests.
     Jam,
-    /// Nodes die; they come back cold when the trouble ends.
+    /// Nodes crash and restart cold when the trouble ends.
     Crash,
-    /// Nodes are cut off: nothing reaches them and nothing comes back.
+    /// Nodes are cut off from the network in both directions.
     Cut,
     /// All nodes and sidecars of a zone are cut off from the other zones.
     ZoneCut,
-    /// Nodes report what they reported when it began.
+    /// Nodes keep sending the reports from the beginning of the trouble.
     StaleReports,
     /// Nodes report a utilisation of `size`.
     FalseReports,
-    /// Nodes of the tier drain and restart one after another, so that the last is back at the end.
+    /// All nodes of the tier drain and restart one after another, the last one by the end of the trouble.
     RollingRelease,
-    /// The first tier's sidecars die and come back when the trouble ends, with the list that they had at the
-    /// start.
+    /// The first tier's sidecars stop, and restart when the trouble ends with the node list from the start of the run.
     SidecarRestart,
-    /// Discovery is down.
+    /// The discovery service of the tier fails all calls.
     DiscoveryDown,
     /// `size` of a class's requests cost 15 times the usual work.
     HeavyTail,
-    /// `size` times as many calls come in.
+    /// The rate of calls is multiplied by `size`.
     Storm,
 }
 
 impl Experiment {
-    /// Reads and checks a file; keys may be set beside it, as [`set`] takes them.
+    /// Reads and validates a file. `over` lists keys and values that override the file's, in the form that [`set`]
+    /// takes.
     ///
     /// # Errors
     ///
-    /// Names the file, the place and what is wrong.
+    /// Returns an error with the file, the position if known, and the problem.
     pub fn read(path: &Path, over: &[(String, String)]) -> Result<Experiment, ExperimentError> {
         let file = path.display().to_string();
         let named = |e: ExperimentError| ExperimentError { file: Some(file.clone()), ..e };
@@ -454,18 +455,18 @@
             experiment.name = path.file_stem().unwrap_or_default().to_string_lossy().into_owned();
         }
         if let Some(captured) = &experiment.load.captured {
-            // Beside the experiment, wherever the command is started.
+            // The path is relative to the experiment's file, not to the working directory.
             let beside = path.parent().unwrap_or(Path::new(".")).join(captured);
             experiment.load.captured = Some(beside.display().to_string());
         }
         Ok(experiment)
     }
 
-    /// Reads and checks a text.
+    /// Parses and validates a text.
     ///
     /// # Errors
     ///
-    /// Names the place and what is wrong.
+    /// Returns an error with the position if known, and the problem.
     pub fn parse(text: &str) -> Result<Experiment, ExperimentError> {
         Experiment::parse_with(text, &[])
     }
@@ -497,13 +498,13 @@
         Ok(experiment)
     }
 
-    /// Position of the tier that a trouble strikes.
+    /// Returns the index of the tier that a trouble affects.
     pub fn tier_of(&self, trouble: &Trouble) -> usize {
         let name = trouble.tier.as_deref();
         name.and_then(|n| self.tier.iter().position(|t| t.name == n)).unwrap_or(0)
     }
 
-    /// A number of nodes or sidecars at this experiment's scale.
+    /// Returns a number of nodes or sidecars at the experiment's scale; at least 1 unless `count` is 0.
     pub fn scaled(&self, count: usize) -> usize {
         if count == 0 {
             0
@@ -512,7 +513,7 @@
         }
     }
 
-    /// What a sidecar in front of this tier is told.
+    /// Returns the decision module's settings for a sidecar in front of a tier.
     pub fn settings(&self, tier: usize, balancers: usize, rank: usize, zone: usize) -> Settings {
         let (limits, rules) = (&self.limits, &self.rules);
         let cold = self.tier[tier].kind.iter();
@@ -556,18 +557,18 @@
     }
 }
 
-/// Sets a key of an experiment, given as a path: `load.rate`, `tier.0.kind.1.count`, or with the name of a
-/// list's entry in place of its number, `tier.front.kind.slow.count`.
+/// Sets a key of an experiment. The path has the form `load.rate` or `tier.0.kind.1.count`, or names a list's entry
+/// instead of its index, as in `tier.front.kind.slow.count`.
 ///
 /// # Errors
 ///
-/// Says which part of the path is not there, or that the value is none.
+/// Returns a message if a part of the path does not exist or the value cannot be parsed.
 pub fn set(table: &mut toml::Table, path: &str, value: &str) -> Result<(), String> {
     let parsed: toml::Table = format!("v = {value}")
         .parse()
         .or_else(|_| format!("v = {value:?}").parse())
-        .map_err(|_| format!("{path}: '{value}' is no value"))?;
-    let value = parsed.get("v").cloned().ok_or_else(|| format!("{path}: there is no value"))?;
+        .map_err(|_| format!("{path}: '{value}' is not a valid value"))?;
+    let value = parsed.get("v").cloned().ok_or_else(|| format!("{path}: there is not a valid value"))?;
     let (above, last) = path.rsplit_once('.').unwrap_or(("", path));
     let mut here = table;
     let mut steps = above.split('.').filter(|s| !s.is_empty());
@@ -584,7 +585,7 @@
                     .and_then(toml::Value::as_table_mut)
                     .ok_or_else(|| format!("{path}: there is no '{which}' in '{step}'"))?
             }
-            _ => return Err(format!("{path}: '{step}' holds a value, no keys")),
+            _ => return Err(format!("{path}: '{step}' is a value and has no keys")),
         };
     }
     here.insert(last.to_owned(), value);
--- a/crates/testing/load-simulator/src/experiment/place.rs
+++ b/crates/testing/load-simulator/src/experiment/place.rs
@@ -1,7 +1,7 @@
-//! Where in a file a fault stands, and the name that was likely meant.
+//! Positions of errors in experiment files, and suggestions for misspelled names.
 
-/// Where a key of a file stands: line and column from 1. The path is written like `tier[0].kind[1].speed`;
-/// where the key itself is not in the file, the nearest part above it is named.
+/// Returns line and column, both from 1, of a key in a file. The path has the form `tier[0].kind[1].speed`. If the
+/// key is not in the file, returns the position of its closest parent.
 pub(super) fn locate(text: &str, path: &str) -> Option<(usize, usize)> {
     let document = toml_edit::ImDocument::parse(text).ok()?;
     let mut item = document.as_item();
@@ -32,7 +32,7 @@
     (line, before.chars().rev().take_while(|c| *c != '\n').count() + 1)
 }
 
-/// Adds the nearest right name to a message that lists the names expected.
+/// Adds the most similar expected name to a message that lists the expected names.
 pub(super) fn with_nearest(message: &str) -> String {
     let mut names = message.split('`').skip(1).step_by(2);
     let Some(wrong) = names.next() else { return message.to_owned() };
--- a/crates/testing/load-simulator/src/experiment/tier.rs
+++ b/crates/testing/load-simulator/src/experiment/tier.rs
@@ -1,22 +1,22 @@
-//! Tiers: their nodes, how these work and fail, what they report.
+//! Tiers: the properties, faults and load reports of their nodes.
 
 use super::*;
 
-/// A tier.
+/// A tier of nodes that serve the same requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Tier {
-    /// Its name.
+    /// Name of the tier.
     pub name: String,
-    /// Sidecars in front of the first tier. Each node of a tier has one of its own for the next.
+    /// Number of sidecars, for the first tier only. Each node has a sidecar of its own for the next tier.
     pub sidecars: usize,
-    /// The part of a call's work that it does for each request.
+    /// Fraction of a call's work done for each request at this tier.
     pub work: f64,
-    /// How many calls a request of the tier above makes to this one, one after another.
+    /// Range of the mean number of calls that a request at the previous tier makes to this one, one after another.
     pub calls: [f64; 2],
-    /// Its kinds of nodes.
+    /// Kinds of nodes in the tier.
     pub kind: Vec<Kind>,
-    /// The load reports in its answers.
+    /// Load reports in the tier's answers.
     pub report: Reports,
 }
 
@@ -37,43 +37,43 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Kind {
-    /// Its name.
+    /// Name of the kind.
     pub name: String,
-    /// How many there are.
+    /// Number of nodes.
     pub count: usize,
-    /// Cores of each.
+    /// Cores of each node.
     pub cores: u32,
-    /// Speed of a core; 1 does a second's work in a second.
+    /// Speed of a core; at 1 it does one second of work per second.
     pub speed: f64,
-    /// Spread of the speed between nodes, as its coefficient of variation.
+    /// Coefficient of variation of the speed between nodes.
     pub speed_spread: f64,
     /// How requests share the cores.
     pub discipline: Discipline,
-    /// Requests in work at one time.
+    /// Maximum number of requests in progress at once.
     pub slots: usize,
-    /// Requests that wait for a slot; what comes beyond is turned away.
+    /// Maximum number of requests that wait for a slot; further ones are rejected.
     pub waiting: usize,
-    /// Holding more requests than this makes it less efficient; 0: never.
+    /// Number of requests at the node beyond which it becomes less efficient; 0 for never.
     pub crowd_at: f64,
-    /// By this part of its speed for each such request.
+    /// Relative slowdown for each request beyond `crowd_at`.
     pub crowd_cost: f64,
-    /// Turns slow when crowded for some time, if this is given.
+    /// Makes the node slow after it held too many requests for some time; absent for never.
     pub jam: Option<Jam>,
-    /// A node that has just started has this part of its speed...
+    /// Fraction of its speed that a node has when it starts.
     pub cold_from: f64,
-    /// ... and all of it after this time, growing evenly.
+    /// Seconds over which the speed grows linearly from `cold_from` to its full value.
     pub cold_s: f64,
-    /// The part of requests that fails by itself.
+    /// Fraction of requests that fail without any injected fault.
     pub error_rate: f64,
-    /// What the end of a connection stops.
+    /// Which work the end of a connection stops.
     pub cancel: Cancel,
-    /// Connections that it accepts.
+    /// Maximum number of open connections.
     pub connections: usize,
-    /// Work for each new connection.
+    /// Work to accept a connection.
     pub handshake_ms: f64,
-    /// Round trips until a new connection is up.
+    /// Number of round trips to establish a connection.
     pub handshake_trips: f64,
-    /// Work for a probe.
+    /// Work to answer a probe.
     pub probe_ms: f64,
 }
 
@@ -81,41 +81,41 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Discipline {
-    /// All at once, in equal parts.
+    /// All requests in progress share all cores equally.
     #[default]
     Shared,
-    /// One a core, first come, first served.
+    /// Each core works on one request at a time, first come, first served.
     Fifo,
 }
 
-/// What the end of a connection stops at a node.
+/// Which work of a node the end of a connection stops.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Cancel {
-    /// Nothing.
+    /// No work.
     None,
-    /// Work that has not begun.
+    /// Requests that wait for a slot.
     #[default]
     Waiting,
-    /// Also work that runs.
+    /// Waiting requests and those in progress.
     Running,
 }
 
-/// A node that turns slow when crowded and stays so until it has been idle.
+/// A jam: a node becomes slow after holding too many requests, and stays slow until it has held few for a while.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Jam {
-    /// Requests held for each core ...
+    /// Number of requests per core from which a jam can begin.
     pub at: f64,
-    /// ... for so long.
+    /// Seconds for which `at` has to be reached before the jam begins.
     pub over_s: f64,
-    /// How many times slower it gets.
+    /// Factor by which a jammed node is slower.
     pub slower: f64,
-    /// It recovers once it has held fewer than this for each core ...
+    /// Number of requests per core below which the node can recover.
     pub below: f64,
-    /// ... for so long, ...
+    /// Seconds for which the load has to stay under `below` before the jam ends.
     pub rest_s: f64,
-    /// ... or after this time whatever happens.
+    /// Maximum duration of a jam in seconds.
     pub most_s: f64,
 }
 
@@ -155,29 +155,29 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Reports {
-    /// Which figures they hold: `util`, `qps`, `inflight`, `queue`. None: no reports.
+    /// Fields of a report: `util`, `qps`, `inflight`, `queue`. Empty for no reports.
     pub fields: Vec<Field>,
-    /// How often a node works them out.
+    /// Minimum interval at which a node computes a new report.
     pub period_ms: f64,
-    /// How late they come out.
+    /// Delay until a computed report is sent.
     pub delay_ms: f64,
-    /// Spread of their noise.
+    /// Standard deviation of the relative noise of utilisation and rate.
     pub noise: f64,
-    /// The part of answers that lacks them.
+    /// Fraction of answers without a report.
     pub missing: f64,
 }
 
-/// A figure in a load report.
+/// A field of a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Field {
-    /// How busy the cores are, 0 to 1.
+    /// Utilisation of the cores, 0 to 1.
     Util,
-    /// Requests served a second.
+    /// Requests served per second.
     Qps,
-    /// Requests held.
+    /// Requests at the node, waiting ones included.
     Inflight,
-    /// Requests waiting.
+    /// Requests that wait for a slot.
     Queue,
 }
 
--- a/crates/testing/load-simulator/src/meter.rs
+++ b/crates/testing/load-simulator/src/meter.rs
@@ -1,4 +1,4 @@
-//! What a run is measured by: worth answered in time, latency, and why worth was lost.
+//! Measurement of a run: worth of the calls answered in time, latency, and causes of lost worth.
 
 use crate::experiment::Experiment;
 use crate::model::caller::Call;
@@ -8,14 +8,15 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Latency is counted in microseconds, up to ten minutes, to three digits.
-const MOST_US: u64 = 600_000_000;
-/// The worst stretch is looked for among stretches of this length.
+/// Upper bound of recorded latencies in microseconds, ten minutes. They are recorded to three significant digits.
+const MAX_LATENCY_US: u64 = 600_000_000;
+/// Length in seconds of the windows among which the worst is searched.
 const WORST_WINDOW_S: u64 = 10;
-/// The most stretches that are counted apart; longer runs are counted in longer ones than a second.
-const MOST_TICKS: f64 = 3600.0;
+/// Maximum number of intervals that are counted separately. Runs longer than this many seconds use intervals longer
+/// than a second.
+const MAX_INTERVALS: f64 = 3600.0;
 
-/// Why a call earned nothing.
+/// Why a call earned no worth.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Cause {
@@ -31,18 +32,18 @@
     NodeLost,
     /// The node did not answer in time.
     NodeSilent,
-    /// Served, but after the aim.
+    /// Served, but later than the aim of its class.
     Late,
-    /// No sidecar was there.
+    /// No sidecar was reachable.
     NoSidecar,
-    /// The sidecar died with it.
+    /// The sidecar stopped while it held the call.
     SidecarLost,
-    /// Its caller gave up.
+    /// The caller gave up.
     GivenUp,
 }
 
 impl Cause {
-    /// In words, for tables.
+    /// Returns the cause as text for tables.
     pub fn words(self) -> &'static str {
         match self {
             Cause::RefusedUnsent => "refused before any attempt",
@@ -59,16 +60,16 @@
     }
 }
 
-/// Worth asked for and earned, and how many calls that was.
+/// Worth requested and earned, with the number of calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Worth {
-    /// Calls.
+    /// Number of calls.
     pub calls: u64,
-    /// Calls served, in time or not.
+    /// Number of calls served, in time or not.
     pub served: u64,
-    /// Worth asked for.
+    /// Total worth of the calls.
     pub asked: f64,
-    /// Worth earned.
+    /// Worth of the calls served in time.
     pub earned: f64,
 }
 
@@ -80,7 +81,7 @@
         self.earned += if earned { worth } else { 0.0 };
     }
 
-    /// The part earned; 1 where nothing was asked.
+    /// Returns the fraction earned; 1 if there was nothing to earn.
     pub fn share(&self) -> f64 {
         if self.asked > 0.0 {
             self.earned / self.asked
@@ -103,12 +104,12 @@
     pub p99: f64,
     /// 99.9th percentile.
     pub p999: f64,
-    /// The longest.
+    /// Maximum.
     pub max: f64,
 }
 
 impl Latency {
-    /// The figures of a histogram in microseconds.
+    /// Computes the statistics of a histogram in microseconds; all are 0 if it is empty.
     pub fn of(h: &Histogram<u64>) -> Latency {
         if h.is_empty() {
             return Latency::default();
@@ -125,90 +126,90 @@
     }
 }
 
-/// One stretch of a run (a second, where it lasts up to an hour), by when calls came in.
+/// One interval of a run (a second if the run lasts up to an hour), for the calls that arrived in it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Second {
-    /// Worth asked for and earned.
+    /// Worth of the calls that arrived in the interval.
     pub worth: Worth,
     /// Median latency of served calls in milliseconds.
     pub p50: f64,
-    /// 99th percentile.
+    /// 99th percentile latency of served calls in milliseconds.
     pub p99: f64,
 }
 
-/// How busy one node was and what it held, second by second.
+/// Utilisation of one node and the requests at it, for each second.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct NodeLoad {
-    /// Its number.
+    /// Index of the node.
     pub node: u32,
-    /// Its tier.
+    /// Name of its tier.
     pub tier: String,
-    /// Its kind.
+    /// Name of its kind.
     pub kind: String,
-    /// The part of its cores that was in use.
+    /// Fraction of its cores in use during each second.
     pub util: Vec<f32>,
-    /// Requests that it held.
+    /// Number of requests at the node at the end of each second.
     pub held: Vec<u32>,
 }
 
-/// What a run came to. The same experiment, policy and seed give the same bytes.
+/// Result of a run. The same experiment, policy and seed give the same bytes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Outcome {
-    /// The experiment.
+    /// Name of the experiment.
     pub experiment: String,
-    /// What decided.
+    /// Name of the policy.
     pub policy: String,
-    /// The seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// The goal: weighted parts of the worth earned.
+    /// Goal value: the weighted mean of the four fractions below, with the experiment's weights.
     pub goal: f64,
-    /// The part of the worth earned over the whole run.
+    /// Fraction of the worth earned over the whole run.
     pub whole: f64,
-    /// ... in the worst 10 s.
+    /// Fraction of the worth earned in the worst 10 s.
     pub worst_window: f64,
-    /// ... of the worst-served class.
+    /// Fraction of the worth earned in the worst-served class.
     pub worst_class: f64,
-    /// ... of the worst-served tenant.
+    /// Fraction of the worth earned for the worst-served tenant.
     pub worst_tenant: f64,
-    /// The part of calls served.
+    /// Fraction of the calls served, in time or not.
     pub served_share: f64,
-    /// Latency over all calls that were served.
+    /// Latency of all served calls, in milliseconds.
     pub latency_ms: Latency,
-    /// By class.
+    /// Worth and latency by class name.
     pub classes: BTreeMap<String, (Worth, Latency)>,
-    /// By tenant.
+    /// Worth by tenant name.
     pub tenants: BTreeMap<String, Worth>,
     /// Worth lost by cause.
     pub lost: BTreeMap<Cause, f64>,
-    /// Worth lost by cause, for each class.
+    /// Worth lost by class name and cause.
     pub lost_by_class: BTreeMap<String, BTreeMap<Cause, f64>>,
-    /// By second, or by longer stretches where the run lasts over an hour; left out where nobody asks for it.
+    /// Results by second, or by longer intervals if the run lasts over an hour; empty unless requested.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub seconds: Vec<Second>,
-    /// Requests at sidecars of all tiers.
+    /// Request counts of the sidecars of all tiers.
     pub requests: Tally,
-    /// Rules that did not hold, and how often.
+    /// Number of violations by rule.
     pub broken: BTreeMap<String, u64>,
-    /// Seconds for which cores of nodes were in use, since each node last started.
+    /// Core seconds used by all nodes, each since its last start.
     pub busy_s: f64,
-    /// Events of the run.
+    /// Number of simulation events.
     pub events: u64,
-    /// The most that stood in the queue.
+    /// Largest number of events that were queued at once.
     pub longest_queue: u64,
-    /// By node, if asked for.
+    /// Load by node; empty unless requested.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub nodes: Vec<NodeLoad>,
 }
 
-struct Tick {
+struct Interval {
     worth: Worth,
     latency: Histogram<u64>,
 }
 
-/// Counts as a run goes on.
+/// Collects the measurements of a run.
 pub struct Meter {
     warm_up: Nanos,
-    /// Length of one stretch that is counted apart.
+    /// Length of one interval that is counted separately.
     tick: Nanos,
     aims: Vec<f64>,
     latency: Histogram<u64>,
@@ -216,24 +217,24 @@
     by_tenant: Vec<Worth>,
     lost: BTreeMap<Cause, f64>,
     lost_by_class: Vec<BTreeMap<Cause, f64>>,
-    seconds: Vec<Tick>,
-    /// By node.
+    seconds: Vec<Interval>,
+    /// Load by node, recorded only if requested.
     pub nodes: Vec<NodeLoad>,
 }
 
 fn histogram() -> Histogram<u64> {
-    let mut h = Histogram::new(3).expect("three digits are within the crate's bounds");
+    let mut h = Histogram::new(3).expect("3 significant digits are valid");
     h.auto(true);
     h
 }
 
 impl Meter {
-    /// A meter for this experiment.
+    /// Creates a meter for the classes, tenants and length of an experiment.
     pub fn new(experiment: &Experiment) -> Meter {
         let classes = experiment.class.len();
         Meter {
             warm_up: crate::queue::nanos(experiment.warm_up_s),
-            tick: (experiment.length_s / MOST_TICKS).ceil().max(1.0) as Nanos * 1_000_000_000,
+            tick: (experiment.length_s / MAX_INTERVALS).ceil().max(1.0) as Nanos * 1_000_000_000,
             aims: experiment.class.iter().map(|c| c.aim_s).collect(),
             latency: histogram(),
             by_class: (0..classes).map(|_| (Worth::default(), histogram())).collect(),
@@ -245,22 +246,23 @@
         }
     }
 
-    /// A call is over: served at `now`, or lost for a cause.
-    pub fn over(&mut self, now: Nanos, call: &Call, cause: Option<Cause>) {
-        if call.came < self.warm_up {
+    /// Records the end of a call: served at `now`, or lost for a cause. Calls that arrived during the warm-up are
+    /// ignored.
+    pub fn call_ended(&mut self, now: Nanos, call: &Call, cause: Option<Cause>) {
+        if call.arrived_at < self.warm_up {
             return;
         }
-        let took = now - call.came;
+        let latency = now - call.arrived_at;
         let class = call.class as usize;
-        let late = seconds(took) > self.aims[class];
+        let late = seconds(latency) > self.aims[class];
         let cause = cause.or(late.then_some(Cause::Late));
         let served = cause.is_none_or(|c| c == Cause::Late);
         let earned = cause.is_none();
-        let second = (call.came / self.tick) as usize;
+        let second = (call.arrived_at / self.tick) as usize;
         while self.seconds.len() <= second {
-            let mut latency = Histogram::new(2).expect("two digits are within the crate's bounds");
+            let mut latency = Histogram::new(2).expect("2 significant digits are valid");
             latency.auto(true);
-            self.seconds.push(Tick { worth: Worth::default(), latency });
+            self.seconds.push(Interval { worth: Worth::default(), latency });
         }
         self.seconds[second].worth.add(call.worth, earned, served);
         self.by_class[class].0.add(call.worth, earned, served);
@@ -268,9 +270,9 @@
             tenant.add(call.worth, earned, served);
         }
         if served {
-            let us = (took / 1000).clamp(1, MOST_US);
+            let us = (latency / 1000).clamp(1, MAX_LATENCY_US);
             for h in [&mut self.latency, &mut self.by_class[class].1, &mut self.seconds[second].latency] {
-                h.record(us).expect("a histogram that grows takes any value under its bound");
+                h.record(us).expect("a resizing histogram accepts any value up to its bound");
             }
         }
         if let Some(cause) = cause {
@@ -279,7 +281,7 @@
         }
     }
 
-    /// The figures of the run so far.
+    /// Computes the results of the run so far.
     pub fn outcome(&self, e: &Experiment, policy: &str, seed: u64) -> Outcome {
         let total = |worths: &mut dyn Iterator<Item = Worth>| {
             worths.fold(Worth::default(), |s, w| Worth {
@@ -290,17 +292,17 @@
             })
         };
         let all = total(&mut self.by_class.iter().map(|c| c.0));
-        let least =
+        let lowest =
             |shares: &mut dyn Iterator<Item = f64>, none: f64| shares.reduce(f64::min).unwrap_or(none);
         let whole = all.share();
         let counted = &self.seconds[((self.warm_up / self.tick) as usize).min(self.seconds.len())..];
-        let long = (WORST_WINDOW_S * 1_000_000_000).div_ceil(self.tick) as usize;
-        let windows = counted.windows(long.min(counted.len().max(1)));
-        let worst_window = least(&mut windows.map(|w| total(&mut w.iter().map(|t| t.worth)).share()), whole);
+        let window_length = (WORST_WINDOW_S * 1_000_000_000).div_ceil(self.tick) as usize;
+        let windows = counted.windows(window_length.min(counted.len().max(1)));
+        let worst_window = lowest(&mut windows.map(|w| total(&mut w.iter().map(|t| t.worth)).share()), whole);
         let asked = |w: &&Worth| w.asked > 0.0;
         let worst_class =
-            least(&mut self.by_class.iter().map(|c| &c.0).filter(asked).map(Worth::share), whole);
-        let worst_tenant = least(&mut self.by_tenant.iter().filter(asked).map(Worth::share), whole);
+            lowest(&mut self.by_class.iter().map(|c| &c.0).filter(asked).map(Worth::share), whole);
+        let worst_tenant = lowest(&mut self.by_tenant.iter().filter(asked).map(Worth::share), whole);
         let g = &e.goal;
         let parts = [
             (g.whole, whole),
--- a/crates/testing/load-simulator/src/model/caller.rs
+++ b/crates/testing/load-simulator/src/model/caller.rs
@@ -1,39 +1,39 @@
-//! Callers: an open loop of calls, and what each caller does when it is not served.
+//! Callers: an open-loop source of calls, and the retry rules of callers.
 
 use crate::experiment::{Callers, Experiment, Shape, Wait};
 use crate::queue::{nanos, seconds, Nanos};
-use crate::random::{between, Around, Stream, Streams};
+use crate::random::{uniform, Stream, Streams, UnitMean};
 use rand::Rng;
 use rand_distr::{Distribution, Exp1};
 use serde::Deserialize;
 
-/// A call as it comes in.
+/// A call with its drawn parameters and the state of its tries.
 #[derive(Clone, Copy, Debug)]
 pub struct Call {
-    /// Position of its class.
+    /// Index of its class in the experiment.
     pub class: u16,
-    /// Position of its tenant; 0 where there are none.
+    /// Index of its tenant in the experiment; 0 if there are no tenants.
     pub tenant: u16,
-    /// Its work in seconds, over all tiers, for one request of each.
+    /// Work in seconds, over all tiers, for one request at each.
     pub work: f64,
-    /// When its first try was made.
-    pub came: Nanos,
-    /// What it is worth.
+    /// When the call arrived, which is the time of the first try.
+    pub arrived_at: Nanos,
+    /// Value of the call if it is served in time.
     pub worth: f64,
-    /// When its caller gives it up.
-    pub ends: Nanos,
-    /// How long its caller waits for one try.
+    /// Deadline at which the caller gives up the call.
+    pub give_up_at: Nanos,
+    /// How long the caller waits for one try.
     pub patience: Nanos,
-    /// Whether its caller stays away for as long as a refusal says.
-    pub follows: bool,
-    /// Draws its waits: one number, so that they do not depend on what others do.
-    pub salt: u64,
-    /// Tries so far.
+    /// Whether the caller waits for as long as a refusal advises.
+    pub follows_advice: bool,
+    /// Source of the spread of retry waits. It is drawn once per call, so that waits do not depend on other calls.
+    pub wait_seed: u64,
+    /// Number of tries so far.
     pub tries: u32,
-    /// Its latest request.
+    /// Number of the latest request.
     pub request: u64,
-    /// Number of its present try, over all calls; 0 while its caller waits before another one.
-    pub present: u32,
+    /// Number of the current try, unique over all calls; 0 while the caller waits before a retry.
+    pub current_try: u32,
 }
 
 #[derive(Deserialize)]
@@ -44,32 +44,33 @@
     work_ms: Option<f64>,
 }
 
-/// A captured arrival: when, of which class, whose, and its work, if known.
+/// A captured arrival: time, class, tenant, and the work in seconds if known.
 type Captured = (Nanos, u16, u16, Option<f64>);
 
-/// Where the calls come from.
+/// The source of an experiment's calls.
 pub struct Source {
     rate: f64,
     experiment: Experiment,
     arrivals: Stream,
-    picks: Stream,
-    works: Vec<Around>,
+    draws: Stream,
+    works: Vec<UnitMean>,
     class_sum: f64,
     tenant_sum: f64,
+    /// For each tenant, the calls left in its token bucket and the time of the last refill.
     allowance: Vec<(f64, Nanos)>,
     captured: Option<std::vec::IntoIter<Captured>>,
-    /// Times as many calls come in.
-    pub storm: f64,
-    /// A class of which this part costs 15 times the usual work.
-    pub heavy: Vec<f64>,
+    /// Factor on the arrival rate.
+    pub rate_factor: f64,
+    /// For each class, the share of calls that cost 15 times the usual work.
+    pub costly_share: Vec<f64>,
 }
 
 impl Source {
-    /// The source of an experiment's calls.
+    /// Creates the source and reads the experiment's file of captured arrivals, if it names one.
     ///
     /// # Errors
     ///
-    /// Says what is wrong with a captured file, and in which line.
+    /// Returns a message with the file and line if the captured arrivals cannot be read.
     pub fn new(experiment: &Experiment, streams: &Streams) -> Result<Source, String> {
         let captured = match &experiment.load.captured {
             Some(path) => Some(Self::captured(path, experiment)?.into_iter()),
@@ -78,14 +79,14 @@
         Ok(Source {
             rate: experiment.load.rate * experiment.scale,
             arrivals: streams.of("arrivals", 0),
-            picks: streams.of("calls", 0),
-            works: experiment.class.iter().map(|c| Around::new(c.work, c.cv)).collect(),
+            draws: streams.of("calls", 0),
+            works: experiment.class.iter().map(|c| UnitMean::new(c.work, c.cv)).collect(),
             class_sum: experiment.class.iter().map(|c| c.share).sum(),
             tenant_sum: experiment.tenant.iter().map(|t| t.share).sum(),
             allowance: experiment.tenant.iter().map(|t| (t.allowance_per_s, 0)).collect(),
             captured,
-            storm: 1.0,
-            heavy: vec![0.0; experiment.class.len()],
+            rate_factor: 1.0,
+            costly_share: vec![0.0; experiment.class.len()],
             experiment: experiment.clone(),
         })
     }
@@ -100,18 +101,18 @@
             let at = |problem: String| format!("{path}:{}: {problem}", n + 2);
             let line: Line = line.map_err(|e| at(e.to_string()))?;
             let class = e.class.iter().position(|c| c.name == line.class);
-            let class = class.ok_or_else(|| at(format!("there is no class '{}'", line.class)))?;
+            let class = class.ok_or_else(|| at(format!("unknown class '{}'", line.class)))?;
             let tenant = match line.tenant.filter(|t| !t.is_empty() && !e.tenant.is_empty()) {
                 Some(name) => e
                     .tenant
                     .iter()
                     .position(|t| t.name == name)
-                    .ok_or_else(|| at(format!("there is no tenant '{name}'")))?,
+                    .ok_or_else(|| at(format!("unknown tenant '{name}'")))?,
                 None => 0,
             };
-            let right = |v: f64| v.is_finite() && v >= 0.0;
-            if !right(line.at_s) || !line.work_ms.is_none_or(right) {
-                return Err(at("times should be finite and not negative".to_owned()));
+            let is_valid = |v: f64| v.is_finite() && v >= 0.0;
+            if !is_valid(line.at_s) || !line.work_ms.is_none_or(is_valid) {
+                return Err(at("at_s and work_ms must be finite and not negative".to_owned()));
             }
             lines.push((nanos(line.at_s), class as u16, tenant as u16, line.work_ms.map(|w| w / 1e3)));
         }
@@ -119,19 +120,20 @@
         Ok(lines)
     }
 
-    /// The time of the next call after `now`; `None` once no more come.
+    /// Returns the time of the next call after `now`, or `None` after the last one.
     pub fn next_at(&mut self, now: Nanos) -> Option<Nanos> {
         if let Some(lines) = &self.captured {
             return lines.as_slice().first().map(|l| l.0);
         }
-        // Thinning (Lewis and Shedler 1979): candidates at the highest rate, kept by the rate of their time.
+        // Thinning (Lewis and Shedler 1979): candidates are drawn at the highest rate and accepted with the
+        // probability that the rate at their time gives.
         let load = &self.experiment.load;
         let swing = if load.shape == Shape::Steady { 0.0 } else { load.swing };
-        let top = self.rate * (1.0 + swing) * self.storm;
+        let max_rate = self.rate * (1.0 + swing) * self.rate_factor;
         let mut at = now;
         loop {
             let gap: f64 = Exp1.sample(&mut self.arrivals);
-            at += nanos(gap / top).max(1);
+            at += nanos(gap / max_rate).max(1);
             if at >= nanos(self.experiment.length_s) {
                 return None;
             }
@@ -148,7 +150,7 @@
         }
     }
 
-    /// The call that comes in now.
+    /// Returns the call that arrives now.
     pub fn call(&mut self, now: Nanos) -> Call {
         let e = &self.experiment;
         let line = self.captured.as_mut().and_then(Iterator::next);
@@ -164,38 +166,40 @@
             }
             last as u16
         };
-        // All is drawn for each call, also what a captured line says: so the streams stay in step.
-        let drawn = pick(self.class_sum, &mut e.class.iter().map(|c| c.share), &mut self.picks);
-        let whose = pick(self.tenant_sum, &mut e.tenant.iter().map(|t| t.share), &mut self.picks);
-        let (class, tenant) = line.as_ref().map_or((drawn, whose), |l| (l.1, l.2));
+        // All values are drawn for each call, including those that a captured line overrides, so that the random
+        // streams stay in step.
+        let drawn_class = pick(self.class_sum, &mut e.class.iter().map(|c| c.share), &mut self.draws);
+        let drawn_tenant = pick(self.tenant_sum, &mut e.tenant.iter().map(|t| t.share), &mut self.draws);
+        let (class, tenant) = line.as_ref().map_or((drawn_class, drawn_tenant), |l| (l.1, l.2));
         let spec = &e.class[class as usize];
-        let mut work = spec.work_ms / 1e3 * self.works[class as usize].draw(&mut self.picks);
-        let costly = self.picks.random::<f64>() < self.heavy[class as usize];
+        let mut work = spec.work_ms / 1e3 * self.works[class as usize].draw(&mut self.draws);
+        let costly = self.draws.random::<f64>() < self.costly_share[class as usize];
         work *= if costly { 15.0 } else { 1.0 };
         let work = line.and_then(|l| l.3).unwrap_or(work);
-        let patience = nanos(spec.deadline_s * between(e.callers.patience, &mut self.picks));
-        let follows = self.picks.random::<f64>() < e.callers.follow_advice;
-        let salt = self.picks.random();
-        let worth = spec.worth * self.share_worth(now, tenant);
-        let ends = now + nanos(self.experiment.class[class as usize].deadline_s);
+        let patience = nanos(spec.deadline_s * uniform(e.callers.patience, &mut self.draws));
+        let follows_advice = self.draws.random::<f64>() < e.callers.follow_advice;
+        let wait_seed = self.draws.random();
+        let worth = spec.worth * self.allowance_worth(now, tenant);
+        let give_up_at = now + nanos(self.experiment.class[class as usize].deadline_s);
         Call {
             class,
             tenant,
             work,
-            came: now,
+            arrived_at: now,
             worth,
-            ends,
+            give_up_at,
             patience,
-            follows,
-            salt,
+            follows_advice,
+            wait_seed,
             tries: 0,
             request: 0,
-            present: 0,
+            current_try: 0,
         }
     }
 
-    /// What a tenant's call counts: 1 within its allowance, of which a second's may be saved up.
-    fn share_worth(&mut self, now: Nanos, tenant: u16) -> f64 {
+    /// Returns the value factor of a tenant's call: 1 within its allowance, of which up to one second's worth may
+    /// accumulate, and `over_worth` beyond it.
+    fn allowance_worth(&mut self, now: Nanos, tenant: u16) -> f64 {
         let Some((left, at)) = self.allowance.get_mut(tenant as usize) else { return 1.0 };
         let spec = &self.experiment.tenant[tenant as usize];
         let rate = spec.allowance_per_s * self.experiment.scale;
@@ -212,35 +216,35 @@
     }
 }
 
-/// How a try ended, as its caller sees it.
+/// Result of a try as the caller sees it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Heard {
-    /// Served.
+pub enum TryResult {
+    /// The call was served.
     Served,
-    /// Refused: trying again is harmless.
+    /// The call was refused and not executed, so a retry is safe. Holds the advised wait in seconds, if any.
     Refused(Option<f64>),
-    /// Failed.
+    /// The call failed and may have been executed.
     Failed,
-    /// No sidecar was there.
+    /// No sidecar accepted the call.
     Unreachable,
-    /// Nothing came within the caller's patience.
+    /// No answer arrived within the caller's patience.
     Nothing,
 }
 
-/// When a caller tries again after this, counted from now; `None`: it gives up.
-pub fn next_try(call: &Call, callers: &Callers, safe: bool, heard: Heard) -> Option<Nanos> {
-    // Only what is harmless is tried again: a repeat of what may have run would be the caller's own fault.
-    let harmless = safe || matches!(heard, Heard::Refused(_) | Heard::Unreachable);
-    if !harmless || heard == Heard::Served || call.tries > callers.retries {
+/// Returns how long a caller waits before it retries after a result, or `None` if it doesn't retry.
+pub fn retry_wait(call: &Call, callers: &Callers, safe: bool, result: TryResult) -> Option<Nanos> {
+    // Only safe calls are retried: repeating one that may have been executed would be the caller's own error.
+    let retry_is_safe = safe || matches!(result, TryResult::Refused(_) | TryResult::Unreachable);
+    if !retry_is_safe || result == TryResult::Served || call.tries > callers.retries {
         return None;
     }
-    let wait = match (heard, callers.wait) {
-        (Heard::Refused(Some(advice)), _) if call.follows => advice * 1e3,
+    let wait = match (result, callers.wait) {
+        (TryResult::Refused(Some(advice)), _) if call.follows_advice => advice * 1e3,
         (_, Wait::None) => 0.0,
         (_, Wait::Fixed) => callers.wait_ms,
         (_, Wait::Exponential) => callers.wait_ms * f64::from(1u32 << (call.tries - 1).min(16)),
     };
-    // Half to one and a half times the wait, by the caller's own number.
-    let spread = (call.salt.rotate_left(7 * call.tries) >> 11) as f64 / (1u64 << 53) as f64;
+    // Spreads the wait over 0.5 to 1.5 times its length, by the call's own number.
+    let spread = (call.wait_seed.rotate_left(7 * call.tries) >> 11) as f64 / (1u64 << 53) as f64;
     Some(nanos(wait / 1e3 * (0.5 + spread)))
 }
--- a/crates/testing/load-simulator/src/model/discovery.rs
+++ b/crates/testing/load-simulator/src/model/discovery.rs
@@ -1,75 +1,77 @@
-//! Discovery: one service for a tier's node list, which answers calls one after another.
+//! The discovery service of a tier: it serves the tier's node list and answers calls one after another.
 
-use crate::experiment::Discovery as Figures;
+use crate::experiment::Discovery as DiscoveryConfig;
 use crate::queue::{nanos, Nanos};
 use passrelay_load_balancing::{EndpointEntry, EndpointState, UpstreamId, ZoneId};
 use std::collections::{BTreeMap, VecDeque};
 
-/// What one call brings.
+/// The answer to one discovery call.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Told {
-    /// The version of the list.
+pub struct ListUpdate {
+    /// Version of the list after this update.
     pub seq: u64,
-    /// The whole list.
-    pub whole: bool,
-    /// The nodes, by their number, and when they last started.
-    pub lines: Vec<Line>,
+    /// Whether this is the full list rather than the changes since a version.
+    pub is_full: bool,
+    /// The nodes of the list, or the changes in order of their versions.
+    pub entries: Vec<ListEntry>,
 }
 
-/// A line of the list.
+/// The state of one node in the list.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Line {
-    /// Number of the node.
+pub struct ListEntry {
+    /// Index of the node in the run.
     pub node: u32,
-    /// Its zone.
+    /// Zone of the node.
     pub zone: usize,
-    /// Its condition.
+    /// State that is announced for the node.
     pub condition: EndpointState,
-    /// When it last started.
-    pub born: Option<Nanos>,
+    /// When the node last started; `None` if that was before the run.
+    pub started_at: Option<Nanos>,
 }
 
-impl Line {
-    /// The line as the module takes it, on the clock of a sidecar that started at `began`.
+impl ListEntry {
+    /// Converts this to the form that the load balancing module takes, on the clock of a sidecar that started at
+    /// `began`.
     pub fn entry(&self, began: Nanos) -> EndpointEntry {
         EndpointEntry {
             upstream: UpstreamId(u64::from(self.node)),
             zone: ZoneId(self.zone),
             cell: 0,
             state: self.condition,
-            started: self.born.map(|b| (b as f64 - began as f64) / 1e9),
+            started: self.started_at.map(|b| (b as f64 - began as f64) / 1e9),
         }
     }
 }
 
-/// What becomes of a call.
+/// When and how a call ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Turn {
-    /// It fails at this time.
-    Fails(Nanos),
-    /// Its turn comes at this time.
-    At(Nanos),
+pub enum CallTurn {
+    /// The call fails at this time.
+    FailsAt(Nanos),
+    /// The call is answered at this time.
+    AnsweredAt(Nanos),
 }
 
-/// One tier's list and those who watch it.
+/// A tier's node list, its recent changes and its open watches.
 pub struct Discovery {
-    figures: Figures,
-    lines: BTreeMap<u32, Line>,
+    config: DiscoveryConfig,
+    entries: BTreeMap<u32, ListEntry>,
     seq: u64,
-    changes: VecDeque<(u64, Line)>,
+    changes: VecDeque<(u64, ListEntry)>,
+    /// When the service has answered all calls so far.
     free_at: Nanos,
-    /// It does not answer.
+    /// Whether the service fails all calls.
     pub down: bool,
-    /// Sidecars whose watch is open, with the number of the call and the version that they know.
+    /// Open watches: the sidecar, the number of its call and the version that it knows.
     pub watches: Vec<(u32, u64, u64)>,
 }
 
 impl Discovery {
-    /// A list of these nodes, of version 1.
-    pub fn new(figures: &Figures, lines: impl Iterator<Item = Line>) -> Discovery {
+    /// Creates a list of these nodes, with version 1.
+    pub fn new(config: &DiscoveryConfig, entries: impl Iterator<Item = ListEntry>) -> Discovery {
         Discovery {
-            figures: figures.clone(),
-            lines: lines.map(|l| (l.node, l)).collect(),
+            config: config.clone(),
+            entries: entries.map(|l| (l.node, l)).collect(),
             seq: 1,
             changes: VecDeque::new(),
             free_at: 0,
@@ -78,54 +80,57 @@
         }
     }
 
-    /// A call's turn: calls are answered one after another, and one that waits too long fails.
-    pub fn turn(&mut self, now: Nanos) -> Turn {
+    /// Queues a call. Calls are answered one after another, and one that would wait longer than the timeout fails.
+    pub fn schedule_call(&mut self, now: Nanos) -> CallTurn {
         if self.down {
-            return Turn::Fails(now);
+            return CallTurn::FailsAt(now);
         }
-        let begins = self.free_at.max(now);
-        let patience = nanos(self.figures.timeout_ms / 1e3);
-        if begins - now > patience {
-            return Turn::Fails(now + patience);
+        let starts_at = self.free_at.max(now);
+        let timeout = nanos(self.config.timeout_ms / 1e3);
+        if starts_at - now > timeout {
+            return CallTurn::FailsAt(now + timeout);
         }
-        self.free_at = begins + nanos(self.figures.call_ms / 1e3);
-        Turn::At(self.free_at)
+        self.free_at = starts_at + nanos(self.config.call_ms / 1e3);
+        CallTurn::AnsweredAt(self.free_at)
     }
 
-    /// Writes a change down; who watches has to be answered.
-    pub fn publish(&mut self, line: Line) {
+    /// Records a change as a new version. The caller has to answer the open watches.
+    pub fn publish(&mut self, entry: ListEntry) {
         self.seq += 1;
-        if line.condition == EndpointState::Removed {
-            self.lines.remove(&line.node);
+        if entry.condition == EndpointState::Removed {
+            self.entries.remove(&entry.node);
         } else {
-            self.lines.insert(line.node, line);
+            self.entries.insert(entry.node, entry);
         }
-        self.changes.push_back((self.seq, line));
-        while self.changes.len() > self.figures.history {
+        self.changes.push_back((self.seq, entry));
+        while self.changes.len() > self.config.history {
             self.changes.pop_front();
         }
     }
 
-    /// Whether there is anything newer than this version.
-    pub fn has_news(&self, since: u64) -> bool {
+    /// Returns whether the list has changed since version `since`.
+    pub fn has_changes(&self, since: u64) -> bool {
         self.seq > since
     }
 
-    /// What someone is told who knows this version: what changed, or the whole list after a gap.
-    pub fn tell(&self, since: Option<u64>) -> Told {
+    /// Returns the changes since a known version, or the full list if none is known or the history no longer reaches
+    /// back to it.
+    pub fn update_since(&self, since: Option<u64>) -> ListUpdate {
         let oldest = self.changes.front().map_or(self.seq + 1, |(seq, _)| *seq);
         match since {
-            Some(since) if since + 1 >= oldest => Told {
+            Some(since) if since + 1 >= oldest => ListUpdate {
                 seq: self.seq,
-                whole: false,
-                lines: self.changes.iter().filter(|(seq, _)| *seq > since).map(|(_, l)| *l).collect(),
+                is_full: false,
+                entries: self.changes.iter().filter(|(seq, _)| *seq > since).map(|(_, l)| *l).collect(),
             },
-            _ => Told { seq: self.seq, whole: true, lines: self.lines.values().copied().collect() },
+            _ => {
+                ListUpdate { seq: self.seq, is_full: true, entries: self.entries.values().copied().collect() }
+            }
         }
     }
 
-    /// How long a watch stays open.
-    pub fn watch_for(&self) -> Nanos {
-        nanos(self.figures.watch_s)
+    /// Returns how long a watch stays open.
+    pub fn watch_duration(&self) -> Nanos {
+        nanos(self.config.watch_s)
     }
 }
--- a/crates/testing/load-simulator/src/model/mod.rs
+++ b/crates/testing/load-simulator/src/model/mod.rs
@@ -1,4 +1,4 @@
-//! The models: what an emulated fleet consists of.
+//! Models of the parts of an emulated fleet.
 
 pub mod caller;
 pub mod discovery;
--- a/crates/testing/load-simulator/src/model/network.rs
+++ b/crates/testing/load-simulator/src/model/network.rs
@@ -1,39 +1,39 @@
-//! Delays between machines, and what is cut off.
+//! The network between zones: message delays and partitions.
 
 use crate::experiment::Network;
 use crate::queue::{nanos, Nanos};
-use crate::random::{Around, Stream, Streams};
+use crate::random::{Stream, Streams, UnitMean};
 
-/// The network of one run.
+/// The simulated network of one run.
 pub struct Net {
-    figures: Network,
-    spread: Around,
+    config: Network,
+    jitter: UnitMean,
     rng: Stream,
-    /// Zones that are cut off from the others.
+    /// Whether each zone is cut off from all others.
     pub cut: Vec<bool>,
 }
 
 impl Net {
-    /// A network with these figures.
-    pub fn new(figures: &Network, streams: &Streams) -> Net {
+    /// Creates a network without partitions.
+    pub fn new(config: &Network, streams: &Streams) -> Net {
         Net {
-            spread: Around::noise(figures.jitter),
+            jitter: UnitMean::noise(config.jitter),
             rng: streams.of("network", 0),
-            cut: vec![false; figures.zones],
-            figures: figures.clone(),
+            cut: vec![false; config.zones],
+            config: config.clone(),
         }
     }
 
-    /// How long a message takes from zone to zone, one way.
+    /// Draws the one-way delay of a message between two zones.
     pub fn delay(&mut self, from: usize, to: usize) -> Nanos {
-        let ms = if from == to { self.figures.one_way_ms } else { self.figures.cross_zone_ms };
+        let ms = if from == to { self.config.one_way_ms } else { self.config.cross_zone_ms };
         if ms <= 0.0 {
             return 0;
         }
-        nanos(ms / 1e3 * self.spread.draw(&mut self.rng))
+        nanos(ms / 1e3 * self.jitter.draw(&mut self.rng))
     }
 
-    /// Whether messages between these zones are lost.
+    /// Returns whether messages between two zones are lost.
     pub fn is_cut(&self, from: usize, to: usize) -> bool {
         from != to && (self.cut[from] || self.cut[to])
     }
--- a/crates/testing/load-simulator/src/model/node.rs
+++ b/crates/testing/load-simulator/src/model/node.rs
@@ -1,61 +1,61 @@
-//! A node: cores, slots and a waiting room, and all that makes it slower.
+//! Model of a node with cores, request slots and a queue, and of everything that slows it down.
 //!
-//! Work on the cores is kept in virtual time: every piece that runs gets the same part of the node's speed, so a
-//! piece that needs `w` more seconds of work is done once the virtual clock has moved on by `w`. A change of speed
-//! or of the number of pieces changes how fast the virtual clock runs, and nothing else.
+//! Work on the cores is tracked in virtual time. Every unit of work that runs gets the same share of the node's
+//! speed, so a unit that needs `w` more seconds of work is done once the virtual clock has advanced by `w`. A change
+//! of speed or of the number of running units changes only the rate of the virtual clock.
 
 use super::report::{Reporter, Truth};
 use crate::experiment::{Cancel, Discipline, Kind, Reports, Rules};
 use crate::queue::{nanos, seconds, Nanos};
-use crate::random::{between, Around, Stream, Streams};
+use crate::random::{uniform, Stream, Streams, UnitMean};
 use rand::Rng;
 use rustc_hash::FxHashMap;
 use slab::Slab;
 use std::cmp::Ordering;
 use std::collections::{BinaryHeap, VecDeque};
 
-/// What rounds away when times are turned into whole nanoseconds.
+/// Tolerance in seconds for the rounding of times to whole nanoseconds.
 const ROUNDING: f64 = 4e-9;
-/// While a node is cold its speed is looked at anew so often.
-pub const COLD_LOOK_S: f64 = 0.1;
-/// Work that a cold node takes beyond its bound before it falls over, in seconds at speed 1 for each core: slack
-/// for chance, as a bound on few requests needs it.
-const FALL_SLACK_S: f64 = 0.5;
+/// Interval in seconds at which the speed of a cold node is updated.
+pub const COLD_UPDATE_S: f64 = 0.1;
+/// Work that a cold node takes beyond its overload bound before it fails, in seconds at speed 1 for each core. The
+/// slack absorbs random variation, which is large for a bound on few requests.
+const COLD_OVERLOAD_SLACK_S: f64 = 0.5;
 
-/// One request at a node.
+/// A request at a node.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// The request and the number of the attempt.
+    /// Number of the request and of the attempt.
     pub key: (u64, u32),
-    /// The sidecar that sent it, and that sidecar's life.
+    /// Index of the sidecar that sent it, and the number of that sidecar's start.
     pub from: (u32, u32),
-    /// Its class.
+    /// Index of its class in the experiment.
     pub class: u16,
-    /// Its tenant.
+    /// Index of its tenant in the experiment.
     pub tenant: u16,
-    /// Work of the whole call, in seconds for one request of each tier.
+    /// Work of the call over all tiers, in seconds, for one request at each.
     pub work: f64,
-    /// Until when its caller waits.
+    /// Time until which its caller waits.
     pub deadline: Nanos,
-    /// Number of the job, never used again at this node.
+    /// Number of the job, unique at this node.
     pub number: u64,
-    /// Pieces of work that are still to be done, in seconds.
+    /// Work between two calls to the next tier, in seconds at speed 1.
     pub piece: f64,
-    /// Calls to the next tier that are still to be made.
+    /// Number of calls to the next tier still to be made.
     pub calls: u32,
-    /// It ends in an error.
+    /// Whether it ends in an error.
     pub fails: bool,
-    /// It waits for a slot.
+    /// Whether it waits for a slot.
     pub waits: bool,
 }
 
-/// What runs on the cores.
+/// A unit of work that runs on the cores.
 #[derive(Clone, Copy)]
 struct Running {
-    /// The virtual time at which it is done.
+    /// Virtual time at which it is done.
     end: f64,
     number: u64,
-    /// The job, or none for work about connections and probes.
+    /// Index of its job; `None` for connection setup and probes.
     job: Option<usize>,
 }
 
@@ -79,90 +79,89 @@
 
 impl Eq for Running {}
 
-/// Whether a request was let in.
+/// Result of offering a request to a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// Turned away unseen.
+    /// Rejected without any work.
     Shed,
-    /// Taken, under this key; it waits for a slot or its work has begun.
+    /// Accepted, with its index in [`Node::jobs`]; it waits for a slot or its work has begun.
     Taken(usize),
-    /// Taken, and the node has been pushed over by it; told: two thirds of the work came from sidecars that had
-    /// been told of its start.
-    Fell {
-        /// See above.
-        told: bool,
+    /// The request has overloaded the node while it was cold, and the node fails.
+    Overloaded {
+        /// Whether at least two thirds of the work came from sidecars that had been informed of the node's start.
+        informed: bool,
     },
 }
 
-/// What is wrong with a node just now.
+/// The faults injected into a node.
 #[derive(Clone, Debug, Default)]
-pub struct Ills {
-    /// So many times slower.
+pub struct NodeFaults {
+    /// Factor by which the node is slower.
     pub slow: Option<f64>,
-    /// Fails this part of a class's requests at once, or of all.
+    /// Share of requests that fail at once, and the class that this affects; `None` for all classes.
     pub fails: Option<(f64, Option<u16>)>,
-    /// Takes requests and never answers.
+    /// Whether the node accepts requests and never answers them.
     pub gray: bool,
-    /// Nothing reaches it and nothing comes back.
+    /// Whether the node is cut off from the network in both directions.
     pub cut: bool,
 }
 
-/// How a node gets on.
+/// Lifecycle state of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// It serves.
+    /// Accepts requests.
     Up,
-    /// It finishes what it has.
+    /// Finishes its requests and accepts no new ones.
     Draining,
     /// Its process does not run.
     Down,
 }
 
-/// One node.
+/// A simulated node.
 pub struct Node {
-    /// Its tier.
+    /// Index of its tier in the experiment.
     pub tier: usize,
-    /// Its zone.
+    /// Index of its zone.
     pub zone: usize,
-    /// Where it listens; a successor may take it over.
+    /// Address on which it listens; a successor may take it over.
     pub address: u32,
-    /// Its kind.
+    /// Properties that it shares with the nodes of its kind.
     pub kind: Kind,
-    /// Its own speed.
+    /// Speed of each core when warm and without faults.
     pub speed: f64,
-    /// How it gets on.
+    /// Lifecycle state.
     pub state: State,
-    /// Which life of it this is; connections to an earlier one are dead.
+    /// Number of its current process; connections opened to an earlier one are dead.
     pub life: u32,
-    /// When it last started; none: long ago.
-    pub born: Option<Nanos>,
-    /// What is wrong with it.
-    pub ills: Ills,
-    /// Its sidecar for the next tier.
+    /// When it last started; `None` if that was before the run.
+    pub started_at: Option<Nanos>,
+    /// Faults injected now.
+    pub faults: NodeFaults,
+    /// Index of its sidecar for calls to the next tier, if any.
     pub sidecar: Option<u32>,
-    /// Open connections.
+    /// Number of open connections.
     pub connections: usize,
-    /// Requests that it holds.
+    /// Accepted requests that are not finished.
     pub jobs: Slab<Job>,
-    /// Requests that had waited and have got a slot, until that is noted.
-    pub begun: Vec<(u64, u32)>,
-    /// Seconds of cores in use when that was last noted.
-    pub sampled: f64,
+    /// Keys of requests that got a slot after waiting, until the observer has been informed.
+    pub newly_begun: Vec<(u64, u32)>,
+    /// Core seconds used at the last sample of utilisation.
+    pub busy_at_sample: f64,
     by_key: FxHashMap<(u64, u32), usize>,
     waiting: VecDeque<usize>,
     in_slots: usize,
     running: BinaryHeap<Running>,
-    /// First come, first served: pieces that wait for a core.
+    /// Jobs with their work that wait for a core, for the FIFO discipline.
     ready: VecDeque<(usize, f64)>,
     virtual_now: f64,
-    looked: Nanos,
-    /// Which of the completions put in the queue is still true.
+    updated_at: Nanos,
+    /// Number of the latest completion event; events with an older number are ignored.
     pub generation: u64,
-    numbers: u64,
+    last_number: u64,
     crowded_since: Option<Nanos>,
-    rested_since: Option<Nanos>,
+    calm_since: Option<Nanos>,
     jammed_at: Option<Nanos>,
-    /// Work that came in while it was cold: when, how much, and whether from a sidecar that knew.
+    /// Work that arrived while the node was cold: time, amount, and whether its sidecar had been informed of the start.
     cold_work: VecDeque<(Nanos, f64, bool)>,
     cold_sum: f64,
     truth: Truth,
@@ -171,7 +170,7 @@
 }
 
 impl Node {
-    /// A node that has run for long. Its speed is its own; nodes of one kind differ.
+    /// Creates a warm node. Its speed is drawn, so nodes of one kind differ.
     pub fn new(
         number: u64,
         tier: usize,
@@ -181,7 +180,7 @@
         streams: &Streams,
     ) -> Node {
         let mut rng = streams.of("node", number);
-        let speed = kind.speed * Around::noise(kind.speed_spread).draw(&mut rng);
+        let speed = kind.speed * UnitMean::noise(kind.speed_spread).draw(&mut rng);
         Node {
             tier,
             zone,
@@ -190,24 +189,24 @@
             speed,
             state: State::Up,
             life: 0,
-            born: None,
-            ills: Ills::default(),
+            started_at: None,
+            faults: NodeFaults::default(),
             sidecar: None,
             connections: 0,
             jobs: Slab::new(),
-            begun: Vec::new(),
-            sampled: 0.0,
+            newly_begun: Vec::new(),
+            busy_at_sample: 0.0,
             by_key: FxHashMap::default(),
             waiting: VecDeque::new(),
             in_slots: 0,
             running: BinaryHeap::new(),
             ready: VecDeque::new(),
             virtual_now: 0.0,
-            looked: 0,
+            updated_at: 0,
             generation: 0,
-            numbers: 0,
+            last_number: 0,
             crowded_since: None,
-            rested_since: None,
+            calm_since: None,
             jammed_at: None,
             cold_work: VecDeque::new(),
             cold_sum: 0.0,
@@ -217,24 +216,24 @@
         }
     }
 
-    /// Requests that it holds.
+    /// Returns the number of requests at the node, waiting ones included.
     pub fn held(&self) -> usize {
         self.jobs.len()
     }
 
-    /// Its process runs and can be reached.
-    pub fn is_there(&self) -> bool {
+    /// Returns whether its process runs.
+    pub fn is_running(&self) -> bool {
         self.state != State::Down
     }
 
-    /// The part of its speed that it has got to since it started.
-    pub fn warmth(&self, now: Nanos) -> f64 {
-        let (Some(born), true) = (self.born, self.kind.cold_s > 0.0) else { return 1.0 };
-        let age = seconds(now.saturating_sub(born)) / self.kind.cold_s;
+    /// Returns the fraction of its full speed that it has reached since its start.
+    pub fn warm_up_factor(&self, now: Nanos) -> f64 {
+        let (Some(started_at), true) = (self.started_at, self.kind.cold_s > 0.0) else { return 1.0 };
+        let age = seconds(now.saturating_sub(started_at)) / self.kind.cold_s;
         (self.kind.cold_from + (1.0 - self.kind.cold_from) * age).min(1.0)
     }
 
-    /// Speed of each core just now.
+    /// Returns the current speed of each core.
     pub fn pace(&self, now: Nanos) -> f64 {
         let over =
             if self.kind.crowd_at > 0.0 { (self.held() as f64 - self.kind.crowd_at).max(0.0) } else { 0.0 };
@@ -243,51 +242,52 @@
             _ if self.jammed_at.is_some() => 2.5,
             _ => 1.0,
         };
-        self.speed * self.warmth(now)
-            / (jam * self.ills.slow.unwrap_or(1.0) * (1.0 + self.kind.crowd_cost * over))
+        self.speed * self.warm_up_factor(now)
+            / (jam * self.faults.slow.unwrap_or(1.0) * (1.0 + self.kind.crowd_cost * over))
     }
 
     fn cores(&self) -> f64 {
         f64::from(self.kind.cores)
     }
 
-    /// How fast the virtual clock runs.
+    /// Returns the rate of the virtual clock.
     fn rate(&self, now: Nanos) -> f64 {
         let n = self.running.len() as f64;
-        if n == 0.0 || self.ills.gray {
+        if n == 0.0 || self.faults.gray {
             return 0.0;
         }
         self.pace(now) * (self.cores() / n).min(1.0)
     }
 
-    /// Brings the virtual clock up to now. Has to come before anything that changes the speed or the pieces.
+    /// Advances the virtual clock to `now`. Must be called before any change of the speed or of the running work.
     pub fn catch_up(&mut self, now: Nanos) {
-        let passed = seconds(now - self.looked);
+        let passed = seconds(now - self.updated_at);
         if passed > 0.0 {
-            let rate = self.rate(self.looked);
+            let rate = self.rate(self.updated_at);
             self.virtual_now += passed * rate;
             let busy = if rate > 0.0 { (self.running.len() as f64).min(self.cores()) } else { 0.0 };
             self.truth.busy += busy * passed;
         }
-        self.looked = now;
+        self.updated_at = now;
         if self.running.is_empty() {
-            // Guards against a clock so far on that a nanosecond is lost in rounding.
+            // Keeps the clock small enough that no nanosecond is lost in rounding.
             self.virtual_now = 0.0;
         }
     }
 
-    /// When the next piece is done as things are now, with the number that tells whether this still holds.
+    /// Returns when the next unit of work is done at the current rate, with the generation by which a later change can
+    /// invalidate this.
     pub fn next_done(&mut self, now: Nanos) -> Option<(Nanos, u64)> {
         self.generation += 1;
         let rate = self.rate(now);
         let first = self.running.peek().filter(|_| rate > 0.0)?;
         let after = ((first.end - self.virtual_now).max(0.0) / rate * 1e9).ceil();
-        // A cold node gets faster while it works: it is looked at again soon.
-        let look = if self.warmth(now) < 1.0 { nanos(COLD_LOOK_S) } else { Nanos::MAX / 4 };
-        Some((now + (after as Nanos).min(look), self.generation))
+        // A cold node gets faster while it works, so the rate is updated after a short interval.
+        let next_update = if self.warm_up_factor(now) < 1.0 { nanos(COLD_UPDATE_S) } else { Nanos::MAX / 4 };
+        Some((now + (after as Nanos).min(next_update), self.generation))
     }
 
-    /// The pieces that are done by now: the jobs whose piece it was.
+    /// Removes the units of work that are done by `now` and appends their jobs to `into`.
     pub fn done(&mut self, now: Nanos, into: &mut Vec<usize>) {
         self.catch_up(now);
         while self.running.peek().is_some_and(|r| r.end <= self.virtual_now + ROUNDING) {
@@ -308,11 +308,11 @@
     }
 
     fn run(&mut self, job: Option<usize>, work: f64) {
-        self.numbers += 1;
-        self.running.push(Running { end: self.virtual_now + work, number: self.numbers, job });
+        self.last_number += 1;
+        self.running.push(Running { end: self.virtual_now + work, number: self.last_number, job });
     }
 
-    /// Puts a job's next piece on the cores, or behind others that wait for them.
+    /// Starts a job's next piece of work, or queues it if the discipline is FIFO and all cores are busy.
     pub fn start_piece(&mut self, job: usize) {
         let Some(work) = self.jobs.get(job).map(|j| j.piece) else { return };
         let full = self.running.len() >= self.kind.cores as usize;
@@ -323,37 +323,44 @@
         }
     }
 
-    /// Work that is nobody's request: for a connection or a probe.
-    pub fn chore(&mut self, now: Nanos, work: f64) {
-        if work > 0.0 && !self.ills.gray {
+    /// Adds work that belongs to no request, for a connection or a probe.
+    pub fn add_background_work(&mut self, now: Nanos, work: f64) {
+        if work > 0.0 && !self.faults.gray {
             self.catch_up(now);
             self.run(None, work);
         }
     }
 
-    /// Takes a request or turns it away. `usual` is what a request of its class usually costs here: a
-    /// cold node is not pushed over by one costly request. `told`: its sidecar knows when the node last started.
-    pub fn admit(&mut self, now: Nanos, mut job: Job, usual: f64, told: bool, rules: &Rules) -> Admission {
+    /// Accepts or rejects a request. `usual` is the usual work of its class here, so that a single costly request
+    /// does not overload a cold node. `informed` is whether its sidecar knows when the node last started.
+    pub fn admit(
+        &mut self,
+        now: Nanos,
+        mut job: Job,
+        usual: f64,
+        informed: bool,
+        rules: &Rules,
+    ) -> Admission {
         self.catch_up(now);
-        if self.weigh_cold(now, usual, told, rules) {
-            let knowing: f64 = self.cold_work.iter().filter(|w| w.2).map(|w| w.1).sum();
-            return Admission::Fell { told: knowing >= self.cold_sum * 2.0 / 3.0 };
+        if self.add_cold_work(now, usual, informed, rules) {
+            let informed_work: f64 = self.cold_work.iter().filter(|w| w.2).map(|w| w.1).sum();
+            return Admission::Overloaded { informed: informed_work >= self.cold_sum * 2.0 / 3.0 };
         }
         let full = self.in_slots >= self.kind.slots && self.waiting.len() >= self.kind.waiting;
         if self.state != State::Up || full {
             return Admission::Shed;
         }
-        if let Some((share, class)) = self.ills.fails {
+        if let Some((share, class)) = self.faults.fails {
             if class.is_none_or(|c| c == job.class) && self.rng.random::<f64>() < share {
-                // It fails before it has done much.
+                // An injected failure happens after 2 % of the work.
                 job.fails = true;
                 job.calls = 0;
                 job.piece *= 0.02;
             }
         }
         job.fails |= self.kind.error_rate > 0.0 && self.rng.random::<f64>() < self.kind.error_rate;
-        self.numbers += 1;
-        job.number = self.numbers;
+        self.last_number += 1;
+        job.number = self.last_number;
         job.waits = self.in_slots >= self.kind.slots;
         let (key, waits) = (job.key, job.waits);
         let at = self.jobs.insert(job);
@@ -364,63 +371,63 @@
             self.in_slots += 1;
             self.start_piece(at);
         }
-        self.watch_crowd(now);
+        self.update_jam(now);
         Admission::Taken(at)
     }
 
-    /// Counts work that comes to a cold node; true once it has been pushed over.
-    fn weigh_cold(&mut self, now: Nanos, work: f64, told: bool, rules: &Rules) -> bool {
-        let warmth = self.warmth(now);
-        if warmth >= 1.0 {
+    /// Adds work that arrives at a cold node. Returns whether the node is overloaded by it.
+    fn add_cold_work(&mut self, now: Nanos, work: f64, informed: bool, rules: &Rules) -> bool {
+        let warm_up_factor = self.warm_up_factor(now);
+        if warm_up_factor >= 1.0 {
             self.cold_work.clear();
             self.cold_sum = 0.0;
             return false;
         }
-        self.cold_work.push_back((now, work, told));
+        self.cold_work.push_back((now, work, informed));
         self.cold_sum += work;
         let from = now.saturating_sub(nanos(rules.fall_s));
         while let Some((_, old, _)) = self.cold_work.front().copied().filter(|w| w.0 < from) {
             self.cold_work.pop_front();
             self.cold_sum -= old;
         }
-        let can = self.speed * warmth * self.cores();
-        self.cold_sum > rules.overload_factor * can * rules.fall_s + FALL_SLACK_S * self.cores()
+        let capacity = self.speed * warm_up_factor * self.cores();
+        self.cold_sum > rules.overload_factor * capacity * rules.fall_s + COLD_OVERLOAD_SLACK_S * self.cores()
     }
 
-    /// Looks whether it turns slow or recovers; gives when to look again.
-    pub fn watch_crowd(&mut self, now: Nanos) -> Option<Nanos> {
+    /// Starts or ends a jam according to the number of requests held. Returns when to check again.
+    pub fn update_jam(&mut self, now: Nanos) -> Option<Nanos> {
         let jam = self.kind.jam.clone()?;
         let held = self.held() as f64 / self.cores();
         if let Some(since) = self.jammed_at {
-            let resting = held < jam.below;
-            self.rested_since = if resting { Some(self.rested_since.unwrap_or(now)) } else { None };
-            let rested = self.rested_since.map(|r| r + nanos(jam.rest_s));
+            let is_calm = held < jam.below;
+            self.calm_since = if is_calm { Some(self.calm_since.unwrap_or(now)) } else { None };
+            let rested = self.calm_since.map(|r| r + nanos(jam.rest_s));
             let end = rested.unwrap_or(Nanos::MAX).min(since + nanos(jam.most_s));
             if now < end {
                 return Some(end);
             }
             self.catch_up(now);
-            (self.jammed_at, self.rested_since, self.crowded_since) = (None, None, None);
+            (self.jammed_at, self.calm_since, self.crowded_since) = (None, None, None);
         }
         if held < jam.at {
             self.crowded_since = None;
             return None;
         }
-        let turns = self.crowded_since.get_or_insert(now).saturating_add(nanos(jam.over_s));
-        if now >= turns {
+        let jams_at = self.crowded_since.get_or_insert(now).saturating_add(nanos(jam.over_s));
+        if now >= jams_at {
             self.jam(now);
             return Some(now + nanos(jam.most_s));
         }
-        Some(turns)
+        Some(jams_at)
     }
 
-    /// Turns it slow, as if it had been crowded.
+    /// Starts a jam, as if too many requests had been held for too long.
     pub fn jam(&mut self, now: Nanos) {
         self.catch_up(now);
-        (self.jammed_at, self.rested_since) = (Some(now), None);
+        (self.jammed_at, self.calm_since) = (Some(now), None);
     }
 
-    /// Takes a job out; the next that waits gets its slot.
+    /// Removes a job and gives its slot to the next job that waits.
     pub fn remove(&mut self, now: Nanos, at: usize) -> Option<Job> {
         self.catch_up(now);
         let job = self.jobs.try_remove(at)?;
@@ -432,14 +439,15 @@
             if let Some(next) = self.waiting.pop_front() {
                 self.in_slots += 1;
                 self.jobs[next].waits = false;
-                self.begun.push(self.jobs[next].key);
+                self.newly_begun.push(self.jobs[next].key);
                 self.start_piece(next);
             }
         }
         Some(job)
     }
 
-    /// The connection of an attempt has ended: what that stops depends on the kind. Gives the job that is over.
+    /// Handles the end of an attempt's connection. Depending on the kind's `cancel` setting, this stops the job,
+    /// which is then returned.
     pub fn cancel(&mut self, now: Nanos, key: (u64, u32)) -> Option<Job> {
         let at = *self.by_key.get(&key)?;
         let waits = self.jobs[at].waits;
@@ -456,8 +464,8 @@
         self.remove(now, at)
     }
 
-    /// Its process ends; what it held is lost.
-    pub fn die(&mut self, now: Nanos) -> Vec<Job> {
+    /// Ends its process and returns the jobs lost with it.
+    pub fn terminate(&mut self, now: Nanos) -> Vec<Job> {
         self.catch_up(now);
         self.state = State::Down;
         self.life += 1;
@@ -469,50 +477,52 @@
         self.ready.clear();
         self.cold_work.clear();
         (self.in_slots, self.connections, self.cold_sum) = (0, 0, 0.0);
-        (self.jammed_at, self.crowded_since, self.rested_since) = (None, None, None);
+        (self.jammed_at, self.crowded_since, self.calm_since) = (None, None, None);
         lost
     }
 
-    /// Its process starts, cold.
+    /// Starts its process, cold.
     pub fn start(&mut self, now: Nanos) {
         self.catch_up(now);
-        (self.state, self.born) = (State::Up, Some(now));
+        (self.state, self.started_at) = (State::Up, Some(now));
         self.truth = Truth::default();
         self.reporter.restart(now);
     }
 
-    /// One more request was served.
+    /// Counts one more served request.
     pub fn served(&mut self) {
         self.truth.served += 1;
     }
 
-    /// The load report that an answer carries.
+    /// Returns the load report that an answer carries, if any. A gray node reports itself as idle.
     pub fn report(&mut self, now: Nanos) -> Option<passrelay_load_balancing::LoadReport> {
         self.catch_up(now);
         self.truth.held = self.held() as f64;
         self.truth.waiting = self.waiting.len() as f64;
-        if self.ills.gray {
+        if self.faults.gray {
             return Some(Reporter::idle(self.reporter.fields()));
         }
         self.reporter.report(now, &self.truth, self.cores())
     }
 
-    /// The reporter, for troubles.
+    /// Returns the reporter, for injecting stale or false reports.
     pub fn reporter(&mut self) -> &mut Reporter {
         &mut self.reporter
     }
 
-    /// Seconds of cores in use so far.
+    /// Returns the core seconds used since the start.
     pub fn busy(&mut self, now: Nanos) -> f64 {
         self.catch_up(now);
         self.truth.busy
     }
 
-    /// Work of one attempt at this node, in seconds at speed 1, in pieces before and after the calls it makes.
-    pub fn pieces(&mut self, work: f64, attempt_noise: f64, calls: [f64; 2]) -> (f64, u32) {
-        let noise = if attempt_noise > 0.0 { Around::noise(attempt_noise).draw(&mut self.rng) } else { 1.0 };
-        let mean = between(calls, &mut self.rng);
-        let calls = crate::random::whole(mean, &mut self.rng);
+    /// Draws the work of one attempt at this node, in seconds at speed 1. Returns the work of each of the equal pieces
+    /// before, between and after the calls to the next tier, and the number of these calls.
+    pub fn draw_pieces(&mut self, work: f64, attempt_noise: f64, calls: [f64; 2]) -> (f64, u32) {
+        let noise =
+            if attempt_noise > 0.0 { UnitMean::noise(attempt_noise).draw(&mut self.rng) } else { 1.0 };
+        let mean = uniform(calls, &mut self.rng);
+        let calls = crate::random::round_randomly(mean, &mut self.rng);
         (work * noise / f64::from(calls + 1), calls)
     }
 }
--- a/crates/testing/load-simulator/src/model/report.rs
+++ b/crates/testing/load-simulator/src/model/report.rs
@@ -1,63 +1,64 @@
-//! Load reports: worked out now and then, late, noisy, missing, stale or false.
+//! Load reports of nodes: computed periodically, delayed, noisy, and possibly missing, stale or false.
 
 use crate::experiment::{Field, Reports};
 use crate::queue::{nanos, seconds, Nanos};
-use crate::random::{wobble, Stream};
+use crate::random::{gaussian_noise, Stream};
 use passrelay_load_balancing::LoadReport;
 use rand::Rng;
 
-/// What is true of a node, as it would count it itself.
+/// The true load of a node, as its own counters would show it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Truth {
-    /// Seconds of cores in use since it started.
+    /// Core seconds used since the node started.
     pub busy: f64,
-    /// Requests served since it started.
+    /// Number of requests served since the node started.
     pub served: u64,
-    /// Requests held now.
+    /// Number of requests at the node now, waiting ones included.
     pub held: f64,
-    /// Requests waiting now.
+    /// Number of requests that wait for a slot now.
     pub waiting: f64,
 }
 
-/// Works out what a node says of itself.
+/// Computes the load reports that a node sends.
 pub struct Reporter {
-    figures: Reports,
+    config: Reports,
     last: (Nanos, Truth),
-    /// The report that is out, and the one that takes its place from a time on.
+    /// The report sent with answers now.
     current: Option<LoadReport>,
+    /// The report that replaces `current` from the given time on.
     next: Option<(Nanos, LoadReport)>,
-    /// Nothing new is worked out.
+    /// Whether reports are frozen: no new ones are computed.
     pub stale: bool,
-    /// Says this utilisation whatever is true.
-    pub lie: Option<f64>,
+    /// A false utilisation that replaces the computed one.
+    pub false_utilisation: Option<f64>,
     rng: Stream,
 }
 
 impl Reporter {
-    /// A reporter with these figures.
-    pub fn new(figures: Reports, rng: Stream) -> Reporter {
+    /// Creates a reporter that has computed no report yet.
+    pub fn new(config: Reports, rng: Stream) -> Reporter {
         Reporter {
-            figures,
+            config,
             last: (0, Truth::default()),
             current: None,
             next: None,
             stale: false,
-            lie: None,
+            false_utilisation: None,
             rng,
         }
     }
 
-    /// Its node has started anew.
+    /// Discards all state after a restart of the node.
     pub fn restart(&mut self, now: Nanos) {
         (self.last, self.current, self.next) = ((now, Truth::default()), None, None);
     }
 
-    /// The figures that reports hold.
+    /// Returns the fields that reports contain.
     pub fn fields(&self) -> &[Field] {
-        &self.figures.fields
+        &self.config.fields
     }
 
-    /// What a node says that believes itself idle.
+    /// Returns the report of an idle node.
     pub fn idle(fields: &[Field]) -> LoadReport {
         Self::fill(fields, [0.0; 4])
     }
@@ -73,20 +74,20 @@
         }
     }
 
-    /// The report that an answer carries now. What is worked out covers the time since the last answer but at
-    /// least one period.
+    /// Returns the report that an answer carries now, or `None` if it carries none. A report covers the time since the
+    /// last one was computed, which is at least one period.
     pub fn report(&mut self, now: Nanos, truth: &Truth, cores: f64) -> Option<LoadReport> {
-        if self.figures.fields.is_empty() {
+        if self.config.fields.is_empty() {
             return None;
         }
         let passed = seconds(now - self.last.0);
-        if !self.stale && passed >= self.figures.period_ms / 1e3 {
-            let noise = self.figures.noise;
-            let mut noisy = |v: f64| v * wobble(noise, &mut self.rng);
+        if !self.stale && passed >= self.config.period_ms / 1e3 {
+            let noise = self.config.noise;
+            let mut noisy = |v: f64| v * gaussian_noise(noise, &mut self.rng);
             let util = noisy((truth.busy - self.last.1.busy) / passed / cores).min(1.0);
             let qps = noisy((truth.served - self.last.1.served) as f64 / passed);
-            let report = Self::fill(&self.figures.fields, [util, qps, truth.held, truth.waiting]);
-            if let Some((_, older)) = self.next.replace((now + nanos(self.figures.delay_ms / 1e3), report)) {
+            let report = Self::fill(&self.config.fields, [util, qps, truth.held, truth.waiting]);
+            if let Some((_, older)) = self.next.replace((now + nanos(self.config.delay_ms / 1e3), report)) {
                 self.current = Some(older);
             }
             self.last = (now, *truth);
@@ -94,12 +95,12 @@
         if let Some((_, report)) = self.next.take_if(|(at, _)| *at <= now) {
             self.current = Some(report);
         }
-        if self.figures.missing > 0.0 && self.rng.random::<f64>() < self.figures.missing {
+        if self.config.missing > 0.0 && self.rng.random::<f64>() < self.config.missing {
             return None;
         }
         let mut report = self.current?;
-        if let Some(lie) = self.lie {
-            report.cpu = report.cpu.map(|_| lie);
+        if let Some(false_utilisation) = self.false_utilisation {
+            report.cpu = report.cpu.map(|_| false_utilisation);
         }
         Some(report)
     }
--- a/crates/testing/load-simulator/src/observer.rs
+++ b/crates/testing/load-simulator/src/observer.rs
@@ -1,5 +1,5 @@
-//! The observer: checks the rules from outside, from what happens on the emulated network and at the nodes. It
-//! shares no code with the deciders and takes nothing that they say of themselves.
+//! The observer checks the rules from events on the simulated network and at the nodes. It shares no code with the
+//! deciders and uses no information from them.
 
 use crate::experiment::Rules;
 use crate::queue::{nanos, seconds, Nanos};
@@ -7,315 +7,340 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The most events kept of one request.
-const MOST_EVENTS: usize = 48;
+/// Maximum number of events recorded for one request.
+const MAX_EVENTS: usize = 48;
 
-/// A rule.
+/// A rule that every run has to keep.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Rule {
-    /// Each request that was taken has one final answer, in time.
+    /// Each accepted request gets exactly one final answer, in time.
     OneAnswer,
-    /// What must never run twice doesn't, and is refused only where it never ran.
+    /// A request that is not safe to repeat never runs twice, and is refused only if it never ran.
     RunOnce,
-    /// Nothing new goes to a node that is known to drain or to be gone.
+    /// No new request is sent to a node that the sidecar knows to drain or to be removed.
     Drain,
-    /// No cold node is pushed over.
+    /// No cold node is overloaded.
     Cold,
-    /// What was asked is what was served, refused, failed or given up.
+    /// The number of requests accepted equals the number served, refused, failed, given up and lost.
     Conservation,
 }
 
-/// What happened to a request.
+/// An event of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Note {
-    /// A sidecar took it.
+pub enum RequestEvent {
+    /// A sidecar accepted it.
     Taken {
-        /// The sidecar.
+        /// Index of the sidecar.
         sidecar: u32,
     },
-    /// An attempt's first byte went out.
+    /// The first byte of an attempt was sent.
     Sent {
-        /// Its number.
+        /// Number of the attempt, from 0.
         attempt: u32,
-        /// The node.
+        /// Index of the node.
         node: u32,
     },
-    /// A node began to work on it.
+    /// A node began to work on an attempt.
     Begun {
-        /// The attempt's number.
+        /// Number of the attempt, from 0.
         attempt: u32,
-        /// The node.
+        /// Index of the node.
         node: u32,
     },
-    /// An attempt's end was told to the sidecar.
+    /// The sidecar learned that an attempt had ended.
     Ended {
-        /// Its number.
+        /// Number of the attempt, from 0.
         attempt: u32,
-        /// How it ended.
+        /// Result of the attempt.
         ending: passrelay_load_balancing::Ending,
     },
-    /// Its caller went away.
+    /// The caller disconnected.
     Gone,
-    /// The final answer.
+    /// The final answer was a success.
     Served,
-    /// The final answer.
+    /// The final answer was a refusal.
     Refused,
-    /// The final answer.
+    /// The final answer was a failure.
     Failed,
 }
 
-/// A rule that did not hold.
+/// A violation of a rule.
 #[derive(Clone, Debug)]
-pub struct Broken {
-    /// Which rule.
+pub struct Violation {
+    /// The violated rule.
     pub rule: Rule,
     /// Seed of the run.
     pub seed: u64,
-    /// When.
+    /// Simulated time of the violation.
     pub at: Nanos,
-    /// What happened.
-    pub what: String,
-    /// The last events of the request, where it is about one.
-    pub events: Vec<(Nanos, Note)>,
+    /// What happened, in one sentence.
+    pub description: String,
+    /// The first events of the request, up to a limit; empty if the violation concerns no request.
+    pub events: Vec<(Nanos, RequestEvent)>,
 }
 
-impl fmt::Display for Broken {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "rule {:?} broken at {:.6} s with seed {}: {}",
+            "rule {:?} violated at {:.6} s with seed {}: {}",
             self.rule,
             seconds(self.at),
             self.seed,
-            self.what
+            self.description
         )?;
-        for (at, note) in &self.events {
-            write!(f, "\n  {:.6} s  {note:?}", seconds(*at))?;
+        for (at, event) in &self.events {
+            write!(f, "\n  {:.6} s  {event:?}", seconds(*at))?;
         }
         Ok(())
     }
 }
 
-impl std::error::Error for Broken {}
+impl std::error::Error for Violation {}
 
-struct Watched {
+struct TrackedRequest {
     sidecar: u32,
     deadline: Nanos,
     safe: bool,
     answered: bool,
     runs: u32,
-    out: u32,
-    events: Vec<(Nanos, Note)>,
+    in_flight: u32,
+    events: Vec<(Nanos, RequestEvent)>,
 }
 
-/// What was asked and how it ended, over all requests to sidecars.
+/// Counts of the requests at the sidecars of all tiers, by how they ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tally {
-    /// Requests taken.
+    /// Requests that a sidecar accepted.
     pub taken: u64,
-    /// Served.
+    /// Requests served.
     pub served: u64,
-    /// Refused.
+    /// Requests refused.
     pub refused: u64,
-    /// Failed.
+    /// Requests failed.
     pub failed: u64,
-    /// Given up by their callers.
+    /// Requests whose callers disconnected first.
     pub gone: u64,
-    /// Lost with a sidecar that died.
+    /// Requests lost with a sidecar that stopped.
     pub lost: u64,
-    /// Attempts sent.
+    /// Attempts sent to nodes.
     pub sent: u64,
     /// Attempts that a node began to work on.
     pub begun: u64,
 }
 
-/// Watches one run.
+/// Checks the rules during one run.
 pub struct Observer {
     seed: u64,
-    slack: Nanos,
-    grace: Nanos,
-    open: FxHashMap<u64, Watched>,
-    /// When a sidecar was told that a node wants nothing new.
-    told: FxHashMap<(u32, u32), Nanos>,
+    answer_slack: Nanos,
+    drain_grace: Nanos,
+    requests: FxHashMap<u64, TrackedRequest>,
+    /// When a sidecar learned that a node accepts no new requests, by sidecar and node.
+    closed_nodes: FxHashMap<(u32, u32), Nanos>,
     tally: Tally,
-    broken: Vec<Broken>,
+    violations: Vec<Violation>,
     counts: std::collections::BTreeMap<Rule, u64>,
 }
 
 impl Observer {
-    /// An observer of a run with this seed.
+    /// Creates the observer of a run; `seed` is named in violations.
     pub fn new(rules: &Rules, seed: u64) -> Observer {
         Observer {
             seed,
-            slack: nanos(rules.answer_slack_ms / 1e3),
-            grace: nanos(rules.drain_grace_s),
-            open: FxHashMap::default(),
-            told: FxHashMap::default(),
+            answer_slack: nanos(rules.answer_slack_ms / 1e3),
+            drain_grace: nanos(rules.drain_grace_s),
+            requests: FxHashMap::default(),
+            closed_nodes: FxHashMap::default(),
             tally: Tally::default(),
-            broken: Vec::new(),
+            violations: Vec::new(),
             counts: std::collections::BTreeMap::new(),
         }
     }
 
-    fn break_rule(&mut self, rule: Rule, at: Nanos, what: String, id: Option<u64>) {
+    fn record_violation(&mut self, rule: Rule, at: Nanos, description: String, id: Option<u64>) {
         *self.counts.entry(rule).or_default() += 1;
-        if self.broken.len() < 8 {
-            let events = id.and_then(|id| self.open.get(&id)).map(|w| w.events.clone()).unwrap_or_default();
-            self.broken.push(Broken { rule, seed: self.seed, at, what, events });
+        if self.violations.len() < 8 {
+            let events =
+                id.and_then(|id| self.requests.get(&id)).map(|w| w.events.clone()).unwrap_or_default();
+            self.violations.push(Violation { rule, seed: self.seed, at, description, events });
         }
     }
 
-    /// The first rules that did not hold.
-    pub fn broken(&self) -> &[Broken] {
-        &self.broken
+    /// Returns the first violations, at most 8.
+    pub fn violations(&self) -> &[Violation] {
+        &self.violations
     }
 
-    /// How often each rule did not hold.
+    /// Returns the number of violations of each rule.
     pub fn counts(&self) -> &std::collections::BTreeMap<Rule, u64> {
         &self.counts
     }
 
-    /// What was counted.
+    /// Returns the request counts so far.
     pub fn tally(&self) -> Tally {
         self.tally
     }
 
-    fn note(&mut self, at: Nanos, id: u64, note: Note) -> Option<&mut Watched> {
-        let w = self.open.get_mut(&id)?;
-        if w.events.len() < MOST_EVENTS {
-            w.events.push((at, note));
+    fn record_event(&mut self, at: Nanos, id: u64, event: RequestEvent) -> Option<&mut TrackedRequest> {
+        let w = self.requests.get_mut(&id)?;
+        if w.events.len() < MAX_EVENTS {
+            w.events.push((at, event));
         }
         Some(w)
     }
 
-    fn forget(&mut self, id: u64) {
-        // Kept while an attempt is out: a second run may still come.
-        if self.open.get(&id).is_some_and(|w| w.answered && w.out == 0) {
-            self.open.remove(&id);
+    fn remove_if_done(&mut self, id: u64) {
+        // Kept while an attempt is in flight, as it could still begin a second run.
+        if self.requests.get(&id).is_some_and(|w| w.answered && w.in_flight == 0) {
+            self.requests.remove(&id);
         }
     }
 
-    /// A sidecar has taken a request; its caller waits until `deadline`.
-    pub fn taken(&mut self, at: Nanos, id: u64, sidecar: u32, deadline: Nanos, safe: bool) {
+    /// Records that a sidecar accepted a request, whose caller waits until `deadline`.
+    pub fn request_accepted(&mut self, at: Nanos, id: u64, sidecar: u32, deadline: Nanos, safe: bool) {
         self.tally.taken += 1;
-        let events = vec![(at, Note::Taken { sidecar })];
-        self.open.insert(id, Watched { sidecar, deadline, safe, answered: false, runs: 0, out: 0, events });
+        let events = vec![(at, RequestEvent::Taken { sidecar })];
+        self.requests.insert(
+            id,
+            TrackedRequest { sidecar, deadline, safe, answered: false, runs: 0, in_flight: 0, events },
+        );
     }
 
-    /// An attempt's first byte goes out.
+    /// Records that the first byte of an attempt was sent.
     pub fn sent(&mut self, at: Nanos, id: u64, attempt: u32, node: u32) {
         self.tally.sent += 1;
-        let Some(w) = self.note(at, id, Note::Sent { attempt, node }) else { return };
-        w.out += 1;
+        let Some(w) = self.record_event(at, id, RequestEvent::Sent { attempt, node }) else { return };
+        w.in_flight += 1;
         let (sidecar, answered) = (w.sidecar, w.answered);
         if answered {
-            let what = format!("request {id:x} was sent to node {node} after its final answer");
-            self.break_rule(Rule::OneAnswer, at, what, Some(id));
+            let description = format!("request {id:x} was sent to node {node} after its final answer");
+            self.record_violation(Rule::OneAnswer, at, description, Some(id));
         }
-        if self.told.get(&(sidecar, node)).is_some_and(|told| at > told + self.grace) {
-            let what =
-                format!("sidecar {sidecar} sent request {id:x} to node {node}, which it knows to drain");
-            self.break_rule(Rule::Drain, at, what, Some(id));
+        if self
+            .closed_nodes
+            .get(&(sidecar, node))
+            .is_some_and(|learned_at| at > learned_at + self.drain_grace)
+        {
+            let description = format!(
+                "sidecar {sidecar} sent request {id:x} to node {node}, which it knows to accept no new requests"
+            );
+            self.record_violation(Rule::Drain, at, description, Some(id));
         }
     }
 
-    /// A node begins to work on an attempt.
-    pub fn begun(&mut self, at: Nanos, id: u64, attempt: u32, node: u32) {
+    /// Records that a node began to work on an attempt.
+    pub fn work_begun(&mut self, at: Nanos, id: u64, attempt: u32, node: u32) {
         self.tally.begun += 1;
-        let Some(w) = self.note(at, id, Note::Begun { attempt, node }) else { return };
+        let Some(w) = self.record_event(at, id, RequestEvent::Begun { attempt, node }) else { return };
         w.runs += 1;
         if w.runs > 1 && !w.safe {
-            let what = format!("request {id:x}, which must never run twice, runs again at node {node}");
-            self.break_rule(Rule::RunOnce, at, what, Some(id));
+            let description =
+                format!("request {id:x}, which is not safe to repeat, ran again at node {node}");
+            self.record_violation(Rule::RunOnce, at, description, Some(id));
         }
     }
 
-    /// An attempt is over: nothing of it can begin any more.
+    /// Records the end of an attempt, after which no work on it can begin.
     pub fn ended(&mut self, at: Nanos, id: u64, attempt: u32, ending: passrelay_load_balancing::Ending) {
-        if let Some(w) = self.note(at, id, Note::Ended { attempt, ending }) {
-            w.out = w.out.saturating_sub(1);
+        if let Some(w) = self.record_event(at, id, RequestEvent::Ended { attempt, ending }) {
+            w.in_flight = w.in_flight.saturating_sub(1);
         }
-        self.forget(id);
+        self.remove_if_done(id);
     }
 
-    /// The caller of a request has gone away.
-    pub fn gone(&mut self, at: Nanos, id: u64) {
-        let Some(w) = self.note(at, id, Note::Gone) else { return };
+    /// Records that the caller of a request disconnected.
+    pub fn caller_left(&mut self, at: Nanos, id: u64) {
+        let Some(w) = self.record_event(at, id, RequestEvent::Gone) else { return };
         if !std::mem::replace(&mut w.answered, true) {
             self.tally.gone += 1;
         }
-        self.forget(id);
+        self.remove_if_done(id);
     }
 
-    /// The final answer of a request.
-    pub fn answered(&mut self, at: Nanos, id: u64, answer: Note) {
+    /// Records the final answer of a request.
+    pub fn answered(&mut self, at: Nanos, id: u64, answer: RequestEvent) {
         match answer {
-            Note::Served => self.tally.served += 1,
-            Note::Refused => self.tally.refused += 1,
+            RequestEvent::Served => self.tally.served += 1,
+            RequestEvent::Refused => self.tally.refused += 1,
             _ => self.tally.failed += 1,
         }
-        let slack = self.slack;
-        let Some(w) = self.note(at, id, answer) else {
-            let what = format!("request {id:x} was answered, but nobody waits for it");
-            return self.break_rule(Rule::OneAnswer, at, what, None);
+        let answer_slack = self.answer_slack;
+        let Some(w) = self.record_event(at, id, answer) else {
+            let description = format!("request {id:x} was answered, but is not waiting for an answer");
+            return self.record_violation(Rule::OneAnswer, at, description, None);
         };
-        let (again, late) = (w.answered, at > w.deadline + slack);
-        let ran = answer == Note::Refused && w.runs > 0 && !w.safe;
+        let (answered_before, late) = (w.answered, at > w.deadline + answer_slack);
+        let ran = answer == RequestEvent::Refused && w.runs > 0 && !w.safe;
         w.answered = true;
-        if again {
-            self.break_rule(Rule::OneAnswer, at, format!("request {id:x} was answered twice"), Some(id));
+        if answered_before {
+            self.record_violation(
+                Rule::OneAnswer,
+                at,
+                format!("request {id:x} was answered twice"),
+                Some(id),
+            );
         }
         if late {
-            self.break_rule(Rule::OneAnswer, at, format!("request {id:x} was answered too late"), Some(id));
+            self.record_violation(
+                Rule::OneAnswer,
+                at,
+                format!("request {id:x} was answered too late"),
+                Some(id),
+            );
         }
         if ran {
-            let what = format!("request {id:x} was refused as harmless to repeat, but it had run");
-            self.break_rule(Rule::RunOnce, at, what, Some(id));
+            let description = format!("request {id:x} was refused as safe to repeat, but had already run");
+            self.record_violation(Rule::RunOnce, at, description, Some(id));
         }
-        self.forget(id);
+        self.remove_if_done(id);
     }
 
-    /// A sidecar has been told of a node.
-    pub fn told(&mut self, at: Nanos, sidecar: u32, node: u32, wants_new: bool) {
-        if wants_new {
-            self.told.remove(&(sidecar, node));
+    /// Records that a sidecar learned whether a node accepts new requests.
+    pub fn node_announced(&mut self, at: Nanos, sidecar: u32, node: u32, accepts_new: bool) {
+        if accepts_new {
+            self.closed_nodes.remove(&(sidecar, node));
         } else {
-            self.told.entry((sidecar, node)).or_insert(at);
+            self.closed_nodes.entry((sidecar, node)).or_insert(at);
         }
     }
 
-    /// A sidecar has died with all that it had taken and been told.
-    pub fn died(&mut self, sidecar: u32) {
-        self.told.retain(|(s, _), _| *s != sidecar);
+    /// Records that a sidecar stopped and lost its requests and its node list.
+    pub fn sidecar_stopped(&mut self, sidecar: u32) {
+        self.closed_nodes.retain(|(s, _), _| *s != sidecar);
         let mut lost = 0;
-        self.open.retain(|_, w| {
+        self.requests.retain(|_, w| {
             lost += u64::from(w.sidecar == sidecar && !w.answered);
             w.sidecar != sidecar
         });
         self.tally.lost += lost;
     }
 
-    /// A cold node has been pushed over.
-    pub fn fell(&mut self, at: Nanos, node: u32) {
-        self.break_rule(Rule::Cold, at, format!("node {node} was pushed over while it was cold"), None);
+    /// Records that a cold node was overloaded.
+    pub fn cold_node_overloaded(&mut self, at: Nanos, node: u32) {
+        self.record_violation(Rule::Cold, at, format!("node {node} was overloaded while it was cold"), None);
     }
 
-    /// The run is over: nobody may still wait, and the counts have to add up.
-    pub fn end(&mut self, at: Nanos) {
+    /// Checks at the end of the run that no request is unanswered and that the counts add up.
+    pub fn finish(&mut self, at: Nanos) {
         let mut waiting: Vec<u64> =
-            self.open.iter().filter(|(_, w)| !w.answered).map(|(id, _)| *id).collect();
+            self.requests.iter().filter(|(_, w)| !w.answered).map(|(id, _)| *id).collect();
         waiting.sort_unstable();
         for id in &waiting {
-            self.break_rule(Rule::OneAnswer, at, format!("request {id:x} was never answered"), Some(*id));
+            self.record_violation(
+                Rule::OneAnswer,
+                at,
+                format!("request {id:x} was never answered"),
+                Some(*id),
+            );
         }
         let t = self.tally;
         let ended = t.served + t.refused + t.failed + t.gone + t.lost;
         if t.taken != ended + waiting.len() as u64 {
-            self.break_rule(
+            self.record_violation(
                 Rule::Conservation,
                 at,
-                format!("{} requests taken, {ended} ended: {t:?}", t.taken),
+                format!("{} requests accepted, {ended} ended: {t:?}", t.taken),
                 None,
             );
         }
--- a/crates/testing/load-simulator/src/queue.rs
+++ b/crates/testing/load-simulator/src/queue.rs
@@ -1,4 +1,4 @@
-//! The event queue: what happens next, and in which order what happens at the same time.
+//! The event queue of a simulation, with a defined order of simultaneous events.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
@@ -6,88 +6,89 @@
 /// Simulated time in nanoseconds since the start of the run.
 pub type Nanos = u64;
 
-/// Seconds as nanoseconds; what is negative or no number counts as 0.
+/// Converts seconds to nanoseconds. Negative values and NaN become 0.
 pub fn nanos(seconds: f64) -> Nanos {
     (seconds * 1e9).round() as Nanos
 }
 
-/// Nanoseconds as seconds.
+/// Converts nanoseconds to seconds.
 pub fn seconds(at: Nanos) -> f64 {
     at as f64 / 1e9
 }
 
-struct Slot<E> {
+struct Scheduled<E> {
     at: Nanos,
     number: u64,
     event: E,
 }
 
-impl<E> Ord for Slot<E> {
+impl<E> Ord for Scheduled<E> {
     fn cmp(&self, other: &Self) -> Ordering {
-        // The heap gives the greatest first; the earliest is wanted, and among equals the first put in.
+        // Reversed, as the heap returns the greatest element: the earliest event comes first, and among simultaneous
+        // ones the first that was added.
         (other.at, other.number).cmp(&(self.at, self.number))
     }
 }
 
-impl<E> PartialOrd for Slot<E> {
+impl<E> PartialOrd for Scheduled<E> {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl<E> PartialEq for Slot<E> {
+impl<E> PartialEq for Scheduled<E> {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other) == Ordering::Equal
     }
 }
 
-impl<E> Eq for Slot<E> {}
+impl<E> Eq for Scheduled<E> {}
 
-/// Events by time; events at one time come out in the order in which they were put in.
+/// A queue of events by time. Simultaneous events are returned in the order in which they were added.
 pub struct Queue<E> {
-    heap: BinaryHeap<Slot<E>>,
-    number: u64,
+    heap: BinaryHeap<Scheduled<E>>,
+    last_number: u64,
     now: Nanos,
     longest: usize,
 }
 
 impl<E> Default for Queue<E> {
     fn default() -> Self {
-        Queue { heap: BinaryHeap::new(), number: 0, now: 0, longest: 0 }
+        Queue { heap: BinaryHeap::new(), last_number: 0, now: 0, longest: 0 }
     }
 }
 
 impl<E> Queue<E> {
-    /// The time of the event that came out last.
+    /// Returns the time of the last event taken out.
     pub fn now(&self) -> Nanos {
         self.now
     }
 
-    /// Puts an event in. One for the past happens now.
+    /// Adds an event. An event in the past is moved to the current time.
     pub fn put(&mut self, at: Nanos, event: E) {
-        self.number += 1;
-        self.heap.push(Slot { at: at.max(self.now), number: self.number, event });
+        self.last_number += 1;
+        self.heap.push(Scheduled { at: at.max(self.now), number: self.last_number, event });
         self.longest = self.longest.max(self.heap.len());
     }
 
-    /// The next event; the clock moves to its time.
+    /// Removes the next event and advances the clock to its time.
     pub fn take(&mut self) -> Option<E> {
-        let slot = self.heap.pop()?;
-        self.now = slot.at;
-        Some(slot.event)
+        let scheduled = self.heap.pop()?;
+        self.now = scheduled.at;
+        Some(scheduled.event)
     }
 
-    /// When the next event comes out.
-    pub fn next_at(&self) -> Option<Nanos> {
-        self.heap.peek().map(|slot| slot.at)
+    /// Returns the time of the next event.
+    pub fn next_time(&self) -> Option<Nanos> {
+        self.heap.peek().map(|scheduled| scheduled.at)
     }
 
-    /// How many have been put in.
+    /// Returns how many events have been added so far.
     pub fn count(&self) -> u64 {
-        self.number
+        self.last_number
     }
 
-    /// The most that stood in the queue at once.
+    /// Returns the largest number of events that were queued at once.
     pub fn longest(&self) -> usize {
         self.longest
     }
--- a/crates/testing/load-simulator/src/random.rs
+++ b/crates/testing/load-simulator/src/random.rs
@@ -1,34 +1,34 @@
-//! Seeded random streams, one for each part of a run, so that a change to one model does not shift another's
-//! draws, and the distributions that the models draw from.
+//! Seeded random streams and the distributions of the models. Each part of a run has its own stream, so that a change
+//! to one model does not shift the draws of another.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp1, LogNormal, Pareto, StandardNormal};
 use serde::{Deserialize, Serialize};
 
-/// A hash that is the same on every machine: FNV-1a (Fowler, Noll, Vo).
+/// Returns the 64-bit FNV-1a hash (Fowler, Noll, Vo), which is the same on every machine.
 pub fn hash_of(text: &str) -> u64 {
     text.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0000_0100_0000_01b3))
 }
 
-/// A stream of random numbers.
+/// A reproducible stream of random numbers.
 pub type Stream = ChaCha8Rng;
 
-/// All streams of one run.
+/// The factory of all random streams of one run.
 #[derive(Clone, Copy)]
 pub struct Streams {
     seed: u64,
 }
 
 impl Streams {
-    /// The streams of this seed.
+    /// Creates the streams of a seed.
     pub fn new(seed: u64) -> Self {
         Streams { seed }
     }
 
-    /// The stream of a part, such as `node`, and of a number within it.
+    /// Returns the stream of a part of the run, such as `node`, and a number within that part.
     pub fn of(&self, part: &str, number: u64) -> Stream {
-        // The hash tells the parts apart; ChaCha mixes the rest.
+        // The hash distinguishes the parts; ChaCha mixes the key.
         let hash = hash_of(part);
         let mut key = [0; 32];
         for (at, word) in [self.seed, hash, number, 0x7061_7373].into_iter().enumerate() {
@@ -38,7 +38,7 @@
     }
 }
 
-/// The form of a distribution whose mean is 1.
+/// The family of a distribution with mean 1, as experiment files name it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Form {
@@ -47,15 +47,15 @@
     /// Exponential; its coefficient of variation is 1.
     #[default]
     Exponential,
-    /// Log-normal with the coefficient of variation given beside it.
+    /// Log-normal, with a separately given coefficient of variation.
     Lognormal,
-    /// Pareto with the coefficient of variation given beside it.
+    /// Pareto, with a separately given coefficient of variation.
     Pareto,
 }
 
 /// A distribution with mean 1.
 #[derive(Clone, Copy)]
-pub enum Around {
+pub enum UnitMean {
     /// Always 1.
     One,
     /// Exponential.
@@ -66,44 +66,45 @@
     Pareto(Pareto<f64>),
 }
 
-impl Around {
-    /// A form with a coefficient of variation; with one of 0 it is always 1.
-    pub fn new(form: Form, cv: f64) -> Around {
+impl UnitMean {
+    /// Creates a distribution with a coefficient of variation, which applies to log-normal and Pareto only. If it is 0,
+    /// those two always give 1.
+    pub fn new(form: Form, cv: f64) -> UnitMean {
         let cv = cv.max(0.0);
         match form {
-            Form::Fixed => Around::One,
-            Form::Exponential => Around::Exponential,
-            _ if cv < 1e-9 => Around::One,
+            Form::Fixed => UnitMean::One,
+            Form::Exponential => UnitMean::Exponential,
+            _ if cv < 1e-9 => UnitMean::One,
             Form::Lognormal => {
                 let variance = (1.0 + cv * cv).ln();
-                LogNormal::new(-variance / 2.0, variance.sqrt()).map_or(Around::One, Around::Lognormal)
+                LogNormal::new(-variance / 2.0, variance.sqrt()).map_or(UnitMean::One, UnitMean::Lognormal)
             }
             Form::Pareto => {
-                // cv^2 = 1 / (a (a - 2)), and the mean a x / (a - 1) is to be 1.
+                // Solves cv^2 = 1 / (a (a - 2)) for the shape a; the scale x then makes the mean a x / (a - 1) equal 1.
                 let a = 1.0 + (1.0 + 1.0 / (cv * cv)).sqrt();
-                Pareto::new((a - 1.0) / a, a).map_or(Around::One, Around::Pareto)
+                Pareto::new((a - 1.0) / a, a).map_or(UnitMean::One, UnitMean::Pareto)
             }
         }
     }
 
-    /// Log-normal noise of this spread.
-    pub fn noise(cv: f64) -> Around {
-        Around::new(Form::Lognormal, cv)
+    /// Creates a log-normal distribution with a coefficient of variation.
+    pub fn noise(cv: f64) -> UnitMean {
+        UnitMean::new(Form::Lognormal, cv)
     }
 
-    /// Draws a value.
+    /// Draws a value; a distribution that always gives 1 consumes no random numbers.
     pub fn draw(&self, rng: &mut Stream) -> f64 {
         match self {
-            Around::One => 1.0,
-            Around::Exponential => Exp1.sample(rng),
-            Around::Lognormal(d) => d.sample(rng),
-            Around::Pareto(d) => d.sample(rng),
+            UnitMean::One => 1.0,
+            UnitMean::Exponential => Exp1.sample(rng),
+            UnitMean::Lognormal(d) => d.sample(rng),
+            UnitMean::Pareto(d) => d.sample(rng),
         }
     }
 }
 
-/// Normal noise around 1, not under 0.
-pub fn wobble(spread: f64, rng: &mut Stream) -> f64 {
+/// Draws from a normal distribution with mean 1, clamped at 0. Draws nothing if the spread is not positive.
+pub fn gaussian_noise(spread: f64, rng: &mut Stream) -> f64 {
     if spread <= 0.0 {
         return 1.0;
     }
@@ -111,12 +112,12 @@
     (1.0 + spread * z).max(0.0)
 }
 
-/// A number from `low` to `high`.
-pub fn between(range: [f64; 2], rng: &mut Stream) -> f64 {
+/// Draws uniformly from `range[0]` up to `range[1]`.
+pub fn uniform(range: [f64; 2], rng: &mut Stream) -> f64 {
     range[0] + (range[1] - range[0]) * rng.random::<f64>()
 }
 
-/// A whole number with this mean: the whole part, and one more with the chance of the rest.
-pub fn whole(mean: f64, rng: &mut Stream) -> u32 {
+/// Rounds `mean` up with the probability of its fractional part, else down, so that the result has this mean.
+pub fn round_randomly(mean: f64, rng: &mut Stream) -> u32 {
     mean as u32 + u32::from(rng.random::<f64>() < mean.fract())
 }
--- a/crates/testing/load-simulator/src/rivals/mod.rs
+++ b/crates/testing/load-simulator/src/rivals/mod.rs
@@ -1,13 +1,13 @@
-//! Rivals of the decision module: published ways to pick a node, each behind the same trait and told only what a
-//! sidecar may know.
+//! Alternative load balancing policies for comparison with the decision module: published ways to pick a node, each
+//! behind the same trait and limited to what a sidecar can know (except for the oracle).
 //!
-//! What none of their sources says (the node list, retries, refusals, what to do with a node that cannot be
-//! reached) is the same shell for all of them, [`Shell`]:
-//! it sends to nodes that the list has in service; leaves one out for a second after a connection to it failed
-//! or broke (Finagle's failure accrual has 5 failures and 5 s or more; one failure suits a fleet this small);
-//! tries again, at another node, what is safe or never ran, within a budget of one repeat for five requests
-//! (Finagle's `RetryBudget` default); and refuses what it cannot send. It holds nothing and refuses nothing for
-//! want of room, as none of the sources do.
+//! Everything that the publications leave open (the node list, retries, refusals, unreachable nodes) is handled by
+//! one common wrapper, [`PolicyShell`]. It sends to nodes that the list reports as running. It excludes a node for a
+//! second after a connection to it failed or broke; Finagle's failure accrual uses 5 failures and 5 s or more, but
+//! one failure suits a fleet this small. It retries, at another node, requests that are idempotent or were never
+//! executed, within a budget of one retry for five requests (Finagle's `RetryBudget` default). It refuses requests
+//! that it cannot send. It neither queues requests nor refuses them for lack of capacity, as none of the publications
+//! do.
 
 mod ewma;
 mod oracle;
@@ -16,7 +16,7 @@
 mod weighted;
 
 pub use ewma::PeakEwma;
-pub use oracle::{Oracle, Sights, True};
+pub use oracle::{Oracle, TrueState, TrueStates};
 pub use prequal::Prequal;
 pub use simple::{LeastRequests, Random, RoundRobin, TwoChoices};
 pub use weighted::WeightedRoundRobin;
@@ -33,39 +33,39 @@
 
 use crate::random::{Stream, Streams};
 
-/// For how long a node is left out after a connection to it failed.
-const AVOID_S: f64 = 1.0;
-/// Repeats earned by each request, and the most that can be saved up.
-const REPEATS: (f64, f64) = (0.2, 20.0);
-/// A call for the node list that failed is made again after this time.
-const ASK_AGAIN_S: f64 = 0.5;
+/// Seconds for which a node is excluded after a connection to it failed or broke.
+const FAILED_NODE_PAUSE_S: f64 = 1.0;
+/// Retry budget earned by each request, and the most that can accumulate.
+const RETRY_BUDGET: (f64, f64) = (0.2, 20.0);
+/// Seconds after which a failed call for the node list is repeated.
+const LIST_RETRY_S: f64 = 0.5;
 
-/// What decides in a run.
+/// The load balancing policy of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Policy {
-    /// passrelay's own module.
+    /// The decision module of passrelay.
     Passrelay,
-    /// Any node, with equal chances.
+    /// A node drawn uniformly.
     Random,
-    /// One after another.
+    /// All nodes in turn.
     RoundRobin,
-    /// The fewest own requests out.
+    /// The node with the fewest of the sidecar's own requests in flight.
     LeastRequests,
-    /// The better of two drawn at random.
+    /// The better of two nodes drawn at random.
     TwoChoices,
-    /// Two choices by decaying peak latency times requests out.
+    /// Two choices by decaying peak latency times own requests in flight.
     PeakEwma,
-    /// Weighted turns by requests a second over utilisation.
+    /// Turns weighted by requests per second over utilisation.
     WeightedRoundRobin,
-    /// Probes in a pool, hot and cold.
+    /// A pool of probe results with the hot-cold rule.
     Prequal,
-    /// Sees the true state of all nodes; no sidecar can.
+    /// The least true backlog. An upper bound, as no sidecar can know it.
     Oracle,
 }
 
 impl Policy {
-    /// All of them.
+    /// All policies, in the order of the variants.
     pub const ALL: [Policy; 9] = [
         Policy::Passrelay,
         Policy::Random,
@@ -78,7 +78,7 @@
         Policy::Oracle,
     ];
 
-    /// Its name on the command line.
+    /// Returns the policy's name on the command line.
     pub fn name(self) -> &'static str {
         match self {
             Policy::Passrelay => "passrelay",
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Where it comes from.
+    /// Returns the publication or implementation that the policy follows.
     pub fn source(self) -> &'static str {
         match self {
             Policy::Passrelay => "the module in crates/sidecar/load-balancing",
@@ -108,20 +108,20 @@
         }
     }
 
-    /// A decider of this kind.
+    /// Creates the decider of one sidecar. `true_states` is read by the oracle only.
     ///
     /// # Errors
     ///
-    /// Returns [`SettingsError`] when the settings make no sense.
+    /// Returns [`SettingsError`] if the decision module rejects the settings.
     pub fn decider(
         self,
         settings: &Settings,
         seed: u64,
         streams: &Streams,
-        sights: &Sights,
+        true_states: &TrueStates,
     ) -> Result<Box<dyn Decider>, SettingsError> {
         fn shell<P: Picker + 'static>(picker: P, settings: &Settings, rng: Stream) -> Box<dyn Decider> {
-            Box::new(Shell::new(picker, settings.clone(), rng))
+            Box::new(PolicyShell::new(picker, settings.clone(), rng))
         }
         let rng = streams.of("rival", seed);
         Ok(match self {
@@ -133,75 +133,76 @@
             Policy::PeakEwma => shell(PeakEwma::default(), settings, rng),
             Policy::WeightedRoundRobin => shell(WeightedRoundRobin::default(), settings, rng),
             Policy::Prequal => shell(Prequal::default(), settings, rng),
-            Policy::Oracle => shell(Oracle::new(sights.clone()), settings, rng),
+            Policy::Oracle => shell(Oracle::new(true_states.clone()), settings, rng),
         })
     }
 }
 
-/// What the shell knows of a node.
+/// What a sidecar knows of a node.
 #[derive(Clone, Debug)]
-pub struct Seen {
-    /// Its id.
+pub struct KnownNode {
+    /// Id of the node.
     pub id: UpstreamId,
-    /// Own requests out.
-    pub out: u32,
-    /// Left out until then.
-    pub avoid_until: f64,
-    /// The latest report, and when it came.
+    /// Number of own requests in flight to it.
+    pub in_flight: u32,
+    /// Time until which the node is excluded after a failed connection.
+    pub excluded_until: f64,
+    /// The latest load report and when it arrived.
     pub report: Option<(LoadReport, f64)>,
-    /// When it was first on the list.
-    pub since: f64,
+    /// When the node was added to the view.
+    pub listed_at: f64,
 }
 
-/// The nodes in service, as the shell knows them.
+/// The running nodes as the sidecar knows them.
 #[derive(Default)]
-pub struct View {
-    /// In the order in which they came.
-    pub nodes: Vec<Seen>,
+pub struct NodeView {
+    /// The nodes. New ones are appended, and a removed one is replaced by the last.
+    pub nodes: Vec<KnownNode>,
     at: FxHashMap<UpstreamId, usize>,
-    /// The clock.
+    /// Current time in seconds; never goes back.
     pub now: f64,
 }
 
-impl View {
-    /// A node that is in service.
-    pub fn get(&self, id: UpstreamId) -> Option<&Seen> {
+impl NodeView {
+    /// Returns a node by its id if it is running.
+    pub fn get(&self, id: UpstreamId) -> Option<&KnownNode> {
         self.at.get(&id).map(|at| &self.nodes[*at])
     }
 
-    fn get_mut(&mut self, id: UpstreamId) -> Option<&mut Seen> {
+    fn get_mut(&mut self, id: UpstreamId) -> Option<&mut KnownNode> {
         self.at.get(&id).map(|at| &mut self.nodes[*at])
     }
 
-    /// Whether a request that was at `tried` may go to the node at this position.
-    pub fn may(&self, at: usize, tried: &[UpstreamId]) -> bool {
+    /// Returns whether the node at index `at` is not excluded and not among `tried`, where the request was sent before.
+    pub fn is_candidate(&self, at: usize, tried: &[UpstreamId]) -> bool {
         let node = &self.nodes[at];
-        self.now >= node.avoid_until && !tried.contains(&node.id)
+        self.now >= node.excluded_until && !tried.contains(&node.id)
     }
 
-    /// The position of a node that the request may go to, drawn with equal chances.
-    pub fn draw(&self, tried: &[UpstreamId], rng: &mut Stream) -> Option<usize> {
+    /// Draws the index of a node that a request may go to. After 8 failed draws, returns the next such node after a
+    /// random index, or `None` if there is none.
+    pub fn draw_candidate(&self, tried: &[UpstreamId], rng: &mut Stream) -> Option<usize> {
         let n = self.nodes.len();
         if n == 0 {
             return None;
         }
         for _ in 0..8 {
             let at = rng.random_range(0..n);
-            if self.may(at, tried) {
+            if self.is_candidate(at, tried) {
                 return Some(at);
             }
         }
         let from = rng.random_range(0..n);
-        (0..n).map(|i| (from + i) % n).find(|at| self.may(*at, tried))
+        (0..n).map(|i| (from + i) % n).find(|at| self.is_candidate(*at, tried))
     }
 
-    fn put(&mut self, entry: &EndpointEntry) {
+    fn apply(&mut self, entry: &EndpointEntry) {
         if entry.state == EndpointState::Running {
             if !self.at.contains_key(&entry.upstream) {
                 self.at.insert(entry.upstream, self.nodes.len());
-                let since = self.now;
-                let (id, out, avoid_until) = (entry.upstream, 0, f64::NEG_INFINITY);
-                self.nodes.push(Seen { id, out, avoid_until, report: None, since });
+                let listed_at = self.now;
+                let (id, in_flight, excluded_until) = (entry.upstream, 0, f64::NEG_INFINITY);
+                self.nodes.push(KnownNode { id, in_flight, excluded_until, report: None, listed_at });
             }
         } else if let Some(at) = self.at.remove(&entry.upstream) {
             self.nodes.swap_remove(at);
@@ -212,70 +213,80 @@
     }
 }
 
-/// A way to pick a node.
+/// A rule for picking a node.
 pub trait Picker {
-    /// Picks the position of a node in `view` for a request that was at `tried` before.
-    fn pick(&mut self, view: &View, tried: &[UpstreamId], rng: &mut Stream) -> Option<usize>;
-    /// A request was sent there.
-    fn sent(&mut self, _view: &View, _to: UpstreamId) {}
-    /// An attempt has ended.
-    fn ended(&mut self, _view: &View, _to: UpstreamId, _ending: Ending, _elapsed: f64) {}
-    /// Nodes to probe after a request was taken.
-    fn probes(&mut self, _view: &View, _rng: &mut Stream, _into: &mut Vec<UpstreamId>) {}
-    /// A probe has ended.
-    fn probed(&mut self, _view: &View, _of: UpstreamId, _report: Option<LoadReport>, _elapsed: f64) {}
-    /// The node list has changed.
-    fn listed(&mut self, _view: &View) {}
+    /// Picks the index of a node in `view` for a request that was sent to `tried` before.
+    fn pick(&mut self, view: &NodeView, tried: &[UpstreamId], rng: &mut Stream) -> Option<usize>;
+    /// Called after a request was sent to a node.
+    fn sent(&mut self, _view: &NodeView, _to: UpstreamId) {}
+    /// Called after an attempt has ended.
+    fn ended(&mut self, _view: &NodeView, _to: UpstreamId, _ending: Ending, _elapsed: f64) {}
+    /// Appends the nodes to probe after a request has arrived.
+    fn probes(&mut self, _view: &NodeView, _rng: &mut Stream, _into: &mut Vec<UpstreamId>) {}
+    /// Called after a probe has ended.
+    fn probed(&mut self, _view: &NodeView, _of: UpstreamId, _report: Option<LoadReport>, _elapsed: f64) {}
+    /// Called after the node list has changed.
+    fn listed(&mut self, _view: &NodeView) {}
 }
 
-struct Open {
+/// A request that has not been answered.
+struct PendingRequest {
     idempotency: Idempotency,
     deadline: f64,
     tried: Vec<UpstreamId>,
-    out: u32,
+    in_flight: u32,
     may_have_run: bool,
 }
 
-/// What all rivals have in common round their way to pick.
-pub struct Shell<P> {
+/// The request handling that all alternative policies share around their picker.
+pub struct PolicyShell<P> {
     picker: P,
     settings: Settings,
-    view: View,
-    open: FxHashMap<RequestId, Open>,
-    repeats: f64,
-    asked: bool,
+    view: NodeView,
+    pending: FxHashMap<RequestId, PendingRequest>,
+    retry_budget: f64,
+    subscribed: bool,
     rng: Stream,
     probes: Vec<UpstreamId>,
 }
 
-impl<P: Picker> Shell<P> {
-    /// A shell round a picker.
+impl<P: Picker> PolicyShell<P> {
+    /// Creates the request handling around a picker, with an empty node list.
     pub fn new(picker: P, settings: Settings, rng: Stream) -> Self {
-        let (view, open) = (View::default(), FxHashMap::default());
-        Shell { picker, settings, view, open, repeats: 1.0, asked: false, rng, probes: Vec::new() }
+        let (view, pending) = (NodeView::default(), FxHashMap::default());
+        PolicyShell {
+            picker,
+            settings,
+            view,
+            pending,
+            retry_budget: 1.0,
+            subscribed: false,
+            rng,
+            probes: Vec::new(),
+        }
     }
 
     fn send(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
-        let Some(open) = self.open.get_mut(&id) else { return false };
-        let spent = open.tried.len() as u32 >= self.settings.max_attempts;
-        if spent || self.view.now + self.settings.tick >= open.deadline {
+        let Some(pending) = self.pending.get_mut(&id) else { return false };
+        let spent = pending.tried.len() as u32 >= self.settings.max_attempts;
+        if spent || self.view.now + self.settings.tick >= pending.deadline {
             return false;
         }
-        let Some(at) = self.picker.pick(&self.view, &open.tried, &mut self.rng) else { return false };
+        let Some(at) = self.picker.pick(&self.view, &pending.tried, &mut self.rng) else { return false };
         let to = self.view.nodes[at].id;
-        self.view.nodes[at].out += 1;
-        open.tried.push(to);
-        open.out += 1;
+        self.view.nodes[at].in_flight += 1;
+        pending.tried.push(to);
+        pending.in_flight += 1;
         self.picker.sent(&self.view, to);
         actions.push(Action::Send { id, upstream: to, timeout: None });
         true
     }
 
-    /// The final answer of a request that is not served.
-    fn end(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(open) = self.open.remove(&id) else { return };
+    /// Answers a request that was not served: a rejection if repeating it is safe, else a failure.
+    fn finish_unserved(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(pending) = self.pending.remove(&id) else { return };
         let retry_after = self.settings.send_retry_after.then_some(self.settings.max_retry_after);
-        actions.push(if !open.may_have_run || open.idempotency == Idempotency::Idempotent {
+        actions.push(if !pending.may_have_run || pending.idempotency == Idempotency::Idempotent {
             Action::Reject { id, retry_after }
         } else {
             Action::Fail { id }
@@ -285,55 +296,56 @@
     fn outcome(&mut self, o: &Outcome, actions: &mut Vec<Action>) {
         let now = self.view.now;
         if let Some(node) = self.view.get_mut(o.upstream) {
-            node.out = node.out.saturating_sub(1);
+            node.in_flight = node.in_flight.saturating_sub(1);
             if let Some(report) = o.report {
                 node.report = Some((report, now));
             }
             if matches!(o.ending, Ending::ConnectFailed | Ending::ConnectionLost) {
-                node.avoid_until = now + AVOID_S;
+                node.excluded_until = now + FAILED_NODE_PAUSE_S;
             }
         }
         self.picker.ended(&self.view, o.upstream, o.ending, o.elapsed);
-        let Some(open) = self.open.get_mut(&o.id) else { return };
-        open.out = open.out.saturating_sub(1);
-        open.may_have_run |= !o.ending.never_ran();
+        let Some(pending) = self.pending.get_mut(&o.id) else { return };
+        pending.in_flight = pending.in_flight.saturating_sub(1);
+        pending.may_have_run |= !o.ending.never_ran();
         if o.last {
-            self.open.remove(&o.id);
+            self.pending.remove(&o.id);
             return;
         }
-        if open.out > 0 {
+        if pending.in_flight > 0 {
             return;
         }
-        let ran = open.may_have_run;
-        let again = !ran || open.idempotency == Idempotency::Idempotent && self.repeats >= 1.0;
-        if again && self.send(o.id, actions) {
-            self.repeats -= f64::from(u8::from(ran));
+        let ran = pending.may_have_run;
+        let retry = !ran || pending.idempotency == Idempotency::Idempotent && self.retry_budget >= 1.0;
+        if retry && self.send(o.id, actions) {
+            self.retry_budget -= f64::from(u8::from(ran));
         } else {
-            self.end(o.id, actions);
+            self.finish_unserved(o.id, actions);
         }
     }
 
     fn listed(&mut self, entries: &[EndpointEntry], actions: &mut Vec<Action>) {
-        entries.iter().for_each(|e| self.view.put(e));
-        if !std::mem::replace(&mut self.asked, true) {
+        entries.iter().for_each(|e| self.view.apply(e));
+        if !std::mem::replace(&mut self.subscribed, true) {
             actions.push(Action::Subscribe);
         }
         self.picker.listed(&self.view);
     }
 }
 
-impl<P: Picker> Decider for Shell<P> {
+impl<P: Picker> Decider for PolicyShell<P> {
     fn handle(&mut self, now: f64, event: Event, actions: &mut Vec<Action>) {
         self.view.now = now.max(self.view.now);
         match event {
             Event::EndpointList(entries) => {
-                let on = entries.iter().filter(|e| e.state == EndpointState::Running).map(|e| e.upstream);
-                let on: BTreeSet<UpstreamId> = on.collect();
+                let running =
+                    entries.iter().filter(|e| e.state == EndpointState::Running).map(|e| e.upstream);
+                let running: BTreeSet<UpstreamId> = running.collect();
                 let known = self.view.nodes.iter().map(|n| n.id);
-                let gone: Vec<UpstreamId> = known.filter(|id| !on.contains(id)).collect();
-                for id in gone {
+                let removed: Vec<UpstreamId> = known.filter(|id| !running.contains(id)).collect();
+                for id in removed {
                     let (zone, cell) = (self.settings.zone, 0);
-                    self.view.put(&EndpointEntry {
+                    self.view.apply(&EndpointEntry {
                         upstream: id,
                         zone,
                         cell,
@@ -344,17 +356,20 @@
                 self.listed(&entries, actions);
             }
             Event::EndpointChanges(entries) => self.listed(&entries, actions),
-            Event::EndpointListFailed => actions.push(Action::Wake { after: ASK_AGAIN_S, token: 1 }),
+            Event::EndpointListFailed => actions.push(Action::Wake { after: LIST_RETRY_S, token: 1 }),
             Event::Wake(1) => actions.push(Action::Subscribe),
             Event::Wake(_) | Event::ResponseStarted { .. } => {}
             Event::Request { id, class, client_timeout, .. } => {
                 let idempotency =
                     self.settings.classes.get(class.0).map_or(Idempotency::NonIdempotent, |c| c.idempotency);
                 let (deadline, tried) = (self.view.now + client_timeout, Vec::new());
-                self.open.insert(id, Open { idempotency, deadline, tried, out: 0, may_have_run: false });
-                self.repeats = (self.repeats + REPEATS.0).min(REPEATS.1);
+                self.pending.insert(
+                    id,
+                    PendingRequest { idempotency, deadline, tried, in_flight: 0, may_have_run: false },
+                );
+                self.retry_budget = (self.retry_budget + RETRY_BUDGET.0).min(RETRY_BUDGET.1);
                 if !self.send(id, actions) {
-                    self.end(id, actions);
+                    self.finish_unserved(id, actions);
                 }
                 if self.settings.allow_health_checks {
                     self.picker.probes(&self.view, &mut self.rng, &mut self.probes);
@@ -363,7 +378,7 @@
             }
             Event::Outcome(o) => self.outcome(&o, actions),
             Event::ClientDisconnected(id) => {
-                self.open.remove(&id);
+                self.pending.remove(&id);
             }
             Event::HealthCheckEnded { upstream, ending, elapsed, report } => {
                 let report = report.filter(|_| ending == Ending::Served);
--- a/crates/testing/load-simulator/src/sockets/bench.rs
+++ b/crates/testing/load-simulator/src/sockets/bench.rs
@@ -9,7 +9,7 @@
 use crate::experiment::Experiment;
 use crate::meter::Outcome;
 use crate::rivals::Policy;
-use crate::world::{play, Wanted};
+use crate::world::{play, RunOptions};
 use passrelay_test_support::free_address;
 use serde::Serialize;
 use std::io;
@@ -178,7 +178,7 @@
     show: impl FnMut(&Live),
 ) -> Result<Calibration, String> {
     let e = one_tier(e, 0);
-    let emulated = play(&e, Policy::Passrelay, seed, Wanted::default()).map_err(|e| e.to_string())?;
+    let emulated = play(&e, Policy::Passrelay, seed, RunOptions::default()).map_err(|e| e.to_string())?;
     let (sockets, live) = on_sockets(program, &e, seed, &AtomicBool::new(false), show)?;
     Ok(Calibration { emulated, sockets, late_s: live.late_s })
 }
--- a/crates/testing/load-simulator/src/sockets/fleet.rs
+++ b/crates/testing/load-simulator/src/sockets/fleet.rs
@@ -3,10 +3,10 @@
 
 use super::wire::{wait, Conn, Message};
 use crate::experiment::{Experiment, TroubleKind};
-use crate::model::discovery::{Discovery, Line};
+use crate::model::discovery::{Discovery, ListEntry};
 use crate::model::node::{Admission, Job, Node, State};
 use crate::queue::{nanos, seconds, Nanos, Queue};
-use crate::random::{between, Stream, Streams};
+use crate::random::{uniform, Stream, Streams};
 use mio::net::TcpListener;
 use mio::{Events, Interest, Poll, Registry, Token};
 use passrelay_load_balancing::{EndpointState, LoadReport};
@@ -27,7 +27,7 @@
 enum Happens {
     Core { node: u32, generation: u64 },
     Crowd { node: u32, life: u32 },
-    Publish(Box<Line>),
+    Publish(Box<ListEntry>),
     WatchEnds { conn: usize, serial: u64 },
     Begins(usize),
     Ends(usize),
@@ -155,11 +155,11 @@
             }
         }
         let discovery = listen(poll.registry(), any, FIRST - 1)?;
-        let lines = (0..nodes.len() as u32).map(|node| Line {
+        let lines = (0..nodes.len() as u32).map(|node| ListEntry {
             node,
             zone: 0,
             condition: EndpointState::Running,
-            born: None,
+            started_at: None,
         });
         let mut queue = Queue::default();
         for (n, t) in e.trouble.iter().enumerate().filter(|(_, t)| e.tier_of(t) == tier) {
@@ -199,7 +199,7 @@
         let mut events = Events::with_capacity(1024);
         while !stop.load(Ordering::SeqCst) {
             let now = self.now();
-            let due = self.queue.next_at().map(|at| Duration::from_nanos(at.saturating_sub(now)));
+            let due = self.queue.next_time().map(|at| Duration::from_nanos(at.saturating_sub(now)));
             wait(&mut self.poll, &mut events, due)?;
             let tokens: Vec<usize> = events.iter().map(|e| e.token().0).collect();
             for token in tokens {
@@ -210,7 +210,7 @@
                 }
             }
             let now = self.now();
-            while self.queue.next_at().is_some_and(|at| at <= now) {
+            while self.queue.next_time().is_some_and(|at| at <= now) {
                 if let Some(event) = self.queue.take() {
                     self.happens(event)?;
                 }
@@ -230,11 +230,11 @@
             if let Side::Node(n) = side {
                 let now = self.now();
                 let node = &mut self.nodes[n as usize];
-                if node.connections >= node.kind.connections || node.ills.cut {
+                if node.connections >= node.kind.connections || node.faults.cut {
                     continue;
                 }
                 node.connections += 1;
-                node.chore(now, node.kind.handshake_ms / 1e3);
+                node.add_background_work(now, node.kind.handshake_ms / 1e3);
                 self.changed(n);
             }
             let entry = self.peers.vacant_entry();
@@ -269,7 +269,7 @@
     fn peer_ready(&mut self, key: usize) {
         let Some(peer) = self.peers.get_mut(key) else { return };
         if let Side::Node(n) = peer.side {
-            if self.nodes[n as usize].ills.cut {
+            if self.nodes[n as usize].faults.cut {
                 return;
             }
         }
@@ -312,7 +312,7 @@
             } else {
                 (answer(404, "", ""), 0.0)
             };
-            node.chore(now, chore);
+            node.add_background_work(now, chore);
             self.changed(n);
             return self.put(key, &bytes);
         }
@@ -320,7 +320,7 @@
         let spec = &self.e.class[class];
         let work = message.work.filter(|w| w.is_finite() && *w >= 0.0).unwrap_or(spec.work_ms / 1e3);
         let tier_work = self.e.tier[self.tier].work;
-        let (piece, _) = node.pieces(work * tier_work, spec.attempt_noise, [0.0, 0.0]);
+        let (piece, _) = node.draw_pieces(work * tier_work, spec.attempt_noise, [0.0, 0.0]);
         let id = (self.peers[key].serial, 0);
         let job = Job {
             key: id,
@@ -347,15 +347,15 @@
                 self.counts.shed.fetch_add(1, Ordering::Relaxed);
                 self.put(key, &answer(503, &format!("X-Rejected: 1\r\n{report}"), ""));
             }
-            Admission::Fell { .. } => self.kill(n),
+            Admission::Overloaded { .. } => self.kill(n),
         }
     }
 
     fn changed(&mut self, n: u32) {
         let now = self.now();
         let node = &mut self.nodes[n as usize];
-        node.begun.clear();
-        if let Some(look) = node.watch_crowd(now) {
+        node.newly_begun.clear();
+        if let Some(look) = node.update_jam(now) {
             self.queue.put(look, Happens::Crowd { node: n, life: node.life });
         }
         if let Some((when, generation)) = node.next_done(now) {
@@ -365,7 +365,7 @@
 
     fn core(&mut self, n: u32, generation: u64) {
         let now = self.now();
-        if self.nodes[n as usize].generation != generation || !self.nodes[n as usize].is_there() {
+        if self.nodes[n as usize].generation != generation || !self.nodes[n as usize].is_running() {
             return;
         }
         let mut finished = std::mem::take(&mut self.finished);
@@ -382,7 +382,7 @@
                 peer.at_work = None;
             }
             let bytes = if job.fails { answer(500, &report, "") } else { answer(200, &report, "ok") };
-            if !self.nodes[n as usize].ills.cut {
+            if !self.nodes[n as usize].faults.cut {
                 self.put(key, &bytes);
             }
         }
@@ -392,10 +392,10 @@
 
     fn kill(&mut self, n: u32) {
         let now = self.now();
-        if !self.nodes[n as usize].is_there() {
+        if !self.nodes[n as usize].is_running() {
             return;
         }
-        self.nodes[n as usize].die(now);
+        self.nodes[n as usize].terminate(now);
         if let Some(mut listener) = self.listeners[n as usize].take() {
             let _ = self.poll.registry().deregister(&mut listener);
         }
@@ -411,7 +411,7 @@
     }
 
     fn restart(&mut self, n: u32) -> io::Result<()> {
-        if self.nodes[n as usize].is_there() {
+        if self.nodes[n as usize].is_running() {
             return Ok(());
         }
         let now = self.now();
@@ -423,9 +423,10 @@
     }
 
     fn announce(&mut self, n: u32, condition: EndpointState) {
-        let when = self.now() + nanos(between(self.e.discovery.notice_s, &mut self.notice));
-        let born = self.nodes[n as usize].born;
-        self.queue.put(when, Happens::Publish(Box::new(Line { node: n, zone: 0, condition, born })));
+        let when = self.now() + nanos(uniform(self.e.discovery.notice_s, &mut self.notice));
+        let started_at = self.nodes[n as usize].started_at;
+        self.queue
+            .put(when, Happens::Publish(Box::new(ListEntry { node: n, zone: 0, condition, started_at })));
     }
 
     // ---- Discovery ----
@@ -438,7 +439,7 @@
         let field = |name: &str| query.split('&').find_map(|p| p.strip_prefix(name)?.strip_prefix('='));
         let since: Option<u64> = field("since").and_then(|s| s.parse().ok());
         match since {
-            Some(known) if !self.list.has_news(known) => {
+            Some(known) if !self.list.has_changes(known) => {
                 let wait_ms: f64 = field("timeout_ms").and_then(|t| t.parse().ok()).unwrap_or(1e3);
                 let peer = &mut self.peers[key];
                 peer.since = since;
@@ -451,24 +452,24 @@
     }
 
     fn tell(&mut self, key: usize, since: Option<u64>) {
-        let told = self.list.tell(since);
-        let hosts: Vec<_> = (told.lines.iter())
+        let told = self.list.update_since(since);
+        let hosts: Vec<_> = (told.entries.iter())
             .map(|l| {
                 let health = match l.condition {
                     EndpointState::Running => "in_service",
                     EndpointState::Draining => "terminating",
                     EndpointState::Removed => "terminated",
                 };
-                let born = l.born.map_or(0.0, |b| (self.epoch_ms + seconds(b) * 1e3).round());
+                let started_at = l.started_at.map_or(0.0, |b| (self.epoch_ms + seconds(b) * 1e3).round());
                 json!({"host": format!("s-{}", l.node), "dial": self.addresses[l.node as usize].to_string(),
-                       "site": "z0", "class": "m", "block": 0, "health": health, "share": 1.0, "born_ms": born})
+                       "site": "z0", "class": "m", "block": 0, "health": health, "share": 1.0, "born_ms": started_at})
             })
             .collect();
-        let body = json!({"seq": told.seq, "whole": told.whole, "hosts": hosts}).to_string();
+        let body = json!({"seq": told.seq, "whole": told.is_full, "hosts": hosts}).to_string();
         self.put(key, &answer(200, "Content-Type: application/json\r\n", &body));
     }
 
-    fn publish(&mut self, line: Line) {
+    fn publish(&mut self, line: ListEntry) {
         self.list.publish(line);
         let watching: Vec<usize> =
             self.peers.iter().filter(|(_, p)| p.since.is_some()).map(|(key, _)| key).collect();
@@ -523,13 +524,13 @@
             let node = &mut self.nodes[at as usize];
             node.catch_up(now);
             match trouble.kind {
-                TroubleKind::Slow => node.ills.slow = begins.then_some(size),
-                TroubleKind::FailFast => node.ills.fails = begins.then_some((size, class)),
-                TroubleKind::Gray => node.ills.gray = begins,
-                TroubleKind::Cut => node.ills.cut = begins,
+                TroubleKind::Slow => node.faults.slow = begins.then_some(size),
+                TroubleKind::FailFast => node.faults.fails = begins.then_some((size, class)),
+                TroubleKind::Gray => node.faults.gray = begins,
+                TroubleKind::Cut => node.faults.cut = begins,
                 TroubleKind::Jam if begins => node.jam(now),
                 TroubleKind::StaleReports => node.reporter().stale = begins,
-                TroubleKind::FalseReports => node.reporter().lie = begins.then_some(size),
+                TroubleKind::FalseReports => node.reporter().false_utilisation = begins.then_some(size),
                 TroubleKind::Crash if begins => self.kill(at),
                 TroubleKind::Crash => self.restart(at)?,
                 _ => {}
@@ -559,7 +560,7 @@
         let each = nanos(self.e.trouble[n].for_s) / self.nodes.len() as u64;
         match stage {
             0 => {
-                if self.nodes[step].is_there() {
+                if self.nodes[step].is_running() {
                     self.nodes[step].state = State::Draining;
                     self.announce(at, EndpointState::Draining);
                 }
--- a/crates/testing/load-simulator/src/sockets/load.rs
+++ b/crates/testing/load-simulator/src/sockets/load.rs
@@ -7,7 +7,7 @@
 use super::wire::{wait, Conn, Message};
 use crate::experiment::Experiment;
 use crate::meter::{Cause, Meter, Outcome};
-use crate::model::caller::{next_try, Call, Heard, Source};
+use crate::model::caller::{retry_wait, Call, Source, TryResult};
 use crate::queue::{nanos, seconds, Nanos, Queue};
 use crate::random::Streams;
 use mio::net::TcpStream;
@@ -120,17 +120,17 @@
         let mut shown = Instant::now();
         while (self.arriving || !self.calls.is_empty()) && self.now() < last && !stop.load(Ordering::SeqCst) {
             let now = self.now();
-            let due = self.queue.next_at().map(|at| Duration::from_nanos(at.saturating_sub(now)));
+            let due = self.queue.next_time().map(|at| Duration::from_nanos(at.saturating_sub(now)));
             wait(&mut self.poll, &mut events, due)?;
             let tokens: Vec<usize> = events.iter().map(|e| e.token().0).collect();
             tokens.into_iter().for_each(|key| self.ready(key));
             let now = self.now();
-            while let Some(at) = self.queue.next_at().filter(|at| *at <= now) {
+            while let Some(at) = self.queue.next_time().filter(|at| *at <= now) {
                 match self.queue.take() {
                     Some(Happens::Arrive) => self.arrive(at),
                     Some(Happens::Try(call, number)) => self.try_call(call, number),
                     Some(Happens::Impatient(call, number)) => {
-                        self.heard(call, number, Heard::Nothing, Cause::GivenUp);
+                        self.heard(call, number, TryResult::Nothing, Cause::GivenUp);
                     }
                     None => {}
                 }
@@ -164,11 +164,11 @@
 
     fn try_call(&mut self, key: usize, number: u32) {
         let now = self.now();
-        let Some(call) = self.calls.get_mut(key).filter(|c| c.present == number) else { return };
+        let Some(call) = self.calls.get_mut(key).filter(|c| c.current_try == number) else { return };
         self.tries += 1;
-        (call.tries, call.present) = (call.tries + 1, self.tries);
+        (call.tries, call.current_try) = (call.tries + 1, self.tries);
         let number = self.tries;
-        let patience = call.patience.min(call.ends.saturating_sub(now));
+        let patience = call.patience.min(call.give_up_at.saturating_sub(now));
         let class = &self.e.class[call.class as usize];
         let method = if class.safe { "GET" } else { "POST" };
         let tenant = self.e.tenant.get(call.tenant as usize).map_or("nobody", |t| t.name.as_str());
@@ -199,12 +199,12 @@
             return;
         }
         let Ok(mut sock) = TcpStream::connect(self.sidecar) else {
-            return self.heard(key, number, Heard::Unreachable, Cause::NoSidecar);
+            return self.heard(key, number, TryResult::Unreachable, Cause::NoSidecar);
         };
         let entry = self.lines.vacant_entry();
         let interest = Interest::READABLE | Interest::WRITABLE;
         if self.poll.registry().register(&mut sock, Token(entry.key()), interest).is_err() {
-            return self.heard(key, number, Heard::Unreachable, Cause::NoSidecar);
+            return self.heard(key, number, TryResult::Unreachable, Cause::NoSidecar);
         }
         let line = entry.insert(Line { conn: Conn::new(sock), call: Some((key, number)), idle_since: now });
         line.conn.put(text.as_bytes());
@@ -217,7 +217,7 @@
     }
 
     fn lost(&mut self, call: usize, number: u32) {
-        self.heard(call, number, Heard::Failed, Cause::SidecarLost);
+        self.heard(call, number, TryResult::Failed, Cause::SidecarLost);
     }
 
     fn ready(&mut self, key: usize) {
@@ -249,41 +249,46 @@
 
     fn answered(&mut self, call: usize, number: u32, message: &Message) {
         match message.status {
-            200 => self.heard(call, number, Heard::Served, Cause::Late),
+            200 => self.heard(call, number, TryResult::Served, Cause::Late),
             429 | 503 => {
                 self.live.refused += 1;
-                self.heard(call, number, Heard::Refused(message.retry_after), Cause::RefusedAfterAttempts);
+                self.heard(
+                    call,
+                    number,
+                    TryResult::Refused(message.retry_after),
+                    Cause::RefusedAfterAttempts,
+                );
             }
-            504 => self.heard(call, number, Heard::Failed, Cause::NodeSilent),
-            _ => self.heard(call, number, Heard::Failed, Cause::NodeError),
+            504 => self.heard(call, number, TryResult::Failed, Cause::NodeSilent),
+            _ => self.heard(call, number, TryResult::Failed, Cause::NodeError),
         }
     }
 
-    fn heard(&mut self, key: usize, number: u32, heard: Heard, cause: Cause) {
+    fn heard(&mut self, key: usize, number: u32, heard: TryResult, cause: Cause) {
         let now = self.now();
-        let Some(call) = self.calls.get(key).copied().filter(|c| c.present == number) else { return };
-        if heard == Heard::Nothing {
+        let Some(call) = self.calls.get(key).copied().filter(|c| c.current_try == number) else { return };
+        if heard == TryResult::Nothing {
             // A caller that gives up closes its connection.
             let own = self.lines.iter().find(|(_, l)| l.call == Some((key, number))).map(|(at, _)| at);
             if let Some(line) = own {
                 self.close(line);
             }
         }
-        if heard == Heard::Served {
+        if heard == TryResult::Served {
             self.live.served += 1;
-            self.meter.over(now, &call, None);
+            self.meter.call_ended(now, &call, None);
             self.calls.remove(key);
             return;
         }
-        self.live.failed += u64::from(!matches!(heard, Heard::Refused(_)));
+        self.live.failed += u64::from(!matches!(heard, TryResult::Refused(_)));
         let safe = self.e.class[call.class as usize].safe;
-        match next_try(&call, &self.e.callers, safe, heard).filter(|w| now + w < call.ends) {
+        match retry_wait(&call, &self.e.callers, safe, heard).filter(|w| now + w < call.give_up_at) {
             Some(wait) => {
-                self.calls[key].present = 0;
+                self.calls[key].current_try = 0;
                 self.queue.put(now + wait, Happens::Try(key, 0));
             }
             None => {
-                self.meter.over(now, &call, Some(cause));
+                self.meter.call_ended(now, &call, Some(cause));
                 self.calls.remove(key);
             }
         }
--- a/crates/testing/load-simulator/src/stats.rs
+++ b/crates/testing/load-simulator/src/stats.rs
@@ -6,16 +6,16 @@
 /// A mean with the half-width of its 95% confidence interval (Student's t).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Mean {
-    /// The mean.
+    /// Arithmetic mean; NaN without values.
     pub mean: f64,
-    /// Half the width of the interval; infinite for a single value.
+    /// Half the width of the interval; infinite for fewer than two values.
     pub half: f64,
-    /// Values.
+    /// Number of values.
     pub n: usize,
 }
 
 impl Mean {
-    /// Of these values.
+    /// Computes the mean and interval of `values`.
     pub fn of(values: &[f64]) -> Mean {
         let n = values.len();
         if n == 0 {
@@ -31,20 +31,20 @@
     }
 }
 
-/// What a paired comparison says.
+/// Result of a paired comparison.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
-    /// The first is better.
+    /// The first is better: the interval lies above 0.
     Better,
-    /// The first is worse.
+    /// The first is worse: the interval lies below 0.
     Worse,
-    /// The interval holds 0.
+    /// The interval contains 0.
     NoDifference,
 }
 
 impl Verdict {
-    /// Of paired differences, first less second, where more is better.
+    /// Judges the mean of paired differences, first minus second, where higher values are better.
     pub fn of(difference: Mean) -> Verdict {
         if difference.mean - difference.half > 0.0 {
             Verdict::Better
@@ -55,7 +55,7 @@
         }
     }
 
-    /// In words.
+    /// Returns the verdict as text for reports.
     pub fn words(self) -> &'static str {
         match self {
             Verdict::Better => "better",
--- a/crates/testing/load-simulator/src/theory.rs
+++ b/crates/testing/load-simulator/src/theory.rs
@@ -1,42 +1,42 @@
-//! Closed forms of queueing theory, and the emulator held against them.
+//! Closed forms of queueing theory, and comparison of the simulator with them.
 
 use crate::experiment::{ClassSpec, Discipline, Experiment, Kind, Limits, Load, Network, Reports, Tier};
 use crate::random::Form;
 use crate::rivals::Policy;
-use crate::world::{play, RunError, Wanted};
+use crate::world::{play, RunError, RunOptions};
 use rayon::prelude::*;
 use serde::Serialize;
 use std::ops::Range;
 
-/// Mean work of a call in the worlds played here, in seconds.
+/// Mean work of a call in the simulated systems, in seconds.
 const WORK_S: f64 = 0.01;
 
-/// Mean time in an M/M/1 system, in mean service times.
+/// Returns the mean time in an M/M/1 system, in mean service times.
 pub fn mm1(load: f64) -> f64 {
     1.0 / (1.0 - load)
 }
 
-/// The chance that a call waits in an M/M/c system (Erlang C); `load` is that of each server.
+/// Returns the probability that a call waits in an M/M/c system (Erlang C). `load` is the load of each server.
 pub fn erlang_c(servers: u32, load: f64) -> f64 {
     let offered = load * f64::from(servers);
-    // Erlang B by its recursion, which neither overflows nor loses digits.
+    // Erlang B by its recursion, which neither overflows nor loses precision.
     let blocked = (1..=servers).fold(1.0, |b, n| offered * b / (f64::from(n) + offered * b));
     blocked / (1.0 - load * (1.0 - blocked))
 }
 
-/// Mean time in an M/M/c system, in mean service times.
+/// Returns the mean time in an M/M/c system, in mean service times.
 pub fn mmc(servers: u32, load: f64) -> f64 {
     1.0 + erlang_c(servers, load) / (f64::from(servers) * (1.0 - load))
 }
 
-/// Mean time in an M/G/1 system, first come first served (Pollaczek-Khinchine), in mean service times; `cv` is
-/// the coefficient of variation of the service time.
+/// Returns the mean time in a first-come-first-served M/G/1 system (Pollaczek-Khinchine), in mean service times. `cv`
+/// is the coefficient of variation of the service time.
 pub fn mg1(load: f64, cv: f64) -> f64 {
     1.0 + load * (1.0 + cv * cv) / (2.0 * (1.0 - load))
 }
 
-/// Mean time with `choices` queues drawn for each call among very many (Mitzenmacher 2001, for `choices` of 2 and
-/// more), in mean service times.
+/// Returns the mean time if each call joins the shortest of `choices` queues drawn among very many (Mitzenmacher 2001,
+/// for `choices` of 2 and more), in mean service times.
 pub fn supermarket(choices: u32, load: f64) -> f64 {
     let d = f64::from(choices);
     let term = |i: i32| load.powf((d.powi(i) - d) / (d - 1.0));
@@ -49,9 +49,9 @@
 pub enum System {
     /// One core, exponential work, first come first served.
     Mm1,
-    /// Several cores.
+    /// Several cores, exponential work, first come first served.
     Mmc {
-        /// How many.
+        /// Number of cores.
         cores: u32,
     },
     /// One core, log-normal work, first come first served.
@@ -59,20 +59,21 @@
         /// Coefficient of variation of the work.
         cv: f64,
     },
-    /// One core shared by all, log-normal work: the mean is that of M/M/1 whatever the work's form.
+    /// One core shared equally by all requests, log-normal work. The mean is that of M/M/1 for any distribution of
+    /// work.
     Shared {
         /// Coefficient of variation of the work.
         cv: f64,
     },
-    /// Two choices among many nodes, by requests out.
+    /// Two choices among many nodes, by own requests in flight.
     TwoChoices {
-        /// How many nodes.
+        /// Number of nodes.
         nodes: usize,
     },
 }
 
 impl System {
-    /// Its name for tables.
+    /// Returns the system's name for tables.
     pub fn name(self) -> String {
         match self {
             System::Mm1 => "M/M/1".to_owned(),
@@ -83,7 +84,7 @@
         }
     }
 
-    /// The mean time in the system in mean service times.
+    /// Returns the theoretical mean time in the system, in mean service times.
     pub fn expected(self, load: f64) -> f64 {
         match self {
             System::Mm1 | System::Shared { .. } => mm1(load),
@@ -93,12 +94,12 @@
         }
     }
 
-    /// The 99th percentile in mean service times, where there is a simple closed form.
+    /// Returns the theoretical 99th percentile in mean service times, or `None` if there is no simple closed form.
     pub fn expected_p99(self, load: f64) -> Option<f64> {
         (self == System::Mm1).then(|| mm1(load) * 100.0_f64.ln())
     }
 
-    /// An experiment that plays it for about so many calls.
+    /// Creates an experiment that simulates the system for about `calls` calls.
     pub fn experiment(self, load: f64, calls: f64) -> Experiment {
         let (cores, nodes) = match self {
             System::Mmc { cores } => (cores, 1),
@@ -155,48 +156,48 @@
     }
 }
 
-/// One system at one load: what theory says and what the emulator gives.
+/// One system at one load: theoretical and simulated values.
 #[derive(Clone, Debug, Serialize)]
 pub struct Point {
-    /// The system.
+    /// The system under comparison.
     pub system: System,
     /// Load of each server.
     pub load: f64,
-    /// Mean time by theory, in mean service times.
+    /// Theoretical mean time, in mean service times.
     pub expected: f64,
-    /// Mean time as emulated.
+    /// Simulated mean time, in mean service times.
     pub emulated: f64,
-    /// 99th percentile by theory, where there is a simple form.
+    /// Theoretical 99th percentile in mean service times, if there is a simple closed form.
     pub expected_p99: Option<f64>,
-    /// 99th percentile as emulated.
+    /// Simulated 99th percentile, in mean service times.
     pub emulated_p99: f64,
-    /// Calls counted.
+    /// Number of calls after the warm-up, over all seeds.
     pub calls: u64,
 }
 
 impl Point {
-    /// How far the emulated mean lies from theory, as a part of it.
+    /// Returns the relative error of the simulated mean.
     pub fn error(&self) -> f64 {
         self.emulated / self.expected - 1.0
     }
 
-    /// The same of the 99th percentile.
+    /// Returns the relative error of the simulated 99th percentile, if theory gives one.
     pub fn error_p99(&self) -> Option<f64> {
         self.expected_p99.map(|e| self.emulated_p99 / e - 1.0)
     }
 }
 
-/// Plays a system at a load with these seeds, `calls` calls each, and takes the mean over them.
+/// Simulates a system at a load with about `calls` calls for each seed, and averages over the seeds.
 ///
 /// # Errors
 ///
-/// Passes on why a run could not be played.
+/// Returns the error of the first run that fails.
 pub fn measure(system: System, load: f64, calls: f64, seeds: Range<u64>) -> Result<Point, RunError> {
     let experiment = system.experiment(load, calls);
-    let wanted = Wanted { strict: true, ..Wanted::default() };
+    let options = RunOptions { strict: true, ..RunOptions::default() };
     let outcomes = seeds
         .into_par_iter()
-        .map(|seed| play(&experiment, system.policy(), seed, wanted))
+        .map(|seed| play(&experiment, system.policy(), seed, options))
         .collect::<Result<Vec<_>, _>>()?;
     let mean = |f: &dyn Fn(&crate::meter::Outcome) -> f64| {
         outcomes.iter().map(f).sum::<f64>() / outcomes.len().max(1) as f64 / (WORK_S * 1e3)
@@ -212,7 +213,7 @@
     })
 }
 
-/// The systems and loads of the full table.
+/// Returns the systems and loads of the full table.
 pub fn table() -> Vec<(System, f64)> {
     let systems = [
         System::Mm1,
