--- a/crates/testing/load-simulator/src/world.rs
+++ b/crates/testing/load-simulator/src/world.rs
@@ -1,7 +1,8 @@
-//! The world of one run: sidecars, nodes, discovery, callers and the network between them, driven by one queue.
+//! The simulation of one run: sidecars, nodes, discovery, callers and the network between them, driven by one event
+//! queue.
 //!
-//! Every sidecar is the real dispatcher with a decider behind it; the world implements [`Transport`] by writing down what
-//! the dispatcher wishes and carrying it out once the dispatcher has returned.
+//! Every sidecar runs the production dispatcher with a decider behind it. The world implements [`Transport`] by
+//! recording the dispatcher's calls and executing them once the dispatcher has returned.
 
 mod attempts;
 mod callers;
@@ -11,14 +12,14 @@
 
 use crate::experiment::{Experiment, TroubleKind};
 use crate::meter::{Cause, Meter, NodeLoad, Outcome};
-use crate::model::caller::{next_try, Call, Heard, Source};
-use crate::model::discovery::{Discovery, Line, Told, Turn};
+use crate::model::caller::{retry_wait, Call, Source, TryResult};
+use crate::model::discovery::{CallTurn, Discovery, ListEntry, ListUpdate};
 use crate::model::network::Net;
-use crate::model::node::{Admission, Ills, Job, Node, State};
-use crate::observer::{Broken, Note, Observer};
+use crate::model::node::{Admission, Job, Node, NodeFaults, State};
+use crate::observer::{Observer, RequestEvent, Violation};
 use crate::queue::{nanos, seconds, Nanos, Queue};
-use crate::random::{between, Stream, Streams};
-use crate::rivals::{Policy, Sights, True};
+use crate::random::{uniform, Stream, Streams};
+use crate::rivals::{Policy, TrueState, TrueStates};
 use passrelay_load_balancing::dispatcher::{Answer, Arrival, Decider, Dispatcher, Timer, Transport};
 use passrelay_load_balancing::{
     ClassId, Ending, EndpointEntry, EndpointState, LoadReport, RequestId, SettingsError, TenantId, UpstreamId,
@@ -28,68 +29,69 @@
 use slab::Slab;
 use std::fmt;
 
-/// Bits of a request's id that hold its place; the rest is its number, so that ids grow with time.
-const PLACE_BITS: u32 = 24;
-/// After the last call the run goes on for as long as anyone waits, and this much longer at the most.
+/// Number of low bits of a request's id that hold its slab key. The high bits are its number, so that ids grow with
+/// time.
+const SLAB_KEY_BITS: u32 = 24;
+/// Maximum time in seconds for which the run continues after the last deadline, while calls or requests are still open.
 const TAIL_S: f64 = 30.0;
 
-/// Where a request stands.
-fn place_of(id: u64) -> usize {
-    (id & ((1 << PLACE_BITS) - 1)) as usize
+/// Returns the slab key of a request from its id.
+fn slab_key(id: u64) -> usize {
+    (id & ((1 << SLAB_KEY_BITS) - 1)) as usize
 }
 
-/// A check taken out, so that a test can show that the observer would notice.
+/// A deliberate error in a run, by which a test shows that the observer detects it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Mutant {
-    /// Nothing is taken out.
+    /// No error.
     #[default]
     None,
-    /// Sidecars are not told that a node drains or is gone, though discovery has told them.
+    /// Sidecars ignore that a node drains or was removed, although discovery has announced it.
     Drain,
-    /// Sidecars take every class for one that may run again.
+    /// Sidecars treat every class as idempotent.
     Retry,
-    /// Final answers are held back for 100 ms.
+    /// Final answers are delayed by 100 ms.
     Late,
 }
 
-/// What is wanted of a run.
+/// Options of a run.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Wanted {
-    /// The load of each node, second by second.
+pub struct RunOptions {
+    /// Whether the load of each node is recorded every second.
     pub nodes: bool,
-    /// A broken rule ends the run.
+    /// Whether a broken rule ends the run with an error.
     pub strict: bool,
-    /// A check taken out.
+    /// A deliberate error, for tests of the observer.
     pub mutant: Mutant,
 }
 
-/// Why a run could not be played to its end.
+/// Why a run could not be completed.
 #[derive(Debug)]
 pub enum RunError {
-    /// The settings that follow from the experiment make no sense to the module.
+    /// The decision module rejects the settings derived from the experiment.
     Settings(SettingsError),
-    /// The captured arrivals cannot be used.
+    /// The file of captured arrivals cannot be used; the text names the file.
     Captured(String),
-    /// A rule did not hold.
-    Broken(Box<Broken>),
+    /// A rule of the observer was broken.
+    RuleViolated(Box<Violation>),
 }
 
 impl fmt::Display for RunError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            RunError::Settings(e) => write!(f, "the experiment gives settings that make no sense: {e}"),
+            RunError::Settings(e) => write!(f, "the decision module rejects the experiment's settings: {e}"),
             RunError::Captured(problem) => write!(f, "{problem}"),
-            RunError::Broken(broken) => write!(f, "{broken}"),
+            RunError::RuleViolated(broken) => write!(f, "{broken}"),
         }
     }
 }
 
 impl std::error::Error for RunError {}
 
-/// What a dispatcher wishes.
-enum Wish {
+/// A recorded call of a dispatcher to its transport.
+enum TransportCall {
     Send(RequestId, u32, UpstreamId),
-    Withdraw(RequestId, u32),
+    Cancel(RequestId, u32),
     Answer(RequestId, Answer),
     Probe(UpstreamId),
     Watch,
@@ -97,32 +99,32 @@
 }
 
 #[derive(Default)]
-struct Wishes(Vec<Wish>);
+struct RecordedCalls(Vec<TransportCall>);
 
-impl Transport for Wishes {
+impl Transport for RecordedCalls {
     fn send(&mut self, id: RequestId, attempt: u32, to: UpstreamId) {
-        self.0.push(Wish::Send(id, attempt, to));
+        self.0.push(TransportCall::Send(id, attempt, to));
     }
     fn cancel(&mut self, id: RequestId, attempt: u32) {
-        self.0.push(Wish::Withdraw(id, attempt));
+        self.0.push(TransportCall::Cancel(id, attempt));
     }
     fn answer(&mut self, id: RequestId, answer: Answer) {
-        self.0.push(Wish::Answer(id, answer));
+        self.0.push(TransportCall::Answer(id, answer));
     }
     fn health_check(&mut self, node: UpstreamId) {
-        self.0.push(Wish::Probe(node));
+        self.0.push(TransportCall::Probe(node));
     }
     fn subscribe(&mut self) {
-        self.0.push(Wish::Watch);
+        self.0.push(TransportCall::Watch);
     }
     fn set_timer(&mut self, at: f64, timer: Timer) {
-        self.0.push(Wish::Timer(at, timer));
+        self.0.push(TransportCall::Timer(at, timer));
     }
 }
 
-/// One idle connection: since when, and to which life of which node.
+/// A connection: when it became idle, its node, and the node's life in which it was opened.
 #[derive(Clone, Copy)]
-struct Idle {
+struct Connection {
     since: Nanos,
     node: u32,
     life: u32,
@@ -132,20 +134,20 @@
     tier: usize,
     zone: usize,
     rank: usize,
-    /// The node whose own it is.
+    /// The node that the sidecar belongs to; `None` for a sidecar of the first tier.
     owner: Option<u32>,
     up: bool,
-    /// The front has noticed that it is up.
-    seen: bool,
+    /// Whether the front layer considers it up.
+    seen_by_front: bool,
     life: u32,
     began: Nanos,
     dispatcher: Dispatcher<Box<dyn Decider>>,
-    lots: FxHashMap<u32, Vec<Idle>>,
-    known: Vec<Line>,
+    idle_connections: FxHashMap<u32, Vec<Connection>>,
+    known: Vec<ListEntry>,
     seq: Option<u64>,
-    /// Number of the latest call for the list; an answer to another one is passed over.
+    /// Number of the latest discovery call; answers to earlier ones are ignored.
     call: u64,
-    asking: bool,
+    call_pending: bool,
 }
 
 #[derive(Clone, Copy)]
@@ -156,18 +158,18 @@
 
 #[derive(Clone, Copy, PartialEq)]
 enum Phase {
-    Dialing,
-    Out,
-    Over,
+    Connecting,
+    InFlight,
+    Ended,
 }
 
 struct Attempt {
     to: u32,
     phase: Phase,
-    /// The connection, once it is up.
-    over: Option<Idle>,
-    /// When its last byte is at the node.
-    there: Nanos,
+    /// The connection, once it is established.
+    connection: Option<Connection>,
+    /// When the request's last byte arrives at the node.
+    delivered_at: Nanos,
     ending: Option<Ending>,
 }
 
@@ -184,7 +186,7 @@
     attempts: Vec<Attempt>,
 }
 
-struct Back {
+struct NodeReply {
     sidecar: u32,
     life: u32,
     id: u64,
@@ -196,23 +198,23 @@
 enum Event {
     Arrive,
     Try(u32),
-    Impatient {
+    PatienceExpired {
         call: u32,
         number: u32,
     },
-    Come {
+    RequestArrived {
         id: u64,
     },
-    Gone {
+    CallerLeft {
         id: u64,
     },
-    Heard {
+    TryEnded {
         call: u32,
         number: u32,
-        heard: Heard,
+        result: TryResult,
         cause: Option<Cause>,
     },
-    Called {
+    JobCallEnded {
         node: u32,
         life: u32,
         at: u32,
@@ -224,7 +226,7 @@
         life: u32,
         timer: Timer,
     },
-    Dialed {
+    ConnectEnded {
         id: u64,
         attempt: u32,
         up: Option<(u32, u32)>,
@@ -233,20 +235,20 @@
         flight: u32,
         address: u32,
     },
-    Hangup {
+    ConnectionClosed {
         node: u32,
         life: u32,
         key: (u64, u32),
     },
-    Core {
+    CoreDone {
         node: u32,
         generation: u64,
     },
-    Crowd {
+    JamCheck {
         node: u32,
         life: u32,
     },
-    Back(u32),
+    Reply(u32),
     Probe {
         sidecar: u32,
         life: u32,
@@ -261,12 +263,12 @@
         ending: Ending,
         report: Option<Box<LoadReport>>,
     },
-    Ask {
+    DiscoveryCall {
         sidecar: u32,
         life: u32,
         call: u64,
     },
-    Turn {
+    DiscoveryAnswer {
         sidecar: u32,
         life: u32,
         call: u64,
@@ -277,36 +279,36 @@
         sidecar: u32,
         call: u64,
     },
-    Listed {
+    ListReceived {
         sidecar: u32,
         life: u32,
         call: u64,
-        told: Option<Box<Told>>,
+        update: Option<Box<ListUpdate>>,
     },
     Publish {
         tier: u8,
-        line: Box<Line>,
+        entry: Box<ListEntry>,
     },
-    Begins(u32),
-    Ends(u32),
+    TroubleBegins(u32),
+    TroubleEnds(u32),
     Release {
         trouble: u32,
         step: u32,
         stage: u8,
     },
-    Seen {
+    FrontNotice {
         sidecar: u32,
         up: bool,
     },
     Sample,
 }
 
-/// The world of one run.
+/// The simulation state of one run.
 pub struct World {
     e: Experiment,
     policy: Policy,
     seed: u64,
-    wanted: Wanted,
+    options: RunOptions,
     streams: Streams,
     queue: Queue<Event>,
     net: Net,
@@ -315,43 +317,43 @@
     sidecars: Vec<Sidecar>,
     front: Vec<u32>,
     nodes: Vec<Node>,
-    /// Which node listens at an address.
-    listens: Vec<u32>,
+    /// The index of the node that listens on each address.
+    node_at_address: Vec<u32>,
     tiers: Vec<Vec<u32>>,
     lists: Vec<Discovery>,
-    /// The first tier's list at the start.
-    first_list: Told,
-    /// Changes of one node are published in their order.
-    published: Vec<Nanos>,
+    /// The first tier's list at the start of the run.
+    first_list: ListUpdate,
+    /// The latest publication time of each node, so that its changes are published in order.
+    last_published: Vec<Nanos>,
     requests: Slab<Request>,
     number: u64,
     tries: u32,
-    flights: Slab<Job>,
-    backs: Slab<Back>,
-    struck: Vec<Vec<u32>>,
+    requests_in_transit: Slab<Job>,
+    replies: Slab<NodeReply>,
+    affected_nodes: Vec<Vec<u32>>,
     observer: Observer,
     meter: Meter,
-    wishes: Wishes,
+    recorded_calls: RecordedCalls,
     notice: Stream,
-    sights: Sights,
-    looks: Vec<Nanos>,
+    true_states: TrueStates,
+    jam_checks: Vec<Nanos>,
     arriving: bool,
     finished: Vec<usize>,
 }
 
-/// Plays an experiment once.
+/// Runs an experiment once with one policy and one seed.
 ///
 /// # Errors
 ///
-/// Says why it cannot be played, or with [`Wanted::strict`] which rule was broken.
-pub fn play(e: &Experiment, policy: Policy, seed: u64, wanted: Wanted) -> Result<Outcome, RunError> {
-    let mut world = World::new(e, policy, seed, wanted)?;
+/// Returns why the run could not be completed or, with [`RunOptions::strict`], which rule was broken first.
+pub fn play(e: &Experiment, policy: Policy, seed: u64, options: RunOptions) -> Result<Outcome, RunError> {
+    let mut world = World::new(e, policy, seed, options)?;
     world.run()?;
     Ok(world.outcome())
 }
 
 impl World {
-    fn new(e: &Experiment, policy: Policy, seed: u64, wanted: Wanted) -> Result<World, RunError> {
+    fn new(e: &Experiment, policy: Policy, seed: u64, options: RunOptions) -> Result<World, RunError> {
         let streams = Streams::new(seed);
         let mut world = World {
             net: Net::new(&e.network, &streams),
@@ -362,27 +364,27 @@
             e: e.clone(),
             policy,
             seed,
-            wanted,
+            options,
             streams,
             queue: Queue::default(),
             calls: Slab::new(),
             sidecars: Vec::new(),
             front: Vec::new(),
             nodes: Vec::new(),
-            listens: Vec::new(),
+            node_at_address: Vec::new(),
             tiers: Vec::new(),
             lists: Vec::new(),
-            first_list: Told { seq: 0, whole: true, lines: Vec::new() },
-            published: Vec::new(),
+            first_list: ListUpdate { seq: 0, is_full: true, entries: Vec::new() },
+            last_published: Vec::new(),
             requests: Slab::new(),
             number: 0,
             tries: 0,
-            flights: Slab::new(),
-            backs: Slab::new(),
-            struck: vec![Vec::new(); e.trouble.len()],
-            wishes: Wishes::default(),
-            sights: Sights::default(),
-            looks: Vec::new(),
+            requests_in_transit: Slab::new(),
+            replies: Slab::new(),
+            affected_nodes: vec![Vec::new(); e.trouble.len()],
+            recorded_calls: RecordedCalls::default(),
+            true_states: TrueStates::default(),
+            jam_checks: Vec::new(),
             arriving: true,
             finished: Vec::new(),
         };
@@ -394,11 +396,11 @@
                     world.add_node(tier, kind, zone, None);
                 }
             }
-            let lines: Vec<Line> =
-                world.tiers[tier].iter().map(|n| world.line(*n, EndpointState::Running)).collect();
-            world.lists.push(Discovery::new(&e.discovery, lines.into_iter()));
+            let entries: Vec<ListEntry> =
+                world.tiers[tier].iter().map(|n| world.list_entry(*n, EndpointState::Running)).collect();
+            world.lists.push(Discovery::new(&e.discovery, entries.into_iter()));
         }
-        world.first_list = world.lists[0].tell(None);
+        world.first_list = world.lists[0].update_since(None);
         for rank in 0..e.scaled(e.tier[0].sidecars) {
             let at = world.add_sidecar(0, rank % e.network.zones, rank, None)?;
             world.front.push(at);
@@ -416,12 +418,12 @@
             world.arriving = false;
         }
         for (n, trouble) in e.trouble.iter().enumerate() {
-            world.queue.put(nanos(trouble.from_s), Event::Begins(n as u32));
-            world.queue.put(nanos(trouble.from_s + trouble.for_s), Event::Ends(n as u32));
+            world.queue.put(nanos(trouble.from_s), Event::TroubleBegins(n as u32));
+            world.queue.put(nanos(trouble.from_s + trouble.for_s), Event::TroubleEnds(n as u32));
         }
         world.queue.put(nanos(1.0), Event::Sample);
         for sidecar in 0..world.sidecars.len() as u32 {
-            world.learn_known(sidecar);
+            world.deliver_known_list(sidecar);
         }
         Ok(world)
     }
@@ -431,17 +433,19 @@
         let spec = &self.e.tier[tier];
         let mut node =
             Node::new(u64::from(number), tier, zone, &spec.kind[kind], &spec.report, &self.streams);
-        node.address = address.unwrap_or(self.listens.len() as u32);
+        node.address = address.unwrap_or(self.node_at_address.len() as u32);
         match address {
-            Some(address) => self.listens[address as usize] = number,
-            None => self.listens.push(number),
+            Some(address) => self.node_at_address[address as usize] = number,
+            None => self.node_at_address.push(number),
         }
-        self.sights.borrow_mut().push(True { held: 0.0, pace: node.speed * f64::from(node.kind.cores) });
+        self.true_states
+            .borrow_mut()
+            .push(TrueState { held: 0.0, pace: node.speed * f64::from(node.kind.cores) });
         self.nodes.push(node);
-        self.published.push(0);
-        self.looks.push(0);
+        self.last_published.push(0);
+        self.jam_checks.push(0);
         self.tiers[tier].push(number);
-        if self.wanted.nodes {
+        if self.options.nodes {
             let (tier, kind) = (spec.name.clone(), spec.kind[kind].name.clone());
             let past = self.meter.nodes.first().map_or(0, |n| n.util.len());
             let (util, held) = (vec![0.0; past], vec![0; past]);
@@ -459,13 +463,13 @@
         seed: u64,
     ) -> Result<Dispatcher<Box<dyn Decider>>, RunError> {
         let mut settings = self.e.settings(tier, balancers, rank, zone);
-        if self.wanted.mutant == Mutant::Retry {
+        if self.options.mutant == Mutant::Retry {
             settings
                 .classes
                 .iter_mut()
                 .for_each(|c| c.idempotency = passrelay_load_balancing::Idempotency::Idempotent);
         }
-        let decider = self.policy.decider(&settings, seed, &self.streams, &self.sights);
+        let decider = self.policy.decider(&settings, seed, &self.streams, &self.true_states);
         Ok(Dispatcher::with_decider(decider.map_err(RunError::Settings)?, &settings))
     }
 
@@ -487,37 +491,35 @@
         let began = self.queue.now();
         let seed = self.seed ^ (u64::from(at) + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         let dispatcher = self.decider(tier, zone, rank, self.balancers(tier), seed)?;
-        let known = self.lists[tier].tell(None);
+        let known = self.lists[tier].update_since(None);
         self.sidecars.push(Sidecar {
             tier,
             zone,
             rank,
             owner,
             up: true,
-            seen: true,
+            seen_by_front: true,
             life: 0,
             began,
             dispatcher,
-            lots: FxHashMap::default(),
-            known: known.lines,
+            idle_connections: FxHashMap::default(),
+            known: known.entries,
             seq: Some(known.seq),
             call: 0,
-            asking: false,
+            call_pending: false,
         });
         Ok(at)
     }
 
-    // ---- The loop ----
-
     fn run(&mut self) -> Result<(), RunError> {
         let end = nanos(self.e.length_s);
         let longest = self.e.class.iter().map(|c| c.deadline_s).fold(0.0, f64::max);
         let last = end + nanos(longest + TAIL_S);
         while let Some(event) = self.queue.take() {
             self.event(event)?;
-            if self.wanted.strict {
-                if let Some(broken) = self.observer.broken().first() {
-                    return Err(RunError::Broken(Box::new(broken.clone())));
+            if self.options.strict {
+                if let Some(broken) = self.observer.violations().first() {
+                    return Err(RunError::RuleViolated(Box::new(broken.clone())));
                 }
             }
             let idle = !self.arriving && self.calls.is_empty() && self.requests.is_empty();
@@ -525,9 +527,9 @@
                 break;
             }
         }
-        self.observer.end(self.queue.now());
-        match self.observer.broken().first() {
-            Some(broken) if self.wanted.strict => Err(RunError::Broken(Box::new(broken.clone()))),
+        self.observer.finish(self.queue.now());
+        match self.observer.violations().first() {
+            Some(broken) if self.options.strict => Err(RunError::RuleViolated(Box::new(broken.clone()))),
             _ => Ok(()),
         }
     }
@@ -557,35 +559,37 @@
                 self.try_call(at);
             }
             Event::Try(call) => self.try_call(call),
-            Event::Impatient { call, number } => self.impatient(call, number),
-            Event::Come { id } => self.come(id),
-            Event::Gone { id } => self.caller_gone(id),
-            Event::Heard { call, number, heard, cause } => self.heard(call, number, heard, cause),
-            Event::Called { node, life, at, number, served } => self.called(node, life, at, number, served),
+            Event::PatienceExpired { call, number } => self.patience_expired(call, number),
+            Event::RequestArrived { id } => self.request_arrived(id),
+            Event::CallerLeft { id } => self.caller_left(id),
+            Event::TryEnded { call, number, result, cause } => self.try_ended(call, number, result, cause),
+            Event::JobCallEnded { node, life, at, number, served } => {
+                self.job_call_ended(node, life, at, number, served)
+            }
             Event::Timer { sidecar, life, timer } => {
                 if self.sidecars[sidecar as usize].life == life {
-                    self.with(sidecar, |dispatcher, now, transport| {
+                    self.with_dispatcher(sidecar, |dispatcher, now, transport| {
                         dispatcher.timer_fired(now, timer, transport)
                     });
                 }
             }
-            Event::Dialed { id, attempt, up } => self.dialed(id, attempt, up),
+            Event::ConnectEnded { id, attempt, up } => self.connect_ended(id, attempt, up),
             Event::AtNode { flight, address } => self.at_node(flight, address),
-            Event::Hangup { node, life, key } => self.hang_up(node, life, key),
-            Event::Core { node, generation } => self.core(node, generation),
-            Event::Crowd { node, life } => {
+            Event::ConnectionClosed { node, life, key } => self.connection_closed(node, life, key),
+            Event::CoreDone { node, generation } => self.core_done(node, generation),
+            Event::JamCheck { node, life } => {
                 if self.nodes[node as usize].life == life {
                     self.nodes[node as usize].catch_up(now);
-                    self.changed(node);
+                    self.schedule_node_events(node);
                 }
             }
-            Event::Back(at) => self.back(at),
-            Event::Probe { sidecar, life, node, sent } => self.probe_there(sidecar, life, node, sent),
+            Event::Reply(at) => self.reply_arrived(at),
+            Event::Probe { sidecar, life, node, sent } => self.probe_node(sidecar, life, node, sent),
             Event::Probed { sidecar, life, node, sent, ending, report } => {
                 if self.sidecars[sidecar as usize].life == life {
                     let elapsed = seconds(now - sent);
                     let report = report.map(|r| *r);
-                    self.with(sidecar, |dispatcher, now, transport| {
+                    self.with_dispatcher(sidecar, |dispatcher, now, transport| {
                         dispatcher.health_check_ended(
                             now,
                             UpstreamId(u64::from(node)),
@@ -597,51 +601,58 @@
                     });
                 }
             }
-            Event::Ask { sidecar, life, call } => self.asked(sidecar, life, call),
-            Event::Turn { sidecar, life, call, since, watch } => {
-                self.turn(sidecar, life, call, since, watch);
+            Event::DiscoveryCall { sidecar, life, call } => self.discovery_call_arrived(sidecar, life, call),
+            Event::DiscoveryAnswer { sidecar, life, call, since, watch } => {
+                self.answer_discovery_call(sidecar, life, call, since, watch);
             }
             Event::WatchEnds { sidecar, call } => self.watch_ends(sidecar, call),
-            Event::Listed { sidecar, life, call, told } => self.listed(sidecar, life, call, told),
-            Event::Publish { tier, line } => self.publish(tier as usize, *line),
-            Event::Begins(n) => self.trouble_begins(n as usize),
-            Event::Ends(n) => self.trouble_ends(n as usize)?,
+            Event::ListReceived { sidecar, life, call, update } => {
+                self.list_received(sidecar, life, call, update)
+            }
+            Event::Publish { tier, entry } => self.publish(tier as usize, *entry),
+            Event::TroubleBegins(n) => self.trouble_begins(n as usize),
+            Event::TroubleEnds(n) => self.trouble_ends(n as usize)?,
             Event::Release { trouble, step, stage } => self.release(trouble as usize, step, stage)?,
-            Event::Seen { sidecar, up } => self.sidecars[sidecar as usize].seen = up,
+            Event::FrontNotice { sidecar, up } => self.sidecars[sidecar as usize].seen_by_front = up,
             Event::Sample => self.sample(),
         }
         Ok(())
     }
 
-    /// Lets a sidecar's dispatcher do something and carries out what it wishes.
-    fn with(&mut self, at: u32, f: impl FnOnce(&mut Dispatcher<Box<dyn Decider>>, f64, &mut Wishes)) {
+    /// Calls a sidecar's dispatcher, then executes the transport calls that it made. Does nothing if the sidecar is
+    /// down.
+    fn with_dispatcher(
+        &mut self,
+        at: u32,
+        f: impl FnOnce(&mut Dispatcher<Box<dyn Decider>>, f64, &mut RecordedCalls),
+    ) {
         let now = self.queue.now();
         let sidecar = &mut self.sidecars[at as usize];
         if !sidecar.up {
             return;
         }
-        let mut wishes = std::mem::take(&mut self.wishes);
-        f(&mut sidecar.dispatcher, seconds(now - sidecar.began), &mut wishes);
-        for wish in wishes.0.drain(..) {
-            self.carry_out(at, wish);
+        let mut recorded_calls = std::mem::take(&mut self.recorded_calls);
+        f(&mut sidecar.dispatcher, seconds(now - sidecar.began), &mut recorded_calls);
+        for call in recorded_calls.0.drain(..) {
+            self.execute(at, call);
         }
-        self.wishes = wishes;
+        self.recorded_calls = recorded_calls;
     }
 
-    fn carry_out(&mut self, at: u32, wish: Wish) {
+    fn execute(&mut self, at: u32, call: TransportCall) {
         let now = self.queue.now();
         let life = self.sidecars[at as usize].life;
-        match wish {
-            Wish::Send(id, attempt, to) => self.set_out(at, id.0, attempt, to.0 as u32),
-            Wish::Withdraw(id, attempt) => self.withdraw(id.0, attempt),
-            Wish::Answer(id, answer) => self.answer(id.0, answer),
-            Wish::Probe(node) => {
+        match call {
+            TransportCall::Send(id, attempt, to) => self.start_attempt(at, id.0, attempt, to.0 as u32),
+            TransportCall::Cancel(id, attempt) => self.cancel_attempt(id.0, attempt),
+            TransportCall::Answer(id, answer) => self.answer(id.0, answer),
+            TransportCall::Probe(node) => {
                 let node = node.0 as u32;
                 let delay = self.delay_to_node(at, node);
                 self.queue.put(now + delay, Event::Probe { sidecar: at, life, node, sent: now });
             }
-            Wish::Watch => self.ask(at),
-            Wish::Timer(when, timer) => {
+            TransportCall::Watch => self.call_discovery(at),
+            TransportCall::Timer(when, timer) => {
                 // Timers fire on whole ticks of the sidecar's clock.
                 let tick = nanos(self.e.limits.tick_ms / 1e3).max(1);
                 let when = nanos(when).div_ceil(tick) * tick + self.sidecars[at as usize].began;
@@ -658,7 +669,7 @@
     fn is_cut(&self, sidecar: u32, node: u32) -> bool {
         let (s, n) = (&self.sidecars[sidecar as usize], &self.nodes[node as usize]);
         // A node's own sidecar is cut off with it.
-        let owner = s.owner.is_some_and(|o| self.nodes[o as usize].ills.cut);
-        n.ills.cut || owner || self.net.is_cut(s.zone, n.zone)
+        let owner = s.owner.is_some_and(|o| self.nodes[o as usize].faults.cut);
+        n.faults.cut || owner || self.net.is_cut(s.zone, n.zone)
     }
 }
--- a/crates/testing/load-simulator/src/world/callers.rs
+++ b/crates/testing/load-simulator/src/world/callers.rs
@@ -1,4 +1,4 @@
-//! Callers: calls as they come, tries, and what callers hear.
+//! Callers: tries of calls, their arrival at sidecars, and their results.
 
 use super::*;
 
@@ -7,26 +7,26 @@
         let now = self.queue.now();
         let Some(call) = self.calls.get_mut(at as usize) else { return };
         call.tries += 1;
-        // Guards against an event for an earlier call that stood in this place.
+        // The number is unique over all calls, so that events of an earlier call with the same slab key are ignored.
         self.tries += 1;
-        call.present = self.tries;
-        let (number, salt, tries) = (call.present, call.salt, call.tries);
+        call.current_try = self.tries;
+        let (number, salt, tries) = (call.current_try, call.wait_seed, call.tries);
         let (class, tenant, work) = (call.class, call.tenant, call.work);
-        let patience = call.patience.min(call.ends.saturating_sub(now));
-        // A plain front layer: any sidecar that it takes to be there, by the call's own number.
-        let there = |s: &&u32| self.sidecars[**s as usize].seen;
-        let n = self.front.iter().filter(there).count();
+        let patience = call.patience.min(call.give_up_at.saturating_sub(now));
+        // A plain front layer: picks any sidecar that it considers up, by the call's own number.
+        let is_up = |s: &&u32| self.sidecars[**s as usize].seen_by_front;
+        let n = self.front.iter().filter(is_up).count();
         let pick = salt.wrapping_mul(u64::from(2 * tries + 1)).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32;
         let sidecar = if n == 0 {
             None
         } else if n == self.front.len() {
             Some(self.front[pick as usize % n])
         } else {
-            self.front.iter().filter(there).nth(pick as usize % n).copied()
+            self.front.iter().filter(is_up).nth(pick as usize % n).copied()
         };
         let Some(sidecar) = sidecar else {
-            let (heard, cause) = (Heard::Unreachable, Some(Cause::NoSidecar));
-            return self.queue.put(now, Event::Heard { call: at, number, heard, cause });
+            let (result, cause) = (TryResult::Unreachable, Some(Cause::NoSidecar));
+            return self.queue.put(now, Event::TryEnded { call: at, number, result, cause });
         };
         let zone = self.sidecars[sidecar as usize].zone;
         let delay = self.net.delay(zone, zone);
@@ -35,8 +35,8 @@
         if let Some(call) = self.calls.get_mut(at as usize) {
             call.request = id;
         }
-        self.queue.put(now + delay, Event::Come { id });
-        self.queue.put(now + patience, Event::Impatient { call: at, number });
+        self.queue.put(now + delay, Event::RequestArrived { id });
+        self.queue.put(now + patience, Event::PatienceExpired { call: at, number });
     }
 
     pub(super) fn add_request(
@@ -50,7 +50,7 @@
     ) -> u64 {
         self.number += 1;
         let entry = self.requests.vacant_entry();
-        let id = (self.number << PLACE_BITS) | entry.key() as u64;
+        let id = (self.number << SLAB_KEY_BITS) | entry.key() as u64;
         let (taken, answered, attempts) = (false, false, Vec::new());
         entry.insert(Request {
             id,
@@ -68,37 +68,37 @@
     }
 
     pub(super) fn request(&mut self, id: u64) -> Option<&mut Request> {
-        let place = place_of(id);
+        let place = slab_key(id);
         self.requests.get_mut(place).filter(|r| r.id == id)
     }
 
-    pub(super) fn forget(&mut self, id: u64) {
-        let over = |r: &Request| r.answered && r.attempts.iter().all(|a| a.phase == Phase::Over);
+    pub(super) fn remove_if_done(&mut self, id: u64) {
+        let over = |r: &Request| r.answered && r.attempts.iter().all(|a| a.phase == Phase::Ended);
         if self.request(id).is_some_and(|r| over(r)) {
-            self.requests.remove(place_of(id));
+            self.requests.remove(slab_key(id));
         }
     }
 
-    /// A request has reached its sidecar.
-    pub(super) fn come(&mut self, id: u64) {
+    /// Handles the arrival of a request at its sidecar.
+    pub(super) fn request_arrived(&mut self, id: u64) {
         let now = self.queue.now();
         let Some(r) = self.request(id) else { return };
         let (sidecar, class, tenant, deadline, origin) = (r.sidecar, r.class, r.tenant, r.deadline, r.origin);
         if r.answered {
-            return self.forget(id);
+            return self.remove_if_done(id);
         }
         let up = self.sidecars[sidecar as usize].up;
         if let Some(r) = self.request(id) {
             (r.taken, r.answered) = (up, !up);
         }
         if !up {
-            self.forget(id);
+            self.remove_if_done(id);
             return match origin {
                 Origin::Caller { call, number } => {
-                    let (heard, cause) = (Heard::Unreachable, Some(Cause::NoSidecar));
-                    self.queue.put(now, Event::Heard { call, number, heard, cause });
+                    let (result, cause) = (TryResult::Unreachable, Some(Cause::NoSidecar));
+                    self.queue.put(now, Event::TryEnded { call, number, result, cause });
                 }
-                // A node's own sidecar starts and stops with it.
+                // A node's own sidecar starts and stops with the node.
                 Origin::Job { .. } => {}
             };
         }
@@ -115,59 +115,60 @@
             work_hint: None,
             repeat,
         };
-        self.observer.taken(now, id, sidecar, now + nanos(budget), spec.safe);
-        self.with(sidecar, |dispatcher, now, transport| {
+        self.observer.request_accepted(now, id, sidecar, now + nanos(budget), spec.safe);
+        self.with_dispatcher(sidecar, |dispatcher, now, transport| {
             dispatcher.request_arrived(now, RequestId(id), arrival, transport)
         });
     }
 
-    /// A caller has waited long enough.
-    pub(super) fn impatient(&mut self, at: u32, number: u32) {
+    /// Ends a try that got no answer within the caller's patience.
+    pub(super) fn patience_expired(&mut self, at: u32, number: u32) {
         let now = self.queue.now();
-        let Some(call) = self.calls.get(at as usize).filter(|c| c.present == number) else { return };
+        let Some(call) = self.calls.get(at as usize).filter(|c| c.current_try == number) else { return };
         let id = call.request;
         if let Some(sidecar) = self.request(id).filter(|r| !r.answered).map(|r| r.sidecar) {
             let zone = self.sidecars[sidecar as usize].zone;
             let delay = self.net.delay(zone, zone);
-            self.queue.put(now + delay, Event::Gone { id });
+            self.queue.put(now + delay, Event::CallerLeft { id });
         }
-        self.heard(at, number, Heard::Nothing, Some(Cause::GivenUp));
+        self.try_ended(at, number, TryResult::Nothing, Some(Cause::GivenUp));
     }
 
-    pub(super) fn caller_gone(&mut self, id: u64) {
+    /// Handles a caller's disconnect at the sidecar.
+    pub(super) fn caller_left(&mut self, id: u64) {
         let now = self.queue.now();
         let Some(r) = self.request(id).filter(|r| !r.answered) else { return };
         r.answered = true;
         let (sidecar, taken) = (r.sidecar, r.taken);
         if taken {
-            self.observer.gone(now, id);
-            self.with(sidecar, |dispatcher, now, transport| {
+            self.observer.caller_left(now, id);
+            self.with_dispatcher(sidecar, |dispatcher, now, transport| {
                 dispatcher.client_disconnected(now, RequestId(id), transport)
             });
         }
-        self.forget(id);
+        self.remove_if_done(id);
     }
 
-    /// A caller hears how its try ended.
-    pub(super) fn heard(&mut self, at: u32, number: u32, heard: Heard, cause: Option<Cause>) {
+    /// Handles the result of a try at its caller, which ends the call or schedules a retry.
+    pub(super) fn try_ended(&mut self, at: u32, number: u32, result: TryResult, cause: Option<Cause>) {
         let now = self.queue.now();
-        let call = self.calls.get(at as usize).copied().filter(|c| c.present == number);
+        let call = self.calls.get(at as usize).copied().filter(|c| c.current_try == number);
         let Some(call) = call else { return };
-        if heard == Heard::Served {
-            self.meter.over(now, &call, None);
+        if result == TryResult::Served {
+            self.meter.call_ended(now, &call, None);
             self.calls.remove(at as usize);
             return;
         }
         let safe = self.e.class[call.class as usize].safe;
-        let wait = next_try(&call, &self.e.callers, safe, heard).filter(|w| now + w < call.ends);
+        let wait = retry_wait(&call, &self.e.callers, safe, result).filter(|w| now + w < call.give_up_at);
         match wait {
             Some(wait) => {
-                // The try is over: its own patience says nothing any more.
-                self.calls[at as usize].present = 0;
+                // The try has ended, so its patience event has to be ignored.
+                self.calls[at as usize].current_try = 0;
                 self.queue.put(now + wait.max(1), Event::Try(at));
             }
             None => {
-                self.meter.over(now, &call, Some(cause.unwrap_or(Cause::GivenUp)));
+                self.meter.call_ended(now, &call, Some(cause.unwrap_or(Cause::GivenUp)));
                 self.calls.remove(at as usize);
             }
         }
--- a/crates/testing/load-simulator/tests/emulator.rs
+++ b/crates/testing/load-simulator/tests/emulator.rs
@@ -1,40 +1,48 @@
-//! The parts of the emulator: its queue of events, its chance, its discovery, and its statistics.
+//! Tests of the simulator's parts: event queue, random streams and distributions, discovery, statistics and theory.
 
 use passrelay_load_balancing::EndpointState;
-use passrelay_load_simulator::experiment::Discovery as Figures;
-use passrelay_load_simulator::model::discovery::{Discovery, Line, Turn};
+use passrelay_load_simulator::experiment::Discovery as DiscoveryConfig;
+use passrelay_load_simulator::model::discovery::{CallTurn, Discovery, ListEntry};
 use passrelay_load_simulator::queue::Queue;
-use passrelay_load_simulator::random::{Around, Form, Streams};
+use passrelay_load_simulator::random::{Form, Streams, UnitMean};
 use passrelay_load_simulator::stats::{Mean, Verdict};
 use passrelay_load_simulator::theory::{erlang_c, mg1, mm1, mmc, supermarket};
 use rand::Rng;
 
-fn line(node: u32, condition: EndpointState) -> Line {
-    Line { node, zone: 0, condition, born: None }
+fn line(node: u32, condition: EndpointState) -> ListEntry {
+    ListEntry { node, zone: 0, condition, started_at: None }
 }
 
 #[test]
-fn who_has_fallen_behind_gets_the_whole_list() {
-    let figures = Figures { history: 2, ..Figures::default() };
-    let mut list = Discovery::new(&figures, (0..3).map(|n| line(n, EndpointState::Running)));
+fn client_behind_the_history_gets_the_full_list() {
+    let config = DiscoveryConfig { history: 2, ..DiscoveryConfig::default() };
+    let mut list = Discovery::new(&config, (0..3).map(|n| line(n, EndpointState::Running)));
     for node in 0..3 {
         list.publish(line(node, EndpointState::Removed));
     }
-    let behind = list.tell(Some(1));
-    assert!(behind.whole && behind.lines.is_empty() && behind.seq == 4);
-    let near = list.tell(Some(2));
-    assert!(!near.whole && near.lines.len() == 2);
+    let behind = list.update_since(Some(1));
+    assert!(behind.is_full && behind.entries.is_empty() && behind.seq == 4);
+    let near = list.update_since(Some(2));
+    assert!(!near.is_full && near.entries.len() == 2);
 }
 
 #[test]
-fn calls_wait_in_turn_and_fail_when_they_wait_too_long() {
-    let figures = Figures { call_ms: 400.0, timeout_ms: 1000.0, ..Figures::default() };
-    let mut list = Discovery::new(&figures, std::iter::empty());
-    let turns: Vec<Turn> = (0..4).map(|_| list.turn(0)).collect();
+fn discovery_calls_queue_and_fail_after_the_timeout() {
+    let config = DiscoveryConfig { call_ms: 400.0, timeout_ms: 1000.0, ..DiscoveryConfig::default() };
+    let mut list = Discovery::new(&config, std::iter::empty());
+    let turns: Vec<CallTurn> = (0..4).map(|_| list.schedule_call(0)).collect();
     let ms = |n: u64| n * 1_000_000;
-    assert_eq!(turns, [Turn::At(ms(400)), Turn::At(ms(800)), Turn::At(ms(1200)), Turn::Fails(ms(1000))]);
+    assert_eq!(
+        turns,
+        [
+            CallTurn::AnsweredAt(ms(400)),
+            CallTurn::AnsweredAt(ms(800)),
+            CallTurn::AnsweredAt(ms(1200)),
+            CallTurn::FailsAt(ms(1000))
+        ]
+    );
     list.down = true;
-    assert_eq!(list.turn(ms(5)), Turn::Fails(ms(5)));
+    assert_eq!(list.schedule_call(ms(5)), CallTurn::FailsAt(ms(5)));
 }
 
 #[test]
@@ -49,7 +57,7 @@
 }
 
 #[test]
-fn closed_forms_agree_where_they_meet() {
+fn closed_forms_agree_in_their_common_cases() {
     assert!((mmc(1, 0.7) - mm1(0.7)).abs() < 1e-12);
     assert!((mg1(0.7, 1.0) - mm1(0.7)).abs() < 1e-12);
     assert!((supermarket(2, 0.0) - 1.0).abs() < 1e-12);
@@ -57,28 +65,28 @@
     assert!((erlang_c(2, 0.5) - 2.0 * 0.25 / 1.5).abs() < 1e-12);
 }
 
-/// Guards against a heap's own order among equals, which would make runs depend on its layout.
+/// Guards against returning simultaneous events in heap order, which would make runs depend on the heap's layout.
 #[test]
-fn equal_times_come_out_in_the_order_they_went_in() {
+fn simultaneous_events_keep_their_insertion_order() {
     let mut queue = Queue::default();
     for n in 0..100 {
         queue.put(if n % 2 == 0 { 7 } else { 5 }, n);
     }
     let order: Vec<i32> = std::iter::from_fn(|| queue.take()).collect();
-    let wanted: Vec<i32> = (0..100).filter(|n| n % 2 == 1).chain((0..100).filter(|n| n % 2 == 0)).collect();
-    assert_eq!(order, wanted);
+    let expected: Vec<i32> = (0..100).filter(|n| n % 2 == 1).chain((0..100).filter(|n| n % 2 == 0)).collect();
+    assert_eq!(order, expected);
     queue.put(0, 1);
-    assert_eq!((queue.take(), queue.now()), (Some(1), 7), "time does not go back");
+    assert_eq!((queue.take(), queue.now()), (Some(1), 7), "the clock must not go back");
 }
 
 #[test]
-fn distributions_have_mean_one_and_the_variation_asked_for() {
+fn distributions_have_mean_one_and_the_given_variation() {
     for (form, cv) in
         [(Form::Fixed, 0.0), (Form::Exponential, 1.0), (Form::Lognormal, 1.5), (Form::Pareto, 0.5)]
     {
         let mut rng = Streams::new(5).of("test", 0);
-        let draw = Around::new(form, cv);
-        let values: Vec<f64> = (0..400_000).map(|_| draw.draw(&mut rng)).collect();
+        let distribution = UnitMean::new(form, cv);
+        let values: Vec<f64> = (0..400_000).map(|_| distribution.draw(&mut rng)).collect();
         let mean = values.iter().sum::<f64>() / values.len() as f64;
         let variance = values.iter().map(|v| (v - mean).powi(2)).sum::<f64>() / values.len() as f64;
         assert!((mean - 1.0).abs() < 0.02, "{form:?}: mean {mean}");
--- a/crates/testing/load-simulator/tests/theory.rs
+++ b/crates/testing/load-simulator/tests/theory.rs
@@ -1,11 +1,11 @@
-//! The emulator against closed forms at a few points; the full table is `passrelay-load-simulator theory`.
+//! Compares the simulator with closed forms at a few points. `passrelay-load-simulator theory` prints the full table.
 
 use passrelay_load_simulator::theory::{measure, System};
 
-/// Guards against an emulator that is plausible and wrong. The bounds are 2%, or what is left of chance at so few
-/// calls where that is more; seeds are fixed, so the verdict is always the same.
+/// Guards against a simulator whose results are plausible but wrong. The bounds are 2%, or more where the random
+/// error at so few calls is larger. Seeds are fixed, so the result is always the same.
 #[test]
-fn waiting_is_as_theory_says() {
+fn simulated_times_match_theory() {
     let points = [
         (System::Mm1, 0.3, 0.02),
         (System::Mm1, 0.8, 0.02),
--- a/crates/testing/load-simulator/tests/traces.rs
+++ b/crates/testing/load-simulator/tests/traces.rs
@@ -1,25 +1,25 @@
-//! What the emulator made of the experiments in version 0.2.0 before the renaming: a digest of all numbers of a run, for
-//! each file of `experiments/` with one seed, and for each policy on one of them.
+//! Guards against unintended changes of simulation results: digests of all numbers of a run, recorded with version
+//! 0.2.0 before the renaming, for each file of `experiments/` with one seed, and for each policy on one of them.
 //!
-//! The numbers are put into the digest sorted as texts, so that neither their names nor the order of fields matter. They
-//! are exact fractions, so the digests are good for one mathematical library.
+//! The numbers are sorted as texts before they are digested, so that neither their names nor the order of fields
+//! matter. They are exact fractions, so the digests hold for one mathematical library only.
 
 use passrelay_load_simulator::experiment::Experiment;
 use passrelay_load_simulator::rivals::Policy;
-use passrelay_load_simulator::world::{play, Wanted};
+use passrelay_load_simulator::world::{play, RunOptions};
 use rayon::prelude::*;
 use serde_json::Value;
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
 const SEED: u64 = 5;
-/// The experiment that all policies are tried on.
-const OF_ALL_POLICIES: &str = "crash";
+/// The experiment that is run with all policies.
+const POLICY_EXPERIMENT: &str = "crash";
 
 /// Keys of an experiment, and what they are set to.
 type Set = &'static [(&'static str, &'static str)];
 
-/// Experiment, what is set in it so that it doesn't take long, and the digest of its run.
+/// Experiment, the overrides that keep its run short, and the digest of its run.
 const EXPERIMENTS: &[(&str, Set, u64)] = &[
     ("crash-new-ids", &[], 0xe8fb_1a83_8d3d_c751),
     ("crash", &[], 0xcf2c_87c5_e61c_1681),
@@ -66,7 +66,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../../experiments")
 }
 
-/// All numbers in a value, as texts.
+/// Appends all numbers in a value as texts.
 fn numbers(value: &Value, into: &mut Vec<String>) {
     match value {
         Value::Number(number) => into.push(number.to_string()),
@@ -76,16 +76,16 @@
     }
 }
 
-/// FNV-1a, 64 bits, over all numbers of a run.
+/// Returns the 64-bit FNV-1a digest of all numbers of a run's outcome.
 fn digest_of_run(name: &str, set: Set, policy: Policy) -> u64 {
     let set: Vec<(String, String)> =
         set.iter().map(|(key, value)| ((*key).to_owned(), (*value).to_owned())).collect();
     let experiment =
         Experiment::read(&folder().join(format!("{name}.toml")), &set).expect("the experiment can be read");
-    let wanted = Wanted { nodes: true, ..Wanted::default() };
-    let outcome = play(&experiment, policy, SEED, wanted).expect("it can be played");
+    let options = RunOptions { nodes: true, ..RunOptions::default() };
+    let outcome = play(&experiment, policy, SEED, options).expect("the run succeeds");
     let mut texts = Vec::new();
-    numbers(&serde_json::to_value(&outcome).expect("it can be written"), &mut texts);
+    numbers(&serde_json::to_value(&outcome).expect("the outcome can be serialized"), &mut texts);
     texts.sort_unstable();
     let bytes = texts.iter().flat_map(|text| text.bytes().chain([0]));
     bytes.fold(0xcbf2_9ce4_8422_2325, |digest: u64, byte| {
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn all_experiments_come_to_the_same_as_before() {
+fn experiment_outcomes_are_unchanged() {
     let found: Vec<(&str, u64)> = EXPERIMENTS
         .par_iter()
         .map(|(name, set, _)| (*name, digest_of_run(name, set, Policy::Passrelay)))
@@ -104,20 +104,20 @@
 }
 
 #[test]
-fn no_experiment_is_left_out() {
-    let entries = std::fs::read_dir(folder()).expect("the folder is there");
-    let files = entries.map(|entry| entry.expect("it can be read").path());
-    let there: BTreeSet<String> = files
+fn every_experiment_file_has_a_digest() {
+    let entries = std::fs::read_dir(folder()).expect("the folder of experiments exists");
+    let files = entries.map(|entry| entry.expect("the folder entry can be read").path());
+    let on_disk: BTreeSet<String> = files
         .filter(|path| path.extension().is_some_and(|extension| extension == "toml"))
-        .map(|path| path.file_stem().expect("a name").to_string_lossy().into_owned())
+        .map(|path| path.file_stem().expect("the file has a name").to_string_lossy().into_owned())
         .collect();
-    let here: BTreeSet<String> = EXPERIMENTS.iter().map(|(name, ..)| (*name).to_owned()).collect();
-    assert_eq!(here, there);
+    let with_digest: BTreeSet<String> = EXPERIMENTS.iter().map(|(name, ..)| (*name).to_owned()).collect();
+    assert_eq!(with_digest, on_disk);
 }
 
 #[test]
-fn all_policies_come_to_the_same_as_before() {
+fn policy_outcomes_are_unchanged() {
     let found: Vec<u64> =
-        Policy::ALL.par_iter().map(|policy| digest_of_run(OF_ALL_POLICIES, &[], *policy)).collect();
+        Policy::ALL.par_iter().map(|policy| digest_of_run(POLICY_EXPERIMENT, &[], *policy)).collect();
     assert_eq!(found, POLICIES, "found {found:#x?}");
 }
--- a/crates/testing/load-simulator/tests/worlds.rs
+++ b/crates/testing/load-simulator/tests/worlds.rs
@@ -1,5 +1,5 @@
-//! Small random worlds: the rules hold in all of them, and the same seed gives the same bytes. And worlds with a
-//! check taken out: the observer has to notice.
+//! Tests of small simulated worlds. The rules hold in random ones and the same seed gives the same bytes, and the
+//! observer detects deliberate errors.
 
 use passrelay_load_simulator::experiment::{
     Callers, ClassSpec, Discovery, Experiment, Jam, Kind, Limits, Load, Network, Shape, Tier, Trouble,
@@ -9,10 +9,10 @@
 use passrelay_load_simulator::random::Form;
 use passrelay_load_simulator::results::{series, Job, Keep};
 use passrelay_load_simulator::rivals::Policy;
-use passrelay_load_simulator::world::{play, Mutant, RunError, Wanted};
+use passrelay_load_simulator::world::{play, Mutant, RunError, RunOptions};
 use proptest::prelude::*;
 
-const STRICT: Wanted = Wanted { nodes: false, strict: true, mutant: Mutant::None };
+const STRICT: RunOptions = RunOptions { nodes: false, strict: true, mutant: Mutant::None };
 
 fn class(name: &str, safe: bool, work_ms: f64) -> ClassSpec {
     let (work, cv) = (Form::Lognormal, 1.5);
@@ -115,35 +115,35 @@
         ..ProptestConfig::default()
     })]
 
-    /// Guards against a rule that holds only on the days that somebody thought of.
+    /// Guards against violations of rules in situations that no hand-written test covers.
     #[test]
-    fn the_rules_hold_in_every_world_and_runs_repeat(e in any_world(), seed in 0u64..1000) {
+    fn rules_hold_in_random_worlds_and_runs_are_reproducible(e in any_world(), seed in 0u64..1000) {
         let first = play(&e, Policy::Passrelay, seed, STRICT);
         let first = first.map_err(|broken| TestCaseError::fail(format!("{broken}\n{}", toml::to_string(&e).unwrap())))?;
-        let again = play(&e, Policy::Passrelay, seed, STRICT).expect("it was played before");
+        let again = play(&e, Policy::Passrelay, seed, STRICT).expect("the same run succeeded before");
         prop_assert_eq!(serde_json::to_string(&first).unwrap(), serde_json::to_string(&again).unwrap());
     }
 
-    /// Rivals know nothing of cold nodes; the dispatcher keeps the other rules for them.
+    /// Alternative policies have no knowledge of cold nodes; the dispatcher keeps all other rules for them.
     #[test]
-    fn rivals_keep_all_rules_but_the_cold_one(e in any_world(), seed in 0u64..1000, which in 1usize..9) {
-        let outcome = play(&e, Policy::ALL[which], seed, Wanted::default()).expect("it can be played");
+    fn alternative_policies_keep_all_rules_but_cold(e in any_world(), seed in 0u64..1000, which in 1usize..9) {
+        let outcome = play(&e, Policy::ALL[which], seed, RunOptions::default()).expect("the run succeeds");
         let others: Vec<_> = outcome.broken.keys().filter(|rule| *rule != "Cold").collect();
         prop_assert!(others.is_empty(), "{} broke {others:?}", outcome.policy);
     }
 }
 
 fn broken(e: &Experiment, mutant: Mutant) -> Option<(Rule, String)> {
-    (0..6).find_map(|seed| match play(e, Policy::Passrelay, seed, Wanted { mutant, ..STRICT }) {
-        Err(RunError::Broken(b)) => Some((b.rule, b.to_string())),
+    (0..6).find_map(|seed| match play(e, Policy::Passrelay, seed, RunOptions { mutant, ..STRICT }) {
+        Err(RunError::RuleViolated(b)) => Some((b.rule, b.to_string())),
         Err(other) => panic!("{other}"),
         Ok(_) => None,
     })
 }
 
-/// Guards against an observer that sees nothing: a rule whose check is taken out must show as broken.
+/// Guards against an observer that misses violations: each deliberate error must be reported as its rule's violation.
 #[test]
-fn a_check_taken_out_is_noticed() {
+fn observer_detects_deliberate_errors() {
     let mut release = world(4, 20.0, vec![trouble(TroubleKind::RollingRelease, 1.0, 40.0, 1.0)]);
     release.length_s = 30.0;
     let failing = world(4, 20.0, vec![trouble(TroubleKind::FailFast, 1.0, 8.0, 1.0)]);
@@ -154,18 +154,18 @@
         (&crowded, Mutant::Late, Rule::OneAnswer),
     ];
     for (e, mutant, rule) in cases {
-        assert_eq!(broken(e, Mutant::None), None, "nothing is broken with {mutant:?} in place");
-        let (seen, text) = broken(e, mutant).unwrap_or_else(|| panic!("{mutant:?} went unnoticed"));
+        assert_eq!(broken(e, Mutant::None), None, "a rule is violated without {mutant:?}");
+        let (seen, text) = broken(e, mutant).unwrap_or_else(|| panic!("{mutant:?} was not detected"));
         assert_eq!(seen, rule, "{text}");
-        assert!(text.contains("seed") && text.contains(" s "), "it names seed and time: {text}");
+        assert!(text.contains("seed") && text.contains(" s "), "the message must name seed and time: {text}");
         assert!(
             rule != Rule::RunOnce || text.contains("Begun"),
-            "it tells the request's last events: {text}"
+            "the message must list the request's events: {text}"
         );
     }
 }
 
-/// Guards against a result that depends on which thread ended first.
+/// Guards against results that depend on the order in which threads finish.
 #[test]
 fn one_thread_or_many_give_the_same_bytes() {
     let e = world(3, 20.0, vec![trouble(TroubleKind::Crash, 2.0, 4.0, 0.5)]);
@@ -182,21 +182,22 @@
     assert_eq!(on(1), on(4));
 }
 
-/// Guards against paired comparisons of different loads: what comes in must not depend on who decides.
+/// Guards against paired comparisons under different loads: the arrivals must not depend on the policy.
 #[test]
-fn all_policies_are_asked_for_the_same() {
+fn arrivals_do_not_depend_on_the_policy() {
     let e = world(3, 20.0, Vec::new());
     let asked = |policy| {
-        let o = play(&e, policy, 3, Wanted::default()).unwrap();
+        let o = play(&e, policy, 3, RunOptions::default()).unwrap();
         o.classes.values().map(|(w, _)| (w.calls, w.asked)).collect::<Vec<_>>()
     };
     let first = asked(Policy::Passrelay);
     assert!(Policy::ALL.into_iter().all(|p| asked(p) == first));
 }
 
-/// A sidecar comes back with the list of the start, while every node stands at its old address under a new id.
+/// A sidecar restarts with the list from the start of the run, while every node listens on its old address under a new
+/// id.
 #[test]
-fn a_sidecar_with_its_old_list_finds_the_nodes_that_took_the_old_addresses() {
+fn sidecar_with_an_old_list_reaches_new_nodes_at_old_addresses() {
     let release = Trouble { new_ids: true, ..trouble(TroubleKind::RollingRelease, 1.0, 8.0, 1.0) };
     let restart = trouble(TroubleKind::SidecarRestart, 14.0, 2.0, 1.0);
     let mut e = world(4, 10.0, vec![release, restart]);
@@ -205,13 +206,16 @@
     let o = play(&e, Policy::Passrelay, 1, STRICT).unwrap();
     let late: Vec<_> = o.seconds[22..].iter().map(|s| s.worth).collect();
     let share = late.iter().map(|w| w.earned).sum::<f64>() / late.iter().map(|w| w.asked).sum::<f64>();
-    assert!(share > 0.9, "served {share} after it came back");
-    assert!(o.seconds[14..16].iter().all(|s| s.worth.earned < s.worth.asked), "it was away for a while");
+    assert!(share > 0.9, "earned only {share} of the worth after the restart");
+    assert!(
+        o.seconds[14..16].iter().all(|s| s.worth.earned < s.worth.asked),
+        "the restart must cost some worth"
+    );
 }
 
-/// Guards against a queue that fills with what will never matter: it is bounded by rate times deadline.
+/// Guards against an event queue that collects obsolete events: its length must be bounded by rate times deadline.
 #[test]
-fn a_rate_of_100_000_a_second_keeps_the_queue_bounded() {
+fn event_queue_stays_bounded_at_100_000_calls_per_second() {
     let mut e = world(1, 100_000.0, Vec::new());
     e.tier = vec![tier(
         "front",
@@ -223,20 +227,21 @@
     e.load.shape = Shape::Steady;
     let longest = |length_s: f64| {
         let e = Experiment { length_s, ..e.clone() };
-        play(&e, Policy::TwoChoices, 1, Wanted::default()).unwrap().longest_queue
+        play(&e, Policy::TwoChoices, 1, RunOptions::default()).unwrap().longest_queue
     };
     let (short, long) = (longest(1.0), longest(3.0));
-    assert!(short > 50_000, "{short}: the deadlines of half a second are in it");
-    assert!(long < short * 5 / 4, "it grew from {short} to {long} with the length of the run");
+    assert!(short > 50_000, "{short}: the queue must hold the deadline events of half a second");
+    assert!(long < short * 5 / 4, "the queue grew from {short} to {long} with the length of the run");
 }
 
 #[test]
-fn limits_of_the_world_bind() {
-    // More connections than the node accepts: the others are refused before they are up, and the sidecar says so.
+fn connection_limit_of_a_node_is_enforced() {
+    // Connections beyond the node's limit are refused before they are established, and the sidecar rejects those
+    // requests.
     let mut e = world(1, 30.0, Vec::new());
     e.tier.truncate(1);
     e.tier[0].kind[0].connections = 1;
     e.limits = Limits { attempts: 1, ..Limits::default() };
-    let o = play(&e, Policy::Random, 1, Wanted::default()).unwrap();
+    let o = play(&e, Policy::Random, 1, RunOptions::default()).unwrap();
     assert!(o.requests.refused > 0 && o.requests.sent < o.requests.taken, "{:?}", o.requests);
 }
