--- a/crates/testing/load-simulator/src/cli.rs
+++ b/crates/testing/load-simulator/src/cli.rs
@@ -1,4 +1,4 @@
-//! The laboratory's command line.
+//! The command line of the load simulator.
 
 mod faults;
 mod sockets;
@@ -25,10 +25,10 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Emulates fleets behind passrelay and compares ways to balance them.
+/// Simulates fleets behind passrelay and compares load balancing policies.
 ///
-/// Exit codes: 0 done; 1 a file cannot be read or written; 2 the command line or an experiment is faulty; 3 a rule
-/// was broken.
+/// Exit codes: 0 success; 1 a file cannot be read or written; 2 the command line or an experiment is invalid; 3 a rule
+/// was violated.
 #[derive(Parser)]
 #[command(name = "passrelay-load-simulator", version, max_term_width = 110)]
 struct Cli {
@@ -38,64 +38,65 @@
 
 #[derive(Subcommand)]
 enum FaultInjection {
-    /// With real processes of the program, relays between all of them, and faults. Exit code 1 where the history that
-    /// the target saw shows a violation. Ctrl-C ends it, with all of its processes.
+    /// Runs real processes of the program with relays between them, and injects faults. Exits with code 1 if the
+    /// history that the target recorded shows a violation. Ctrl-C ends the run with all of its processes.
     Leases {
-        /// The seed of the faults.
+        /// Seed of the faults.
         #[arg(long, default_value_t = 0)]
         seed: u64,
-        /// Seconds of faults.
+        /// Seconds during which faults are injected.
         #[arg(long, default_value_t = 60.0)]
         seconds: f64,
-        /// Voters.
+        /// Number of voters.
         #[arg(long, default_value_t = 5)]
         voters: usize,
-        /// Holders of leases.
+        /// Number of lease holders.
         #[arg(long, default_value_t = 8)]
         holders: usize,
-        /// The program; by default the one beside this.
+        /// Path of the passrelay program; by default the one in this program's folder.
         #[arg(long)]
         program: Option<PathBuf>,
     },
-    /// No faults, but a crowd: the time of a grant, and what the voters use while many clients hold many leases.
+    /// Measures, without link faults, the time of a grant and the resources that voters use while many clients hold
+    /// many leases.
     Crowd {
-        /// Voters.
+        /// Number of voters.
         #[arg(long, default_value_t = 3)]
         voters: usize,
-        /// Clients.
+        /// Number of clients.
         #[arg(long, default_value_t = 300)]
         clients: usize,
-        /// Leases of each client.
+        /// Number of leases of each client.
         #[arg(long, default_value_t = 10)]
         leases: usize,
-        /// Seconds for which they hold them.
+        /// Seconds for which the clients hold their leases.
         #[arg(long, default_value_t = 60.0)]
         seconds: f64,
-        /// Grants of a free lease that are timed before.
+        /// Number of grants of a free lease that are timed first.
         #[arg(long, default_value_t = 1000)]
         grants: usize,
-        /// Kills of the leader afterwards, while all leases are held.
+        /// Number of times that the leader is killed afterwards, while all leases are held.
         #[arg(long, default_value_t = 0)]
         kills: usize,
-        /// The program; by default the one beside this.
+        /// Path of the passrelay program; by default the one in this program's folder.
         #[arg(long)]
         program: Option<PathBuf>,
     },
-    /// The holders' command in a run.
+    /// The command that holders run under their lease.
     #[command(hide = true)]
     Act,
-    /// In simulated time: many histories, each drawn from a seed. Exit code 1 where one shows a violation.
+    /// Simulates many runs, each drawn from a seed. Exits with code 1 if one shows a violation.
     Timed {
         /// The first seed.
         #[arg(long, default_value_t = 0)]
         seed: u64,
-        /// Histories.
+        /// Number of runs.
         #[arg(long, default_value_t = 1000)]
         histories: u64,
-        /// Clients, on half as many leases.
+        /// Number of clients, on half as many leases.
         #[arg(long, default_value_t = timed::DEFAULT_CLIENTS)]
         clients: usize,
-        /// Plays a wrong version, to see that it is caught.
+        /// Runs a deliberately broken variant, to show that the checker detects it.
         #[arg(long)]
         mutant: Option<String>,
     },
@@ -103,15 +104,15 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Plays one experiment once and prints what it came to.
+    /// Runs one experiment once and prints its outcome.
     Run(Run),
-    /// Plays an experiment over many settings, policies and seeds, on all cores.
+    /// Runs an experiment with many settings, policies and seeds, on all cores.
     Sweep(Sweep),
     /// Compares policies over experiments and seeds, paired by seed, with confidence intervals.
     Compare(Compare),
-    /// Says why a run lost its worth: by cause, class, tenant, time and node.
+    /// Explains where a run lost worth: by cause, class, tenant, time and node.
     Explain(Run),
-    /// Plots a run, a sweep or a comparison, as SVG or PNG by the file's ending.
+    /// Plots a run, a sweep or a comparison, as SVG or PNG by the file's extension.
     #[command(subcommand)]
     Plot(Plot),
     /// Lists the experiments of a folder and the policies.
@@ -120,40 +121,40 @@
         #[arg(default_value = "experiments")]
         folder: PathBuf,
     },
-    /// Checks experiments; names each fault with its line and column.
+    /// Validates experiments and reports each error with its line and column.
     Check {
         /// The files.
         #[arg(required = true)]
         files: Vec<PathBuf>,
     },
-    /// Shows the real sidecar at work for half a minute: stand-in nodes, of which one dies in the middle, and load.
+    /// Shows the real sidecar under load for half a minute, with simulated nodes of which one crashes in the middle.
     Demo {
-        /// The program; by default the one beside this.
+        /// Path of the passrelay program; by default the one in this program's folder.
         #[arg(long)]
         program: Option<PathBuf>,
     },
-    /// Puts faults of every kind between a fleet's processes, with a checker of what they believed and did of leases.
+    /// Injects faults between a fleet's processes and checks the history of their leases.
     #[command(subcommand, visible_alias = "siege")]
     FaultInjection(FaultInjection),
     /// Starts the first tier's nodes and discovery of an experiment on loopback, with its troubles.
     Fleet {
         /// The experiment's file.
         file: PathBuf,
-        /// Ends by itself after so many seconds.
+        /// Seconds after which the command ends by itself.
         #[arg(long, default_value_t = 3600.0)]
         seconds: f64,
         /// The seed, in place of the experiment's own.
         #[arg(long)]
         seed: Option<u64>,
-        /// Writes a sidecar's configuration for it, listening on a free port, to this file.
+        /// File to which the configuration of a sidecar for this fleet, listening on a free port, is written.
         #[arg(long)]
         config: Option<PathBuf>,
     },
-    /// Puts an experiment's open-loop load on a running sidecar of loopback.
+    /// Sends an experiment's open-loop load to a running sidecar on loopback.
     Load {
         /// The experiment's file.
         file: PathBuf,
-        /// Where the sidecar listens.
+        /// Address on which the sidecar listens.
         #[arg(long)]
         to: std::net::SocketAddr,
         /// The seed, in place of the experiment's own.
@@ -163,11 +164,11 @@
         #[arg(long)]
         json: bool,
     },
-    /// Plays an experiment's first tier emulated and on loopback with the real program, side by side.
+    /// Runs an experiment's first tier in simulation and on loopback with the real program, and compares them.
     Calibrate {
         /// The experiment's file.
         file: PathBuf,
-        /// The program; by default the one beside this.
+        /// Path of the passrelay program; by default the one in this program's folder.
         #[arg(long)]
         program: Option<PathBuf>,
         /// The seed, in place of the experiment's own.
@@ -180,21 +181,21 @@
         #[arg(long)]
         json: bool,
     },
-    /// Measures the sidecar against a bare relay and against no relay, before nodes that answer at once.
+    /// Measures the throughput of the sidecar, of a bare relay and without a relay, with nodes that answer at once.
     Floor {
-        /// The program; by default the one beside this.
+        /// Path of the passrelay program; by default the one in this program's folder.
         #[arg(long)]
         program: Option<PathBuf>,
-        /// Nodes.
+        /// Number of nodes.
         #[arg(long, default_value_t = 8)]
         nodes: usize,
-        /// Callers, each with one request under way.
+        /// Number of callers, each with one request in flight.
         #[arg(long, default_value_t = 32)]
         callers: usize,
-        /// Instead of that, measures the sidecar without and with this fleet's file, in turn.
+        /// Measures instead the sidecar without and with this fleet file, in turn.
         #[arg(long, value_name = "FILE")]
         fleet: Option<PathBuf>,
-        /// Rounds of all three in turn.
+        /// Number of rounds of all measurements.
         #[arg(long, default_value_t = 3)]
         rounds: usize,
         /// Seconds of each measurement.
@@ -204,18 +205,18 @@
         #[arg(long)]
         json: bool,
     },
-    /// Holds the emulator against closed forms of queueing theory.
+    /// Compares the simulator with closed forms of queueing theory.
     Theory {
-        /// Calls of each run.
+        /// Number of calls of each run.
         #[arg(long, default_value_t = 2e6)]
         calls: f64,
-        /// Seeds of each point; their mean is compared.
+        /// Number of seeds of each point; their mean is compared.
         #[arg(long, default_value_t = 4)]
         seeds: u64,
-        /// Only systems whose name holds this text.
+        /// Only systems whose names contain this text.
         #[arg(long, default_value = "")]
         system: String,
-        /// Machine-readable output.
+        /// Prints the points as JSON.
         #[arg(long)]
         json: bool,
     },
@@ -225,7 +226,7 @@
 struct Run {
     /// The experiment's file.
     file: PathBuf,
-    /// What decides.
+    /// Load balancing policy.
     #[arg(long, value_enum, default_value_t = Policy::Passrelay)]
     policy: Policy,
     /// The seed, in place of the experiment's own.
@@ -237,13 +238,13 @@
     /// Prints the outcome as JSON; the same experiment, policy and seed give the same bytes.
     #[arg(long)]
     json: bool,
-    /// Also the load of each node, second by second.
+    /// Also records the load of each node for every second.
     #[arg(long)]
     nodes: bool,
-    /// Goes on when a rule is broken, and counts.
+    /// Continues when a rule is violated, and counts the violations.
     #[arg(long)]
     lenient: bool,
-    /// Nothing on standard error but faults.
+    /// Prints only errors to standard error.
     #[arg(long)]
     quiet: bool,
 }
@@ -255,22 +256,22 @@
     /// A key and its values, such as load.rate=20,40,80; several make a grid.
     #[arg(long = "vary", value_name = "KEY=V1,V2,...", required = true)]
     vary: Vec<String>,
-    /// What decides.
+    /// Load balancing policy.
     #[arg(long, value_enum, value_delimiter = ',', default_value = "passrelay")]
     policy: Vec<Policy>,
-    /// How many seeds, from the experiment's own on.
+    /// Number of seeds, starting with the experiment's own.
     #[arg(long, default_value_t = 5)]
     seeds: u64,
     /// Sets a key for all runs.
     #[arg(long = "set", value_name = "KEY=VALUE")]
     set: Vec<String>,
-    /// Keeps each run in this file, a JSON object a line; runs that it holds are not played again.
+    /// Stores each run in this file, one JSON object per line; runs that it holds are not repeated.
     #[arg(long)]
     out: Option<PathBuf>,
     /// Prints the rows as JSON lines.
     #[arg(long)]
     json: bool,
-    /// No progress on standard error.
+    /// Shows no progress on standard error.
     #[arg(long)]
     quiet: bool,
 }
@@ -286,19 +287,19 @@
     /// The policy that the others are compared with.
     #[arg(long, value_enum, default_value_t = Policy::Passrelay)]
     baseline: Policy,
-    /// How many seeds, from each experiment's own on.
+    /// Number of seeds, starting with each experiment's own.
     #[arg(long, default_value_t = 20)]
     seeds: u64,
     /// Sets a key for all runs.
     #[arg(long = "set", value_name = "KEY=VALUE")]
     set: Vec<String>,
-    /// Keeps each run in this file; runs that it holds are not played again.
+    /// Stores each run in this file; runs that it holds are not repeated.
     #[arg(long)]
     out: Option<PathBuf>,
     /// Prints the comparison as JSON.
     #[arg(long)]
     json: bool,
-    /// No progress on standard error.
+    /// Shows no progress on standard error.
     #[arg(long)]
     quiet: bool,
 }
@@ -314,7 +315,7 @@
         #[arg(long, short)]
         out: PathBuf,
     },
-    /// How busy each node was, as a heat map, for one run.
+    /// Utilisation of each node as a heat map, for one run.
     Nodes {
         /// The run.
         #[command(flatten)]
@@ -323,7 +324,7 @@
         #[arg(long, short)]
         out: PathBuf,
     },
-    /// The goal by policy over a key that a sweep has varied.
+    /// Goal by policy over a key that a sweep has varied.
     Goal {
         /// The sweep's file.
         results: PathBuf,
@@ -354,7 +355,7 @@
     }
 }
 
-/// What ended a command early, and its exit code.
+/// Exit code and message of a failed command.
 struct Failure(u8, String);
 
 impl From<ExperimentError> for Failure {
@@ -385,7 +386,7 @@
     }
 }
 
-/// Does what the arguments say.
+/// Parses the command line and runs the command.
 pub fn main() -> ExitCode {
     let done = match Cli::parse().command {
         Command::Run(run) => one_run(&run),
@@ -435,7 +436,7 @@
     }
 }
 
-/// Writes to standard output; that nobody reads any more ends the command quietly.
+/// Writes to standard output. A closed pipe is not an error.
 fn print(text: &str) -> Result<(), Failure> {
     match std::io::stdout().lock().write_all(text.as_bytes()) {
         Err(e) if e.kind() != std::io::ErrorKind::BrokenPipe => {
@@ -462,7 +463,7 @@
     let experiment = Experiment::read(&run.file, &pairs(&run.set)?)?;
     let seed = run.seed.unwrap_or(experiment.seed);
     let began = Instant::now();
-    // Rivals do not know the rules; only the module is held to them by ending the run.
+    // Other policies do not know the rules, so only violations by the decision module end the run.
     let strict = !run.lenient && run.policy == Policy::Passrelay;
     let outcome =
         play(&experiment, run.policy, seed, RunOptions { nodes, strict, mutant: WorldMutant::None })?;
@@ -479,7 +480,7 @@
     Ok(outcome)
 }
 
-/// The most memory that this process has held, where the system tells.
+/// Returns the peak resident memory of this process in MiB, if the system reports it.
 fn peak_memory_mb() -> Option<f64> {
     let status = std::fs::read_to_string("/proc/self/status").ok()?;
     let line = status.lines().find(|l| l.starts_with("VmHWM:"))?;
@@ -497,7 +498,7 @@
     print(&if run.json { json(&outcome)? } else { tables::explain(&outcome) })
 }
 
-/// All combinations of the values that are to be varied.
+/// Returns all combinations of the values of the varied keys.
 fn grid(vary: &[String]) -> Result<Vec<Vec<(String, String)>>, Failure> {
     let mut grid = vec![Vec::new()];
     for (key, values) in pairs(vary)? {
@@ -630,9 +631,9 @@
     if !(1e3..=1e9).contains(&calls) || !(1..=1000).contains(&seeds) {
         return Err(Failure(2, "--calls should be 1e3 to 1e9 and --seeds 1 to 1000".to_owned()));
     }
-    // Seeds of their own for each point: with the same ones a stroke of luck would show in the whole table.
-    let wanted = theory::table().into_iter().enumerate().filter(|(_, (s, _))| s.name().contains(only));
-    let points = wanted.map(|(n, (system, load))| {
+    // Each point has its own seeds: with shared ones, a chance deviation would appear in the whole table.
+    let selected = theory::table().into_iter().enumerate().filter(|(_, (s, _))| s.name().contains(only));
+    let points = selected.map(|(n, (system, load))| {
         let first = n as u64 * seeds;
         theory::measure(system, load, calls, first..first + seeds)
     });
--- a/crates/testing/load-simulator/src/cli/sockets.rs
+++ b/crates/testing/load-simulator/src/cli/sockets.rs
@@ -1,25 +1,27 @@
-//! Commands that run on sockets: fleets, loads, and what this machine can do.
+//! The commands that use sockets: fleets, loads and measurements.
 
 use super::*;
 
-/// The program that stands beside this one, unless another is named.
+/// Returns the named program or, by default, the passrelay program in this program's folder.
 pub(super) fn program(named: Option<PathBuf>) -> Result<PathBuf, Failure> {
     if let Some(path) = named {
         return Ok(path);
     }
-    let own = std::env::current_exe().map_err(|e| Failure(1, format!("this program's own place: {e}")))?;
+    let own = std::env::current_exe()
+        .map_err(|e| Failure(1, format!("cannot determine the path of this program: {e}")))?;
     let path = own.with_file_name("passrelay");
     if path.is_file() {
         return Ok(path);
     }
-    Err(Failure(1, format!("{}: is not there; build it, or name one by --program", path.display())))
+    Err(Failure(1, format!("{}: not found; build it, or set --program", path.display())))
 }
 
-/// A flag that Ctrl-C and SIGTERM set, so that what was started is ended.
+/// Returns a flag that SIGINT and SIGTERM set, so that started processes are ended.
 pub(super) fn stop_flag() -> Result<Arc<AtomicBool>, Failure> {
     let stop = Arc::new(AtomicBool::new(false));
     for signal in [signal_hook::consts::SIGINT, signal_hook::consts::SIGTERM] {
-        signal_hook::flag::register(signal, stop.clone()).map_err(|e| Failure(1, format!("signals: {e}")))?;
+        signal_hook::flag::register(signal, stop.clone())
+            .map_err(|e| Failure(1, format!("cannot register signal handlers: {e}")))?;
     }
     Ok(stop)
 }
@@ -48,7 +50,8 @@
     let e = bench::one_tier(&Experiment::read(file, &[])?, 0);
     let seed = seed.unwrap_or(e.seed);
     let stop = stop_flag()?;
-    let fleet = Fleet::start(&e, 0, seed).map_err(|e| Failure(1, format!("cannot be started: {e}")))?;
+    let fleet = Fleet::start(&e, 0, seed)
+        .map_err(|e| Failure(1, format!("{}: the fleet cannot be started: {e}", file.display())))?;
     print(&format!("discovery {}\n", fleet.discovery))?;
     for (n, node) in fleet.nodes.iter().enumerate() {
         print(&format!("node s-{n} {node}\n"))?;
--- a/crates/testing/load-simulator/src/lib.rs
+++ b/crates/testing/load-simulator/src/lib.rs
@@ -1,8 +1,8 @@
-//! The laboratory: an emulator of fleets behind passrelay at sizes that sockets do not reach, rivals of its
-//! decision module, and the tools that run, compare, explain and plot experiments.
+//! A simulator of fleets behind passrelay at sizes that real sockets do not reach, alternative load balancing policies
+//! for comparison, and tools that run, compare, explain and plot experiments.
 //!
-//! [`world::play`] plays one [`experiment::Experiment`] with one [`rivals::Policy`] and one seed. The same three
-//! give the same [`meter::Outcome`] to the byte, on one thread or many.
+//! [`world::play`] runs one [`experiment::Experiment`] with one [`rivals::Policy`] and one seed. The same three always
+//! give the same [`meter::Outcome`], byte for byte, on any number of threads.
 
 pub mod cli;
 pub mod experiment;
--- a/crates/testing/load-simulator/src/main.rs
+++ b/crates/testing/load-simulator/src/main.rs
@@ -1,4 +1,4 @@
-//! The laboratory's program.
+//! The command line program of the load simulator.
 
 use std::process::ExitCode;
 
--- a/crates/testing/load-simulator/src/plot.rs
+++ b/crates/testing/load-simulator/src/plot.rs
@@ -1,4 +1,4 @@
-//! Plots, as SVG or PNG by the ending of the file.
+//! Plots as SVG or PNG, chosen by the file name's extension.
 
 use crate::meter::{NodeLoad, Outcome};
 use crate::results::Row;
@@ -15,7 +15,7 @@
 const SIZE: (u32, u32) = (1000, 620);
 const FONT: &str = "sans-serif";
 
-/// A plot that could not be made.
+/// An error that prevented a plot, with its description.
 #[derive(Debug)]
 pub struct PlotError(String);
 
@@ -27,16 +27,16 @@
 
 impl Error for PlotError {}
 
-fn fault(e: impl fmt::Display) -> PlotError {
+fn plot_error(e: impl fmt::Display) -> PlotError {
     PlotError(format!("cannot plot: {e}"))
 }
 
-/// Draws on a file of the kind that its ending says.
-fn on_file<F>(path: &Path, draw: F) -> Result<(), PlotError>
+/// Draws to a file in the format that its extension gives.
+fn draw_to_file<F>(path: &Path, draw: F) -> Result<(), PlotError>
 where
     F: Fn(&mut dyn Canvas) -> Result<(), PlotError>,
 {
-    // The bitmap backend brings no font of its own.
+    // The bitmap backend has no built-in font.
     let _ = register_font(FONT, FontStyle::Normal, dejavu::sans::regular());
     match path.extension().and_then(|e| e.to_str()) {
         Some("svg") => draw(&mut Svg(SVGBackend::new(path, SIZE).into_drawing_area())),
@@ -45,7 +45,7 @@
     }
 }
 
-/// What is drawn, whatever kind of file it goes to.
+/// A drawing area of either file format.
 trait Canvas {
     fn lines(&mut self, plot: &Lines) -> Result<(), PlotError>;
     fn heat(&mut self, plot: &Heat) -> Result<(), PlotError>;
@@ -73,7 +73,7 @@
 canvas!(Svg);
 canvas!(Png);
 
-/// One line: its name, and points with half the width of an interval round each.
+/// A line: its name, and points with x, y and the half-width of the interval around y.
 type Line = (String, Vec<(f64, f64, f64)>);
 
 struct Lines {
@@ -94,7 +94,7 @@
     where
         B::ErrorType: 'static,
     {
-        area.fill(&WHITE).map_err(fault)?;
+        area.fill(&WHITE).map_err(plot_error)?;
         let points = || self.lines.iter().flat_map(|l| &l.1);
         let fold = |f: &dyn Fn(&(f64, f64, f64)) -> f64, least: bool| {
             points().map(f).fold(if least { f64::INFINITY } else { f64::NEG_INFINITY }, |a, b| {
@@ -108,13 +108,13 @@
         let (x0, x1) = (fold(&|p| p.0, true), fold(&|p| p.0, false));
         let (y0, y1) = (fold(&|p| p.1 - p.2, true).min(0.0), fold(&|p| p.1 + p.2, false) * 1.05);
         if !(x0.is_finite() && x1 > x0 && y1 > y0) {
-            return Err(PlotError("nothing to plot: a line needs two points at least".to_owned()));
+            return Err(PlotError("nothing to plot: a line needs at least two points".to_owned()));
         }
         let mut builder = ChartBuilder::on(area);
         builder.caption(&self.title, (FONT, 20)).margin(12).x_label_area_size(44).y_label_area_size(64);
         macro_rules! finish {
             ($chart:expr) => {{
-                let mut chart = $chart.map_err(fault)?;
+                let mut chart = $chart.map_err(plot_error)?;
                 chart
                     .configure_mesh()
                     .x_desc(&self.x)
@@ -122,7 +122,7 @@
                     .label_style((FONT, 14))
                     .light_line_style(WHITE)
                     .draw()
-                    .map_err(fault)?;
+                    .map_err(plot_error)?;
                 for (n, (name, points)) in self.lines.iter().enumerate() {
                     let colour = colour(n);
                     chart
@@ -130,7 +130,7 @@
                             points.iter().map(|p| (p.0, p.1)),
                             colour.stroke_width(2),
                         ))
-                        .map_err(fault)?
+                        .map_err(plot_error)?
                         .label(name)
                         .legend(move |(x, y)| {
                             PathElement::new([(x, y), (x + 18, y)], colour.stroke_width(2))
@@ -139,7 +139,7 @@
                         .draw_series(points.iter().filter(|p| p.2 > 0.0 && p.2.is_finite()).map(|p| {
                             PathElement::new([(p.0, p.1 - p.2), (p.0, p.1 + p.2)], colour.stroke_width(1))
                         }))
-                        .map_err(fault)?;
+                        .map_err(plot_error)?;
                 }
                 chart
                     .configure_series_labels()
@@ -147,7 +147,7 @@
                     .border_style(BLACK.mix(0.3))
                     .label_font((FONT, 14))
                     .draw()
-                    .map_err(fault)?;
+                    .map_err(plot_error)?;
             }};
         }
         if self.log_x && x0 > 0.0 {
@@ -155,7 +155,7 @@
         } else {
             finish!(builder.build_cartesian_2d(x0..x1, y0..y1));
         }
-        area.present().map_err(fault)
+        area.present().map_err(plot_error)
     }
 }
 
@@ -169,10 +169,10 @@
     where
         B::ErrorType: 'static,
     {
-        area.fill(&WHITE).map_err(fault)?;
+        area.fill(&WHITE).map_err(plot_error)?;
         let width = self.nodes.iter().map(|n| n.util.len()).max().unwrap_or(0);
         if width == 0 {
-            return Err(PlotError("nothing to plot: the run has no loads of nodes".to_owned()));
+            return Err(PlotError("nothing to plot: the run has no node loads".to_owned()));
         }
         let mut chart = ChartBuilder::on(area)
             .caption(&self.title, (FONT, 20))
@@ -180,7 +180,7 @@
             .x_label_area_size(44)
             .y_label_area_size(64)
             .build_cartesian_2d(0..width, 0..self.nodes.len())
-            .map_err(fault)?;
+            .map_err(plot_error)?;
         chart
             .configure_mesh()
             .disable_mesh()
@@ -188,7 +188,7 @@
             .y_desc("node (white idle, red busy, dark for each 10 held)")
             .label_style((FONT, 14))
             .draw()
-            .map_err(fault)?;
+            .map_err(plot_error)?;
         let cells = self.nodes.iter().enumerate().flat_map(|(y, n)| {
             n.util.iter().zip(&n.held).enumerate().map(move |(x, (util, held))| {
                 let busy = f64::from(*util).clamp(0.0, 1.0);
@@ -198,8 +198,8 @@
                 Rectangle::new([(x, y), (x + 1, y + 1)], fill.filled())
             })
         });
-        chart.draw_series(cells).map_err(fault)?;
-        area.present().map_err(fault)
+        chart.draw_series(cells).map_err(plot_error)?;
+        area.present().map_err(plot_error)
     }
 }
 
@@ -213,7 +213,7 @@
     where
         B::ErrorType: 'static,
     {
-        area.fill(&WHITE).map_err(fault)?;
+        area.fill(&WHITE).map_err(plot_error)?;
         let names: Vec<&String> =
             self.groups.first().map_or(Vec::new(), |g| g.1.iter().map(|b| &b.0).collect());
         if names.is_empty() {
@@ -233,7 +233,7 @@
             .x_label_area_size(30)
             .y_label_area_size(150)
             .build_cartesian_2d(0.0..1.0, 0.0..count as f64)
-            .map_err(fault)?;
+            .map_err(plot_error)?;
         chart
             .configure_mesh()
             .y_labels(2 * count + 1)
@@ -242,7 +242,7 @@
             .label_style((FONT, 13))
             .light_line_style(WHITE)
             .draw()
-            .map_err(fault)?;
+            .map_err(plot_error)?;
         for (n, name) in names.iter().enumerate() {
             let colour = colour(n);
             let height = 0.84 / names.len() as f64;
@@ -253,7 +253,7 @@
             });
             chart
                 .draw_series(bars)
-                .map_err(fault)?
+                .map_err(plot_error)?
                 .label(name.as_str())
                 .legend(move |(x, y)| Rectangle::new([(x, y - 5), (x + 14, y + 5)], colour.filled()));
         }
@@ -263,16 +263,16 @@
             .border_style(BLACK.mix(0.3))
             .label_font((FONT, 13))
             .draw()
-            .map_err(fault)?;
-        area.present().map_err(fault)
+            .map_err(plot_error)?;
+        area.present().map_err(plot_error)
     }
 }
 
-/// Median and 99th percentile of latency over time.
+/// Plots median and 99th percentile of latency over time.
 ///
 /// # Errors
 ///
-/// Says why the plot cannot be made.
+/// Returns an error if there is nothing to plot or the file cannot be written.
 pub fn latency(o: &Outcome, path: &Path) -> Result<(), PlotError> {
     let line = |name: &str, f: &dyn Fn(&crate::meter::Second) -> f64| {
         let points = o.seconds.iter().enumerate().map(|(n, s)| (n as f64, f(s), 0.0)).collect();
@@ -285,31 +285,32 @@
         log_x: false,
         lines: vec![line("median", &|s| s.p50), line("99th percentile", &|s| s.p99)],
     };
-    on_file(path, |canvas| canvas.lines(&plot))
+    draw_to_file(path, |canvas| canvas.lines(&plot))
 }
 
-/// How busy each node was over time.
+/// Plots the utilisation of each node over time as a heat map.
 ///
 /// # Errors
 ///
-/// Says why the plot cannot be made.
+/// Returns an error if there is nothing to plot or the file cannot be written.
 pub fn nodes(o: &Outcome, path: &Path) -> Result<(), PlotError> {
     let title = format!("{}, {}, seed {}: load of nodes", o.experiment, o.policy, o.seed);
-    on_file(path, |canvas| canvas.heat(&Heat { title: title.clone(), nodes: &o.nodes }))
+    draw_to_file(path, |canvas| canvas.heat(&Heat { title: title.clone(), nodes: &o.nodes }))
 }
 
-/// The goal by policy over one of the settings of a sweep.
+/// Plots the goal of each policy over one of the varied keys of a sweep.
 ///
 /// # Errors
 ///
-/// Says why the plot cannot be made.
+/// Returns an error if there is nothing to plot or the file cannot be written.
 pub fn goal_over(rows: &[Row], key: &str, path: &Path) -> Result<(), PlotError> {
     let mut points: BTreeMap<&str, BTreeMap<u64, Vec<f64>>> = BTreeMap::new();
     for row in rows {
         let value = row.set.iter().find(|(k, _)| k == key).and_then(|(_, v)| v.parse::<f64>().ok());
         let value = value.filter(|v| *v >= 0.0);
-        let value = value.ok_or_else(|| PlotError(format!("a run has no number for '{key}'")))?;
-        // Numbers that are not negative keep their order as bits.
+        let value =
+            value.ok_or_else(|| PlotError(format!("a run has no non-negative number for '{key}'")))?;
+        // Non-negative floats have the same order as their bit patterns.
         points
             .entry(&row.outcome.policy)
             .or_default()
@@ -337,14 +338,14 @@
         log_x: ends.1 >= 30.0 * ends.0,
         lines,
     };
-    on_file(path, |canvas| canvas.lines(&plot))
+    draw_to_file(path, |canvas| canvas.lines(&plot))
 }
 
-/// The goals of a comparison.
+/// Plots the goals of a comparison as bars.
 ///
 /// # Errors
 ///
-/// Says why the plot cannot be made.
+/// Returns an error if there is nothing to plot or the file cannot be written.
 pub fn comparison(all: &[Compared], path: &Path) -> Result<(), PlotError> {
     let mut groups: BTreeMap<&str, Vec<(String, f64)>> = BTreeMap::new();
     for c in all {
@@ -352,5 +353,5 @@
     }
     let groups = groups.into_iter().map(|(name, bars)| (name.to_owned(), bars)).collect();
     let bars = Bars { title: "goal by experiment and policy".to_owned(), groups };
-    on_file(path, |canvas| canvas.bars(&bars))
+    draw_to_file(path, |canvas| canvas.bars(&bars))
 }
--- a/crates/testing/load-simulator/src/sockets/bench.rs
+++ b/crates/testing/load-simulator/src/sockets/bench.rs
@@ -1,8 +1,9 @@
-//! What the commands on sockets do: the floor, and the same experiment emulated and on loopback.
+//! The measurements on sockets: throughput of the sidecar against a bare relay, and an experiment run both in
+//! simulation and on loopback.
 
 use super::fleet::Fleet;
 use super::floor::Floor;
-use super::hammer::{hammer, FastNodes, Hammered};
+use super::hammer::{hammer, ClosedLoopResult, FastNodes};
 use super::load::{Live, Load};
 use super::program::{cpu_of, Program};
 use super::sidecar_config;
@@ -18,43 +19,43 @@
 use std::sync::atomic::AtomicBool;
 use std::time::Duration;
 
-/// What stands between callers and nodes in a round.
+/// The component between callers and nodes in a round.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Between {
     /// The sidecar.
     Sidecar,
-    /// The sidecar, which takes part in a fleet.
+    /// The sidecar as a member of a fleet.
     Member,
     /// The bare relay.
     Floor,
-    /// Nothing.
+    /// Nothing: callers connect to nodes directly.
     Straight,
 }
 
-/// One round.
+/// Result of one measurement.
 #[derive(Clone, Debug, Serialize)]
 pub struct Round {
-    /// What stood between.
+    /// The component that was measured.
     pub between: Between,
-    /// Requests served a second.
+    /// Requests served per second.
     pub per_second: f64,
-    /// Requests answered otherwise.
+    /// Number of requests with another answer than 200.
     pub others: u64,
-    /// CPU time for each request in microseconds, of what stood between.
+    /// CPU time of the component per request in microseconds; `None` if it is unknown or there is no component.
     pub cpu_us: Option<f64>,
     /// Median latency in microseconds.
     pub p50_us: u64,
-    /// 99th percentile.
+    /// 99th percentile of latency in microseconds.
     pub p99_us: u64,
 }
 
-/// The sidecar, the bare relay and nothing in turn, `rounds` times, before nodes that answer at once. With a fleet's
-/// file: the sidecar without and with it, in turn.
+/// Measures the sidecar, the bare relay and direct connections in turn, `rounds` times, with nodes that answer at once.
+/// With a fleet file, measures the sidecar without and with it in turn instead.
 ///
 /// # Errors
 ///
-/// Fails when a port cannot be had or the program does not start.
+/// Returns an error if a port cannot be bound, the program does not start, or a connection breaks.
 pub fn floor(
     program: &Path,
     fleet: Option<&Path>,
@@ -64,7 +65,7 @@
     time: Duration,
     mut show: impl FnMut(&Round),
 ) -> io::Result<Vec<Round>> {
-    let fast = FastNodes::start(nodes)?;
+    let fast_nodes = FastNodes::start(nodes)?;
     let mut all = Vec::new();
     let kinds: &[Between] = match fleet {
         None => &[Between::Sidecar, Between::Floor, Between::Straight],
@@ -73,23 +74,23 @@
     for _ in 0..rounds {
         for &between in kinds {
             let mut from = None;
-            let (seen, cpu) = match between {
+            let (result, cpu) = match between {
                 Between::Sidecar | Between::Member => {
                     let listen = free_address()?;
-                    let mut config = hammer_config(listen, fast.discovery)?;
+                    let mut config = hammer_config(listen, fast_nodes.discovery)?;
                     config["fleet"] = serde_json::json!(fleet.filter(|_| between == Between::Member));
                     let sidecar = Program::start(program, &config)?;
-                    let seen = hammer(&[listen], callers, time, || from = sidecar.cpu_s())?;
-                    (seen, sidecar.cpu_s())
+                    let result = hammer(&[listen], callers, time, || from = sidecar.cpu_s())?;
+                    (result, sidecar.cpu_s())
                 }
                 Between::Floor => {
-                    let floor = Floor::start(fast.addresses.clone())?;
-                    let seen = hammer(&[floor.address], callers, time, || from = thread_cpu("floor"))?;
-                    (seen, thread_cpu("floor"))
+                    let floor = Floor::start(fast_nodes.addresses.clone())?;
+                    let result = hammer(&[floor.address], callers, time, || from = thread_cpu("floor"))?;
+                    (result, thread_cpu("floor"))
                 }
-                Between::Straight => (hammer(&fast.addresses, callers, time, || ())?, None),
+                Between::Straight => (hammer(&fast_nodes.addresses, callers, time, || ())?, None),
             };
-            let Hammered { served, others, seconds, latency } = seen;
+            let ClosedLoopResult { served, others, seconds, latency } = result;
             let round = Round {
                 between,
                 per_second: served as f64 / seconds.max(1e-9),
@@ -105,7 +106,7 @@
     Ok(all)
 }
 
-/// CPU time of a thread of this process, by its name.
+/// Returns the CPU time in seconds of a thread of this process by its name, if the system reports it.
 fn thread_cpu(name: &str) -> Option<f64> {
     let tasks = std::fs::read_dir("/proc/self/task").ok()?;
     let named = |path: &Path| std::fs::read_to_string(path.join("comm")).is_ok_and(|n| n.trim() == name);
@@ -121,18 +122,18 @@
     Ok(sidecar_config(&e, 0, listen, discovery, 7))
 }
 
-/// The same experiment emulated and on sockets.
+/// Outcomes of the same experiment in simulation and on sockets.
 #[derive(Clone, Debug, Serialize)]
 pub struct Calibration {
-    /// As emulated.
+    /// Outcome of the simulation.
     pub emulated: Outcome,
-    /// On loopback, with the real program.
+    /// Outcome on loopback with the real program.
     pub sockets: Outcome,
-    /// How late the load itself was at the worst, in seconds.
+    /// Largest delay with which the load generator sent a call, in seconds.
     pub late_s: f64,
 }
 
-/// One tier of an experiment, with one sidecar: what sockets can play.
+/// Reduces an experiment to one tier with one sidecar, which is what can run on sockets.
 pub fn one_tier(e: &Experiment, tier: usize) -> Experiment {
     let mut e = e.clone();
     let name = e.tier[tier].name.clone();
@@ -140,16 +141,16 @@
     e.tier = vec![e.tier[tier].clone()];
     e.tier[0].sidecars = 1;
     e.network.zones = 1;
-    // Loopback and two processes: what a message takes there.
+    // The delay of a message between two processes on loopback.
     (e.network.one_way_ms, e.network.jitter) = (0.05, 0.2);
     e
 }
 
-/// Plays the first tier of an experiment on loopback with the real program.
+/// Runs the first tier of an experiment on loopback with the real program.
 ///
 /// # Errors
 ///
-/// Says what could not be started or played.
+/// Returns a message if the fleet, the sidecar or the load fails.
 pub fn on_sockets(
     program: &Path,
     e: &Experiment,
@@ -157,8 +158,9 @@
     stop: &AtomicBool,
     show: impl FnMut(&Live),
 ) -> Result<(Outcome, Live), String> {
-    let listen = free_address().map_err(|e| e.to_string())?;
-    let fleet = Fleet::start(e, 0, seed).map_err(|e| format!("the stand-in fleet cannot be started: {e}"))?;
+    let listen = free_address().map_err(|e| format!("no free address for the sidecar: {e}"))?;
+    let fleet =
+        Fleet::start(e, 0, seed).map_err(|e| format!("the simulated fleet cannot be started: {e}"))?;
     let config = sidecar_config(e, 0, listen, fleet.discovery, seed);
     let _sidecar = Program::start(program, &config).map_err(|e| e.to_string())?;
     let mut load = Load::new(e, listen, seed)?;
@@ -166,11 +168,11 @@
     Ok((outcome, load.live()))
 }
 
-/// Plays the first tier of an experiment both ways.
+/// Runs the first tier of an experiment in simulation and on loopback.
 ///
 /// # Errors
 ///
-/// Says what could not be started or played.
+/// Returns a message if one of the runs fails.
 pub fn calibrate(
     program: &Path,
     e: &Experiment,
--- a/crates/testing/load-simulator/src/sockets/fleet.rs
+++ b/crates/testing/load-simulator/src/sockets/fleet.rs
@@ -1,5 +1,5 @@
-//! The nodes and the discovery of an experiment as stand-ins on loopback: one thread, one loop. The nodes are the
-//! emulator's own models, driven by the wall clock, with the experiment's troubles.
+//! The nodes and the discovery service of an experiment on loopback, on one thread with one event loop. The nodes are
+//! the simulator's models driven by the wall clock, with the experiment's troubles.
 
 use super::wire::{wait, Conn, Message};
 use crate::experiment::{Experiment, TroubleKind};
@@ -21,20 +21,20 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Tokens from here on are connections; those below are listeners.
-const FIRST: usize = 1 << 20;
+/// The first poll token of connections; lower ones are listeners.
+const FIRST_CONNECTION: usize = 1 << 20;
 
-enum Happens {
-    Core { node: u32, generation: u64 },
-    Crowd { node: u32, life: u32 },
+enum FleetEvent {
+    CoreDone { node: u32, generation: u64 },
+    JamCheck { node: u32, life: u32 },
     Publish(Box<ListEntry>),
     WatchEnds { conn: usize, serial: u64 },
-    Begins(usize),
-    Ends(usize),
+    TroubleBegins(usize),
+    TroubleEnds(usize),
     Release { trouble: usize, step: usize, stage: u8 },
 }
 
-/// Who a connection belongs to.
+/// The service that accepted a connection.
 #[derive(Clone, Copy, PartialEq)]
 enum Side {
     Node(u32),
@@ -45,45 +45,46 @@
     conn: Conn,
     side: Side,
     serial: u64,
-    /// What a watch knows.
+    /// The list version that an open watch knows.
     since: Option<u64>,
-    /// The request that is at work.
-    at_work: Option<(u64, u32)>,
+    /// Key of the request in progress.
+    in_progress: Option<(u64, u32)>,
 }
 
-/// What a fleet has counted.
+/// Counters of a fleet.
 #[derive(Debug, Default)]
 pub struct Counts {
-    /// Requests that nodes began to work on.
+    /// Number of requests that nodes accepted.
     pub begun: AtomicU64,
-    /// Requests turned away.
+    /// Number of requests that nodes rejected.
     pub shed: AtomicU64,
 }
 
-/// A fleet on loopback; it ends when dropped.
+/// A fleet on loopback. Dropping it stops its thread.
 pub struct Fleet {
-    /// Where discovery listens.
+    /// Address on which discovery listens.
     pub discovery: SocketAddr,
-    /// Where the nodes listen.
+    /// Addresses on which the nodes listen.
     pub nodes: Vec<SocketAddr>,
-    /// What has been counted.
+    /// Counters, updated while the fleet runs.
     pub counts: Arc<Counts>,
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<io::Result<()>>>,
 }
 
 impl Fleet {
-    /// Starts the nodes of a tier and its discovery. Troubles count from now on.
+    /// Starts the nodes of a tier and its discovery. Troubles are timed from now on.
     ///
     /// # Errors
     ///
-    /// Fails when no port or descriptor can be had.
+    /// Returns an error if no port or file descriptor is available.
     pub fn start(e: &Experiment, tier: usize, seed: u64) -> io::Result<Fleet> {
         let (stop, counts) = (Arc::new(AtomicBool::new(false)), Arc::new(Counts::default()));
-        let mut ground = Ground::new(e, tier, seed, counts.clone())?;
-        let (discovery, nodes) = (ground.discovery_at, ground.addresses.clone());
+        let mut fleet_thread = FleetThread::new(e, tier, seed, counts.clone())?;
+        let (discovery, nodes) = (fleet_thread.discovery_at, fleet_thread.addresses.clone());
         let ends = stop.clone();
-        let thread = std::thread::Builder::new().name("fleet".to_owned()).spawn(move || ground.run(&ends))?;
+        let thread =
+            std::thread::Builder::new().name("fleet".to_owned()).spawn(move || fleet_thread.run(&ends))?;
         Ok(Fleet { discovery, nodes, counts, stop, thread: Some(thread) })
     }
 }
@@ -97,7 +98,7 @@
     }
 }
 
-struct Ground {
+struct FleetThread {
     e: Experiment,
     tier: usize,
     poll: Poll,
@@ -110,12 +111,12 @@
     peers: Slab<Peer>,
     serial: u64,
     at: FxHashMap<(u64, u32), usize>,
-    queue: Queue<Happens>,
+    queue: Queue<FleetEvent>,
     began: Instant,
     epoch_ms: f64,
     notice: Stream,
     streams: Streams,
-    struck: Vec<Vec<u32>>,
+    affected_nodes: Vec<Vec<u32>>,
     counts: Arc<Counts>,
     finished: Vec<usize>,
 }
@@ -126,7 +127,7 @@
     Ok(listener)
 }
 
-/// A report as it stands in a header.
+/// Formats a report as a header line; empty if there is none.
 fn report_text(report: Option<LoadReport>) -> String {
     let Some(r) = report else { return String::new() };
     let fields = [("qps", r.rps), ("util", r.cpu), ("inflight", r.in_flight), ("queue", r.queued)];
@@ -138,8 +139,8 @@
     format!("HTTP/1.1 {status} X\r\nContent-Length: {}\r\n{more}\r\n{body}", body.len()).into_bytes()
 }
 
-impl Ground {
-    fn new(e: &Experiment, tier: usize, seed: u64, counts: Arc<Counts>) -> io::Result<Ground> {
+impl FleetThread {
+    fn new(e: &Experiment, tier: usize, seed: u64, counts: Arc<Counts>) -> io::Result<FleetThread> {
         let poll = Poll::new()?;
         let any: SocketAddr = ([127, 0, 0, 1], 0).into();
         let streams = Streams::new(seed);
@@ -154,8 +155,8 @@
                 nodes.push(Node::new(number as u64, tier, 0, kind, &spec.report, &streams));
             }
         }
-        let discovery = listen(poll.registry(), any, FIRST - 1)?;
-        let lines = (0..nodes.len() as u32).map(|node| ListEntry {
+        let discovery = listen(poll.registry(), any, FIRST_CONNECTION - 1)?;
+        let entries = (0..nodes.len() as u32).map(|node| ListEntry {
             node,
             zone: 0,
             condition: EndpointState::Running,
@@ -163,15 +164,15 @@
         });
         let mut queue = Queue::default();
         for (n, t) in e.trouble.iter().enumerate().filter(|(_, t)| e.tier_of(t) == tier) {
-            queue.put(nanos(t.from_s), Happens::Begins(n));
-            queue.put(nanos(t.from_s + t.for_s), Happens::Ends(n));
+            queue.put(nanos(t.from_s), FleetEvent::TroubleBegins(n));
+            queue.put(nanos(t.from_s + t.for_s), FleetEvent::TroubleEnds(n));
         }
         let epoch = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |d| d.as_secs_f64());
-        Ok(Ground {
-            list: Discovery::new(&e.discovery, lines),
+        Ok(FleetThread {
+            list: Discovery::new(&e.discovery, entries),
             discovery_at: discovery.local_addr()?,
             notice: streams.of("notice", 0),
-            struck: vec![Vec::new(); e.trouble.len()],
+            affected_nodes: vec![Vec::new(); e.trouble.len()],
             e: e.clone(),
             tier,
             poll,
@@ -203,26 +204,26 @@
             wait(&mut self.poll, &mut events, due)?;
             let tokens: Vec<usize> = events.iter().map(|e| e.token().0).collect();
             for token in tokens {
-                if token >= FIRST {
-                    self.peer_ready(token - FIRST);
+                if token >= FIRST_CONNECTION {
+                    self.peer_ready(token - FIRST_CONNECTION);
                 } else {
-                    self.let_in(token)?;
+                    self.accept(token)?;
                 }
             }
             let now = self.now();
             while self.queue.next_time().is_some_and(|at| at <= now) {
                 if let Some(event) = self.queue.take() {
-                    self.happens(event)?;
+                    self.handle_event(event)?;
                 }
             }
         }
         Ok(())
     }
 
-    fn let_in(&mut self, token: usize) -> io::Result<()> {
+    fn accept(&mut self, token: usize) -> io::Result<()> {
         loop {
             let (listener, side) = match token {
-                t if t == FIRST - 1 => (Some(&self.discovery), Side::Discovery),
+                t if t == FIRST_CONNECTION - 1 => (Some(&self.discovery), Side::Discovery),
                 t => (self.listeners[t].as_ref(), Side::Node(t as u32)),
             };
             let Some(listener) = listener else { return Ok(()) };
@@ -235,33 +236,33 @@
                 }
                 node.connections += 1;
                 node.add_background_work(now, node.kind.handshake_ms / 1e3);
-                self.changed(n);
+                self.schedule_node_events(n);
             }
             let entry = self.peers.vacant_entry();
             let interest = Interest::READABLE | Interest::WRITABLE;
-            self.poll.registry().register(&mut sock, Token(FIRST + entry.key()), interest)?;
+            self.poll.registry().register(&mut sock, Token(FIRST_CONNECTION + entry.key()), interest)?;
             self.serial += 1;
             entry.insert(Peer {
                 conn: Conn::new(sock),
                 side,
                 serial: self.serial,
                 since: None,
-                at_work: None,
+                in_progress: None,
             });
         }
     }
 
-    fn drop_peer(&mut self, key: usize) {
+    fn close_peer(&mut self, key: usize) {
         let Some(mut peer) = self.peers.try_remove(key) else { return };
         let _ = self.poll.registry().deregister(&mut peer.conn.sock);
         let now = self.now();
         if let Side::Node(n) = peer.side {
             let node = &mut self.nodes[n as usize];
             node.connections = node.connections.saturating_sub(1);
-            if let Some(work) = peer.at_work {
+            if let Some(work) = peer.in_progress {
                 self.at.remove(&work);
                 self.nodes[n as usize].cancel(now, work);
-                self.changed(n);
+                self.schedule_node_events(n);
             }
         }
     }
@@ -276,44 +277,42 @@
         let open = peer.conn.flush() && peer.conn.fill();
         loop {
             let Some(peer) = self.peers.get_mut(key) else { return };
-            if peer.at_work.is_some() || peer.since.is_some() {
+            if peer.in_progress.is_some() || peer.since.is_some() {
                 break;
             }
             match peer.conn.take(false) {
                 Ok(Some(message)) => match peer.side {
-                    Side::Node(n) => self.asked(key, n, &message),
-                    Side::Discovery => self.list_asked(key, &message),
+                    Side::Node(n) => self.handle_request(key, n, &message),
+                    Side::Discovery => self.handle_discovery_request(key, &message),
                 },
                 Ok(None) => break,
-                Err(_) => return self.drop_peer(key),
+                Err(_) => return self.close_peer(key),
             }
         }
         if !open {
-            self.drop_peer(key);
+            self.close_peer(key);
         }
     }
 
     fn put(&mut self, key: usize, bytes: &[u8]) {
         if let Some(peer) = self.peers.get_mut(key) {
             if !peer.conn.put(bytes) {
-                self.drop_peer(key);
+                self.close_peer(key);
             }
         }
     }
 
-    // ---- Nodes ----
-
-    fn asked(&mut self, key: usize, n: u32, message: &Message) {
+    fn handle_request(&mut self, key: usize, n: u32, message: &Message) {
         let now = self.now();
         let node = &mut self.nodes[n as usize];
         if message.target == "/health" || message.target == "/status/load" {
-            let (bytes, chore) = if self.e.limits.probes {
+            let (bytes, work) = if self.e.limits.probes {
                 (answer(200, &report_text(node.report(now)), ""), node.kind.probe_ms / 1e3)
             } else {
                 (answer(404, "", ""), 0.0)
             };
-            node.add_background_work(now, chore);
-            self.changed(n);
+            node.add_background_work(now, work);
+            self.schedule_node_events(n);
             return self.put(key, &bytes);
         }
         let class = self.e.class.iter().position(|c| c.name == message.class).unwrap_or(0);
@@ -338,9 +337,9 @@
         match node.admit(now, job, spec.work_ms / 1e3 * tier_work, true, &self.e.rules) {
             Admission::Taken(_) => {
                 self.at.insert(id, key);
-                self.peers[key].at_work = Some(id);
+                self.peers[key].in_progress = Some(id);
                 self.counts.begun.fetch_add(1, Ordering::Relaxed);
-                self.changed(n);
+                self.schedule_node_events(n);
             }
             Admission::Shed => {
                 let report = report_text(self.nodes[n as usize].report(now));
@@ -351,19 +350,19 @@
         }
     }
 
-    fn changed(&mut self, n: u32) {
+    fn schedule_node_events(&mut self, n: u32) {
         let now = self.now();
         let node = &mut self.nodes[n as usize];
         node.newly_begun.clear();
-        if let Some(look) = node.update_jam(now) {
-            self.queue.put(look, Happens::Crowd { node: n, life: node.life });
+        if let Some(next_check) = node.update_jam(now) {
+            self.queue.put(next_check, FleetEvent::JamCheck { node: n, life: node.life });
         }
         if let Some((when, generation)) = node.next_done(now) {
-            self.queue.put(when, Happens::Core { node: n, generation });
+            self.queue.put(when, FleetEvent::CoreDone { node: n, generation });
         }
     }
 
-    fn core(&mut self, n: u32, generation: u64) {
+    fn core_done(&mut self, n: u32, generation: u64) {
         let now = self.now();
         if self.nodes[n as usize].generation != generation || !self.nodes[n as usize].is_running() {
             return;
@@ -379,7 +378,7 @@
             let report = report_text(node.report(now));
             let Some(key) = self.at.remove(&job.key) else { continue };
             if let Some(peer) = self.peers.get_mut(key) {
-                peer.at_work = None;
+                peer.in_progress = None;
             }
             let bytes = if job.fails { answer(500, &report, "") } else { answer(200, &report, "ok") };
             if !self.nodes[n as usize].faults.cut {
@@ -387,7 +386,7 @@
             }
         }
         self.finished = finished;
-        self.changed(n);
+        self.schedule_node_events(n);
     }
 
     fn kill(&mut self, n: u32) {
@@ -399,13 +398,13 @@
         if let Some(mut listener) = self.listeners[n as usize].take() {
             let _ = self.poll.registry().deregister(&mut listener);
         }
-        let own: Vec<usize> =
+        let affected: Vec<usize> =
             self.peers.iter().filter(|(_, p)| p.side == Side::Node(n)).map(|(key, _)| key).collect();
-        for key in own {
-            if let Some(work) = self.peers[key].at_work.take() {
+        for key in affected {
+            if let Some(work) = self.peers[key].in_progress.take() {
                 self.at.remove(&work);
             }
-            self.drop_peer(key);
+            self.close_peer(key);
         }
         self.announce(n, EndpointState::Removed);
     }
@@ -426,14 +425,12 @@
         let when = self.now() + nanos(uniform(self.e.discovery.notice_s, &mut self.notice));
         let started_at = self.nodes[n as usize].started_at;
         self.queue
-            .put(when, Happens::Publish(Box::new(ListEntry { node: n, zone: 0, condition, started_at })));
+            .put(when, FleetEvent::Publish(Box::new(ListEntry { node: n, zone: 0, condition, started_at })));
     }
 
-    // ---- Discovery ----
-
-    fn list_asked(&mut self, key: usize, message: &Message) {
+    fn handle_discovery_request(&mut self, key: usize, message: &Message) {
         if self.list.down {
-            return self.drop_peer(key);
+            return self.close_peer(key);
         }
         let query = message.target.split_once('?').map_or("", |q| q.1);
         let field = |name: &str| query.split('&').find_map(|p| p.strip_prefix(name)?.strip_prefix('='));
@@ -445,15 +442,15 @@
                 peer.since = since;
                 let serial = peer.serial;
                 let ends = self.now() + nanos(wait_ms.clamp(0.0, 60e3) / 1e3);
-                self.queue.put(ends, Happens::WatchEnds { conn: key, serial });
+                self.queue.put(ends, FleetEvent::WatchEnds { conn: key, serial });
             }
-            _ => self.tell(key, since),
+            _ => self.send_list(key, since),
         }
     }
 
-    fn tell(&mut self, key: usize, since: Option<u64>) {
-        let told = self.list.update_since(since);
-        let hosts: Vec<_> = (told.entries.iter())
+    fn send_list(&mut self, key: usize, since: Option<u64>) {
+        let update = self.list.update_since(since);
+        let hosts: Vec<_> = (update.entries.iter())
             .map(|l| {
                 let health = match l.condition {
                     EndpointState::Running => "in_service",
@@ -465,7 +462,7 @@
                        "site": "z0", "class": "m", "block": 0, "health": health, "share": 1.0, "born_ms": started_at})
             })
             .collect();
-        let body = json!({"seq": told.seq, "whole": told.is_full, "hosts": hosts}).to_string();
+        let body = json!({"seq": update.seq, "whole": update.is_full, "hosts": hosts}).to_string();
         self.put(key, &answer(200, "Content-Type: application/json\r\n", &body));
     }
 
@@ -475,35 +472,33 @@
             self.peers.iter().filter(|(_, p)| p.since.is_some()).map(|(key, _)| key).collect();
         for key in watching {
             let since = self.peers[key].since.take();
-            self.tell(key, since);
+            self.send_list(key, since);
             self.peer_ready(key);
         }
     }
 
-    // ---- Troubles ----
-
-    fn happens(&mut self, event: Happens) -> io::Result<()> {
+    fn handle_event(&mut self, event: FleetEvent) -> io::Result<()> {
         let now = self.now();
         match event {
-            Happens::Core { node, generation } => self.core(node, generation),
-            Happens::Crowd { node, life } => {
+            FleetEvent::CoreDone { node, generation } => self.core_done(node, generation),
+            FleetEvent::JamCheck { node, life } => {
                 if self.nodes[node as usize].life == life {
                     self.nodes[node as usize].catch_up(now);
-                    self.changed(node);
+                    self.schedule_node_events(node);
                 }
             }
-            Happens::Publish(line) => self.publish(*line),
-            Happens::WatchEnds { conn, serial } => {
+            FleetEvent::Publish(line) => self.publish(*line),
+            FleetEvent::WatchEnds { conn, serial } => {
                 if let Some(since) =
                     self.peers.get_mut(conn).filter(|p| p.serial == serial).and_then(|p| p.since.take())
                 {
-                    self.tell(conn, Some(since));
+                    self.send_list(conn, Some(since));
                     self.peer_ready(conn);
                 }
             }
-            Happens::Begins(n) => self.trouble(n, true)?,
-            Happens::Ends(n) => self.trouble(n, false)?,
-            Happens::Release { trouble, step, stage } => self.release(trouble, step, stage)?,
+            FleetEvent::TroubleBegins(n) => self.trouble(n, true)?,
+            FleetEvent::TroubleEnds(n) => self.trouble(n, false)?,
+            FleetEvent::Release { trouble, step, stage } => self.release(trouble, step, stage)?,
         }
         Ok(())
     }
@@ -516,11 +511,11 @@
             let count = (nodes.len() as f64 * trouble.part).round() as usize;
             nodes.shuffle(&mut self.streams.of("trouble", n as u64));
             nodes.truncate(count.clamp(1, self.nodes.len()));
-            self.struck[n] = nodes;
+            self.affected_nodes[n] = nodes;
         }
         let (size, name) = (trouble.size(), trouble.class.as_deref());
         let class = self.e.class.iter().position(|c| Some(c.name.as_str()) == name).map(|c| c as u16);
-        for at in self.struck[n].clone() {
+        for at in self.affected_nodes[n].clone() {
             let node = &mut self.nodes[at as usize];
             node.catch_up(now);
             match trouble.kind {
@@ -535,17 +530,17 @@
                 TroubleKind::Crash => self.restart(at)?,
                 _ => {}
             }
-            self.changed(at);
+            self.schedule_node_events(at);
         }
         match trouble.kind {
             TroubleKind::DiscoveryDown => {
                 self.list.down = begins;
-                let own = self.peers.iter().filter(|(_, p)| begins && p.side == Side::Discovery);
-                let own: Vec<usize> = own.map(|(key, _)| key).collect();
-                own.into_iter().for_each(|key| self.drop_peer(key));
+                let affected = self.peers.iter().filter(|(_, p)| begins && p.side == Side::Discovery);
+                let affected: Vec<usize> = affected.map(|(key, _)| key).collect();
+                affected.into_iter().for_each(|key| self.close_peer(key));
             }
             TroubleKind::RollingRelease if begins => {
-                self.queue.put(now, Happens::Release { trouble: n, step: 0, stage: 0 });
+                self.queue.put(now, FleetEvent::Release { trouble: n, step: 0, stage: 0 });
             }
             _ => {}
         }
@@ -564,12 +559,12 @@
                     self.nodes[step].state = State::Draining;
                     self.announce(at, EndpointState::Draining);
                 }
-                self.queue.put(now + each / 2, Happens::Release { trouble: n, step, stage: 1 });
-                self.queue.put(now + each, Happens::Release { trouble: n, step: step + 1, stage: 0 });
+                self.queue.put(now + each / 2, FleetEvent::Release { trouble: n, step, stage: 1 });
+                self.queue.put(now + each, FleetEvent::Release { trouble: n, step: step + 1, stage: 0 });
             }
             1 => {
                 self.kill(at);
-                self.queue.put(now + each / 4, Happens::Release { trouble: n, step, stage: 2 });
+                self.queue.put(now + each / 4, FleetEvent::Release { trouble: n, step, stage: 2 });
             }
             _ => self.restart(at)?,
         }
--- a/crates/testing/load-simulator/src/sockets/floor.rs
+++ b/crates/testing/load-simulator/src/sockets/floor.rs
@@ -1,5 +1,5 @@
-//! The bare relay: what a one-thread relay costs that decides nothing. Requests go to the nodes in turn over kept
-//! connections; there is no check, no time-out and no second attempt. A sidecar is measured against it.
+//! The bare relay, a baseline for measurements of the sidecar: a one-thread relay without any decisions. It forwards
+//! requests to the nodes in turn over persistent connections, without checks, timeouts or retries.
 
 use super::wire::{wait, Conn};
 use mio::net::{TcpListener, TcpStream};
@@ -11,20 +11,20 @@
 use std::sync::Arc;
 use std::thread::JoinHandle;
 
-/// A relay on loopback; it ends when dropped.
+/// A bare relay on loopback. Dropping it stops its thread.
 pub struct Floor {
-    /// Where it listens.
+    /// Address on which the relay listens.
     pub address: SocketAddr,
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<io::Result<()>>>,
 }
 
 impl Floor {
-    /// Starts a relay in front of these nodes.
+    /// Starts a relay in front of `nodes`.
     ///
     /// # Errors
     ///
-    /// Fails when no port can be had.
+    /// Returns an error if no port can be bound or the thread cannot be started.
     pub fn start(nodes: Vec<SocketAddr>) -> io::Result<Floor> {
         let listener = TcpListener::bind(([127, 0, 0, 1], 0).into())?;
         let address = listener.local_addr()?;
@@ -46,20 +46,21 @@
     }
 }
 
-struct End {
+/// A connection of the relay, to a caller or to a node.
+struct RelayConn {
     conn: Conn,
-    /// The node it leads to; none: a caller's.
+    /// Index of the node that it leads to; `None` for a caller's connection.
     node: Option<usize>,
-    /// The other end, while a request is under way.
+    /// Key of the connection on the other side while a request is in progress.
     peer: Option<usize>,
 }
 
 fn run(mut listener: TcpListener, nodes: &[SocketAddr], stop: &AtomicBool) -> io::Result<()> {
     let mut poll = Poll::new()?;
     poll.registry().register(&mut listener, Token(0), Interest::READABLE)?;
-    let mut ends: Slab<End> = Slab::new();
+    let mut ends: Slab<RelayConn> = Slab::new();
     let mut idle: Vec<Vec<usize>> = vec![Vec::new(); nodes.len()];
-    let mut turn = 0;
+    let mut next = 0;
     let mut events = Events::with_capacity(1024);
     let both = Interest::READABLE | Interest::WRITABLE;
     while !stop.load(Ordering::SeqCst) {
@@ -69,17 +70,17 @@
                 while let Ok((mut sock, _)) = listener.accept() {
                     let entry = ends.vacant_entry();
                     poll.registry().register(&mut sock, Token(entry.key() + 1), both)?;
-                    entry.insert(End { conn: Conn::new(sock), node: None, peer: None });
+                    entry.insert(RelayConn { conn: Conn::new(sock), node: None, peer: None });
                 }
                 continue;
             }
             let key = event.token().0 - 1;
-            let Some(end) = ends.get_mut(key) else { continue };
-            let open = end.conn.flush() && end.conn.fill();
-            if let Some(node) = end.node {
-                if let Ok(Some(m)) = end.conn.take(true) {
-                    let peer = end.peer.take();
-                    if open {
+            let Some(relay_conn) = ends.get_mut(key) else { continue };
+            let is_open = relay_conn.conn.flush() && relay_conn.conn.fill();
+            if let Some(node) = relay_conn.node {
+                if let Ok(Some(m)) = relay_conn.conn.take(true) {
+                    let peer = relay_conn.peer.take();
+                    if is_open {
                         idle[node].push(key);
                     }
                     let head = format!("HTTP/1.1 {} X\r\nContent-Length: {}\r\n\r\n", m.status, m.body.len());
@@ -88,9 +89,9 @@
                         caller.peer = None;
                     }
                 }
-            } else if let Ok(Some(m)) = end.conn.take(false) {
-                let to = turn % nodes.len();
-                turn += 1;
+            } else if let Ok(Some(m)) = relay_conn.conn.take(false) {
+                let to = next % nodes.len();
+                next += 1;
                 let head = format!(
                     "{} {} HTTP/1.1\r\nHost: n\r\nX-Call-Class: {}\r\nContent-Length: {}\r\n\r\n",
                     m.method,
@@ -105,7 +106,7 @@
                         let entry = ends.vacant_entry();
                         poll.registry().register(&mut sock, Token(entry.key() + 1), both)?;
                         let out = entry.key();
-                        entry.insert(End { conn: Conn::new(sock), node: Some(to), peer: None });
+                        entry.insert(RelayConn { conn: Conn::new(sock), node: Some(to), peer: None });
                         out
                     }
                 };
@@ -113,10 +114,10 @@
                 ends[out].peer = Some(key);
                 ends[out].conn.put(&[head.as_bytes(), &m.body].concat());
             }
-            if !open {
-                if let Some(mut end) = ends.try_remove(key) {
-                    let _ = poll.registry().deregister(&mut end.conn.sock);
-                    if let Some(node) = end.node {
+            if !is_open {
+                if let Some(mut relay_conn) = ends.try_remove(key) {
+                    let _ = poll.registry().deregister(&mut relay_conn.conn.sock);
+                    if let Some(node) = relay_conn.node {
                         idle[node].retain(|k| *k != key);
                     }
                 }
--- a/crates/testing/load-simulator/src/sockets/hammer.rs
+++ b/crates/testing/load-simulator/src/sockets/hammer.rs
@@ -1,4 +1,4 @@
-//! A closed loop as fast as it goes, and nodes that answer at once: what a relay can carry at most.
+//! Measurement of a relay's maximum throughput: a closed-loop load without pauses, and nodes that answer at once.
 
 use super::wire::{wait, Conn};
 use hdrhistogram::Histogram;
@@ -12,30 +12,31 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Tokens from here on are connections; those below are listeners.
-const FIRST: usize = 1 << 20;
-const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Load-Report: qps=100,util=0.3\r\n\r\nok";
+/// The first poll token of connections; lower ones are listeners.
+const FIRST_CONNECTION: usize = 1 << 20;
+const NODE_ANSWER: &[u8] =
+    b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Load-Report: qps=100,util=0.3\r\n\r\nok";
 
-/// Nodes that answer at once; they end when dropped.
+/// Nodes that answer at once, with a discovery service. Dropping them stops their thread.
 pub struct FastNodes {
-    /// Where they listen.
+    /// Addresses on which the nodes listen.
     pub addresses: Vec<SocketAddr>,
-    /// Where a discovery listens that names them.
+    /// Address of the discovery service that lists the nodes.
     pub discovery: SocketAddr,
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<io::Result<()>>>,
 }
 
 impl FastNodes {
-    /// Starts so many of them, on one thread.
+    /// Starts `count` nodes and discovery on one thread.
     ///
     /// # Errors
     ///
-    /// Fails when no port can be had.
+    /// Returns an error if no port can be bound or the thread cannot be started.
     pub fn start(count: usize) -> io::Result<FastNodes> {
         let poll = Poll::new()?;
         let mut listeners = Vec::new();
-        // The last one is discovery.
+        // The last listener is that of discovery.
         for n in 0..=count {
             let mut listener = TcpListener::bind(([127, 0, 0, 1], 0).into())?;
             poll.registry().register(&mut listener, Token(n), Interest::READABLE)?;
@@ -81,26 +82,30 @@
         wait(&mut poll, &mut events, None)?;
         for event in &events {
             let token = event.token().0;
-            if token < FIRST {
+            if token < FIRST_CONNECTION {
                 while let Ok((mut sock, _)) = listeners[token].accept() {
                     let entry = conns.vacant_entry();
-                    poll.registry().register(&mut sock, Token(FIRST + entry.key()), Interest::READABLE)?;
+                    poll.registry().register(
+                        &mut sock,
+                        Token(FIRST_CONNECTION + entry.key()),
+                        Interest::READABLE,
+                    )?;
                     entry.insert((Conn::new(sock), token == discovery));
                 }
                 continue;
             }
-            let Some((conn, lists)) = conns.get_mut(token - FIRST) else { continue };
+            let Some((conn, lists)) = conns.get_mut(token - FIRST_CONNECTION) else { continue };
             let open = conn.fill();
             while let Ok(Some(message)) = conn.take(false) {
-                // A watch is never answered: nothing changes.
+                // A watch is never answered, as the list doesn't change.
                 if !*lists {
-                    conn.put(ANSWER);
+                    conn.put(NODE_ANSWER);
                 } else if !message.target.contains("since=1") {
                     conn.put(list);
                 }
             }
             if !open {
-                if let Some((mut conn, _)) = conns.try_remove(token - FIRST) {
+                if let Some((mut conn, _)) = conns.try_remove(token - FIRST_CONNECTION) {
                     let _ = poll.registry().deregister(&mut conn.sock);
                 }
             }
@@ -109,31 +114,31 @@
     Ok(())
 }
 
-/// What a closed loop has seen.
+/// Result of a closed-loop measurement.
 #[derive(Clone, Debug)]
-pub struct Hammered {
-    /// Requests answered with 200 in the time measured.
+pub struct ClosedLoopResult {
+    /// Number of requests answered with status 200 in the measured time.
     pub served: u64,
-    /// Other answers.
+    /// Number of other answers in the measured time.
     pub others: u64,
-    /// How long it was measured.
+    /// Measured time in seconds.
     pub seconds: f64,
-    /// Latency in microseconds.
+    /// Latency of all answers in microseconds.
     pub latency: Histogram<u64>,
 }
 
-/// Sends as fast as answers come, over `callers` connections in turn to `targets`. The first fifth of the time is
-/// not measured; `at_start` is called when measuring begins.
+/// Sends requests as fast as answers arrive, over `callers` connections that are distributed over `targets`. The first
+/// fifth of the time is not measured; `at_start` is called when the measurement begins.
 ///
 /// # Errors
 ///
-/// Fails when a connection cannot be made.
+/// Returns an error if a connection cannot be made or is closed by its target.
 pub fn hammer(
     targets: &[SocketAddr],
     callers: usize,
     time: Duration,
     mut at_start: impl FnMut(),
-) -> io::Result<Hammered> {
+) -> io::Result<ClosedLoopResult> {
     let mut poll = Poll::new()?;
     let mut conns = Vec::new();
     let mut number = 0u64;
@@ -151,8 +156,8 @@
         conns.push((Conn::new(sock), None::<Instant>));
     }
     let (began, warm) = (Instant::now(), time / 5);
-    let latency = Histogram::new(3).expect("three digits are within the crate's bounds");
-    let mut seen = Hammered { served: 0, others: 0, seconds: 0.0, latency };
+    let latency = Histogram::new(3).expect("3 significant digits are valid");
+    let mut result = ClosedLoopResult { served: 0, others: 0, seconds: 0.0, latency };
     let mut since = None;
     let mut events = Events::with_capacity(1024);
     while began.elapsed() < time {
@@ -167,17 +172,14 @@
             if let Ok(Some(message)) = conn.take(true) {
                 if let (Some(_), Some(sent)) = (since, sent.take()) {
                     let us = sent.elapsed().as_micros() as u64;
-                    seen.latency.record(us.max(1)).expect("a histogram that grows takes any value");
-                    seen.served += u64::from(message.status == 200);
-                    seen.others += u64::from(message.status != 200);
+                    result.latency.record(us.max(1)).expect("a resizing histogram accepts any value");
+                    result.served += u64::from(message.status == 200);
+                    result.others += u64::from(message.status != 200);
                 }
                 *sent = None;
             }
             if !open {
-                return Err(io::Error::new(
-                    ErrorKind::ConnectionReset,
-                    "the other side has closed a connection",
-                ));
+                return Err(io::Error::new(ErrorKind::ConnectionReset, "the target closed a connection"));
             }
             if sent.is_none() {
                 *sent = Some(Instant::now());
@@ -185,6 +187,6 @@
             }
         }
     }
-    seen.seconds = since.map_or(0.0, |s| s.elapsed().as_secs_f64());
-    Ok(seen)
+    result.seconds = since.map_or(0.0, |s| s.elapsed().as_secs_f64());
+    Ok(result)
 }
--- a/crates/testing/load-simulator/src/sockets/load.rs
+++ b/crates/testing/load-simulator/src/sockets/load.rs
@@ -1,8 +1,8 @@
-//! Open-loop load on a running sidecar: the experiment's callers, on sockets.
+//! Open-loop load on a running sidecar: the experiment's callers on sockets.
 //!
-//! Calls go out when the experiment says, whether or not earlier ones have been answered, and a call's latency
-//! runs from that moment also where the load itself was late. Guards against coordinated omission: a stalled sidecar
-//! must not keep the calls away that would have shown the stall.
+//! Calls are due at the experiment's arrival times, whether or not earlier ones have been answered. A call's latency
+//! counts from its due time, even if the load generator was late. This avoids coordinated omission: a stalled sidecar
+//! cannot suppress the calls that would have shown the stall.
 
 use super::wire::{wait, Conn, Message};
 use crate::experiment::Experiment;
@@ -18,53 +18,54 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// After the last call it goes on for as long as anyone waits, and this much longer at the most.
+/// Maximum time in seconds for which the run continues after the last deadline, while calls are still open.
 const TAIL_S: f64 = 5.0;
-/// A connection that has been idle for so long is not used again: the sidecar closes it after 10 s.
-const IDLE_S: f64 = 8.0;
+/// Seconds after which an idle connection is not reused; the sidecar closes it after 10 s.
+const MAX_IDLE_S: f64 = 8.0;
 
-enum Happens {
+enum LoadEvent {
     Arrive,
     Try(usize, u32),
-    Impatient(usize, u32),
+    PatienceExpired(usize, u32),
 }
 
-struct Line {
+/// A connection to the sidecar.
+struct SidecarConn {
     conn: Conn,
-    /// The call that waits on it, and the number of its try.
+    /// Key of the call that waits for an answer, and the number of its try.
     call: Option<(usize, u32)>,
     idle_since: Nanos,
 }
 
-/// What the load has seen, for a live line.
+/// Progress of a load, for display.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Live {
     /// Seconds since the start.
     pub at_s: f64,
-    /// Calls so far.
+    /// Number of calls so far.
     pub calls: u64,
-    /// Served so far.
+    /// Number of calls served so far.
     pub served: u64,
-    /// Refused tries so far.
+    /// Number of refused tries so far.
     pub refused: u64,
-    /// Failed tries so far.
+    /// Number of failed tries so far.
     pub failed: u64,
-    /// Calls under way.
+    /// Number of calls in progress.
     pub open: usize,
-    /// How late calls went out at the worst, in seconds.
+    /// Largest delay with which a call was sent, in seconds.
     pub late_s: f64,
 }
 
-/// Load on one sidecar.
+/// An open-loop load generator for one sidecar.
 pub struct Load<'a> {
     e: &'a Experiment,
     sidecar: SocketAddr,
     poll: Poll,
     source: Source,
     calls: Slab<Call>,
-    lines: Slab<Line>,
+    lines: Slab<SidecarConn>,
     idle: Vec<usize>,
-    queue: Queue<Happens>,
+    queue: Queue<LoadEvent>,
     began: Instant,
     tries: u32,
     run: u32,
@@ -74,11 +75,11 @@
 }
 
 impl<'a> Load<'a> {
-    /// Load on the sidecar at this address.
+    /// Creates a load on the sidecar at an address.
     ///
     /// # Errors
     ///
-    /// Says what is wrong with captured arrivals, or that there is no poller.
+    /// Returns a message if the captured arrivals are invalid or no poller can be created.
     pub fn new(e: &'a Experiment, sidecar: SocketAddr, seed: u64) -> Result<Load<'a>, String> {
         let streams = Streams::new(seed);
         Ok(Load {
@@ -93,7 +94,7 @@
             queue: Queue::default(),
             began: Instant::now(),
             tries: 0,
-            // Ids are never used twice, also not by two loads on one sidecar.
+            // Makes call ids unique, even between two load generators on one sidecar.
             run: std::process::id(),
             arriving: true,
             live: Live::default(),
@@ -104,16 +105,16 @@
         self.began.elapsed().as_nanos() as Nanos
     }
 
-    /// Plays the load to its end, or until told to stop. `show` is called now and then.
+    /// Runs the load to its end or until `stop` is set. Calls `show` about every 500 ms.
     ///
     /// # Errors
     ///
-    /// Fails when the poller does.
+    /// Returns an error if polling fails.
     pub fn play(&mut self, stop: &AtomicBool, mut show: impl FnMut(&Live)) -> io::Result<Outcome> {
         let longest = self.e.class.iter().map(|c| c.deadline_s).fold(0.0, f64::max);
         let last = nanos(self.e.length_s + longest + TAIL_S);
         match self.source.next_at(0) {
-            Some(first) => self.queue.put(first, Happens::Arrive),
+            Some(first) => self.queue.put(first, LoadEvent::Arrive),
             None => self.arriving = false,
         }
         let mut events = Events::with_capacity(1024);
@@ -123,14 +124,14 @@
             let due = self.queue.next_time().map(|at| Duration::from_nanos(at.saturating_sub(now)));
             wait(&mut self.poll, &mut events, due)?;
             let tokens: Vec<usize> = events.iter().map(|e| e.token().0).collect();
-            tokens.into_iter().for_each(|key| self.ready(key));
+            tokens.into_iter().for_each(|key| self.connection_ready(key));
             let now = self.now();
             while let Some(at) = self.queue.next_time().filter(|at| *at <= now) {
                 match self.queue.take() {
-                    Some(Happens::Arrive) => self.arrive(at),
-                    Some(Happens::Try(call, number)) => self.try_call(call, number),
-                    Some(Happens::Impatient(call, number)) => {
-                        self.heard(call, number, TryResult::Nothing, Cause::GivenUp);
+                    Some(LoadEvent::Arrive) => self.call_arrived(at),
+                    Some(LoadEvent::Try(call, number)) => self.try_call(call, number),
+                    Some(LoadEvent::PatienceExpired(call, number)) => {
+                        self.try_ended(call, number, TryResult::Nothing, Cause::GivenUp);
                     }
                     None => {}
                 }
@@ -145,19 +146,19 @@
         Ok(self.meter.outcome(self.e, "sockets", 0))
     }
 
-    /// What has been seen so far.
+    /// Returns the progress so far.
     pub fn live(&self) -> Live {
         self.live
     }
 
-    fn arrive(&mut self, at: Nanos) {
-        // The call's clock starts when it was due, not when the load came to it.
+    fn call_arrived(&mut self, at: Nanos) {
+        // The call's latency counts from its due time, not from when the generator got to it.
         self.live.late_s = self.live.late_s.max(seconds(self.now().saturating_sub(at)));
         self.live.calls += 1;
         let call = self.calls.insert(self.source.call(at));
         self.try_call(call, 0);
         match self.source.next_at(at) {
-            Some(next) => self.queue.put(next, Happens::Arrive),
+            Some(next) => self.queue.put(next, LoadEvent::Arrive),
             None => self.arriving = false,
         }
     }
@@ -183,9 +184,9 @@
             seconds(patience),
             call.work
         );
-        self.queue.put(now + patience, Happens::Impatient(key, number));
+        self.queue.put(now + patience, LoadEvent::PatienceExpired(key, number));
         while let Some(line) = self.idle.pop() {
-            let usable = self.lines.get(line).is_some_and(|l| seconds(now - l.idle_since) < IDLE_S);
+            let usable = self.lines.get(line).is_some_and(|l| seconds(now - l.idle_since) < MAX_IDLE_S);
             if !usable {
                 self.close(line);
                 continue;
@@ -194,19 +195,20 @@
             l.call = Some((key, number));
             if !l.conn.put(text.as_bytes()) {
                 self.close(line);
-                self.lost(key, number);
+                self.connection_lost(key, number);
             }
             return;
         }
         let Ok(mut sock) = TcpStream::connect(self.sidecar) else {
-            return self.heard(key, number, TryResult::Unreachable, Cause::NoSidecar);
+            return self.try_ended(key, number, TryResult::Unreachable, Cause::NoSidecar);
         };
         let entry = self.lines.vacant_entry();
         let interest = Interest::READABLE | Interest::WRITABLE;
         if self.poll.registry().register(&mut sock, Token(entry.key()), interest).is_err() {
-            return self.heard(key, number, TryResult::Unreachable, Cause::NoSidecar);
+            return self.try_ended(key, number, TryResult::Unreachable, Cause::NoSidecar);
         }
-        let line = entry.insert(Line { conn: Conn::new(sock), call: Some((key, number)), idle_since: now });
+        let line =
+            entry.insert(SidecarConn { conn: Conn::new(sock), call: Some((key, number)), idle_since: now });
         line.conn.put(text.as_bytes());
     }
 
@@ -216,11 +218,11 @@
         line.call
     }
 
-    fn lost(&mut self, call: usize, number: u32) {
-        self.heard(call, number, TryResult::Failed, Cause::SidecarLost);
+    fn connection_lost(&mut self, call: usize, number: u32) {
+        self.try_ended(call, number, TryResult::Failed, Cause::SidecarLost);
     }
 
-    fn ready(&mut self, key: usize) {
+    fn connection_ready(&mut self, key: usize) {
         let now = self.now();
         let Some(line) = self.lines.get_mut(key) else { return };
         let open = line.conn.flush() && line.conn.fill();
@@ -241,7 +243,7 @@
             _ => {
                 self.idle.retain(|k| *k != key);
                 if let Some((call, number)) = self.close(key) {
-                    self.lost(call, number);
+                    self.connection_lost(call, number);
                 }
             }
         }
@@ -249,43 +251,43 @@
 
     fn answered(&mut self, call: usize, number: u32, message: &Message) {
         match message.status {
-            200 => self.heard(call, number, TryResult::Served, Cause::Late),
+            200 => self.try_ended(call, number, TryResult::Served, Cause::Late),
             429 | 503 => {
                 self.live.refused += 1;
-                self.heard(
+                self.try_ended(
                     call,
                     number,
                     TryResult::Refused(message.retry_after),
                     Cause::RefusedAfterAttempts,
                 );
             }
-            504 => self.heard(call, number, TryResult::Failed, Cause::NodeSilent),
-            _ => self.heard(call, number, TryResult::Failed, Cause::NodeError),
+            504 => self.try_ended(call, number, TryResult::Failed, Cause::NodeSilent),
+            _ => self.try_ended(call, number, TryResult::Failed, Cause::NodeError),
         }
     }
 
-    fn heard(&mut self, key: usize, number: u32, heard: TryResult, cause: Cause) {
+    fn try_ended(&mut self, key: usize, number: u32, result: TryResult, cause: Cause) {
         let now = self.now();
         let Some(call) = self.calls.get(key).copied().filter(|c| c.current_try == number) else { return };
-        if heard == TryResult::Nothing {
-            // A caller that gives up closes its connection.
+        if result == TryResult::Nothing {
+            // A caller that gives up closes the connection of its try.
             let own = self.lines.iter().find(|(_, l)| l.call == Some((key, number))).map(|(at, _)| at);
             if let Some(line) = own {
                 self.close(line);
             }
         }
-        if heard == TryResult::Served {
+        if result == TryResult::Served {
             self.live.served += 1;
             self.meter.call_ended(now, &call, None);
             self.calls.remove(key);
             return;
         }
-        self.live.failed += u64::from(!matches!(heard, TryResult::Refused(_)));
+        self.live.failed += u64::from(!matches!(result, TryResult::Refused(_)));
         let safe = self.e.class[call.class as usize].safe;
-        match retry_wait(&call, &self.e.callers, safe, heard).filter(|w| now + w < call.give_up_at) {
+        match retry_wait(&call, &self.e.callers, safe, result).filter(|w| now + w < call.give_up_at) {
             Some(wait) => {
                 self.calls[key].current_try = 0;
-                self.queue.put(now + wait, Happens::Try(key, 0));
+                self.queue.put(now + wait, LoadEvent::Try(key, 0));
             }
             None => {
                 self.meter.call_ended(now, &call, Some(cause));
--- a/crates/testing/load-simulator/src/sockets/mod.rs
+++ b/crates/testing/load-simulator/src/sockets/mod.rs
@@ -1,4 +1,4 @@
-//! Experiments on real sockets, all on loopback: stand-in nodes and discovery, load, and a bare relay.
+//! Experiments on real sockets, all on loopback: simulated nodes and discovery, load generation, and a bare relay.
 
 pub mod bench;
 pub mod fleet;
@@ -12,7 +12,7 @@
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
-/// The configuration of a sidecar in front of a fleet, in the platform's form.
+/// Returns the configuration of a sidecar in front of a fleet, in the platform's format.
 pub fn sidecar_config(
     e: &Experiment,
     tier: usize,
--- a/crates/testing/load-simulator/src/sockets/program.rs
+++ b/crates/testing/load-simulator/src/sockets/program.rs
@@ -1,4 +1,4 @@
-//! The real program as a process, with a configuration of its own; it ends when dropped.
+//! The real program as a child process with its own configuration.
 
 use serde_json::Value;
 use std::io;
@@ -8,22 +8,21 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-/// It has to be ready within this time.
-const READY: Duration = Duration::from_secs(20);
+/// Time within which a started sidecar has to be ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A sidecar as a process.
+/// A sidecar process. Dropping it kills the process and deletes the configuration.
 pub struct Program {
     child: Child,
     file: PathBuf,
 }
 
 impl Program {
-    /// Starts the program with this configuration and waits until it is ready. Its log goes to a file beside the
-    /// configuration, or nowhere.
+    /// Starts the program with a configuration and waits until it is ready. Its output is discarded.
     ///
     /// # Errors
     ///
-    /// Says that it cannot be started, or was not ready in time.
+    /// Returns an error if the program cannot be started, ends, or is not ready in time.
     pub fn start(program: &Path, config: &Value) -> io::Result<Program> {
         static NUMBER: AtomicUsize = AtomicUsize::new(0);
         let number = NUMBER.fetch_add(1, Ordering::SeqCst);
@@ -53,17 +52,23 @@
         let began = Instant::now();
         while !is_ready(&address) {
             if let Some(status) = started.child.try_wait()? {
-                return Err(io::Error::other(format!("{} ended at once: {status}", program.display())));
+                return Err(io::Error::other(format!(
+                    "{} ended before it was ready: {status}",
+                    program.display()
+                )));
             }
-            if began.elapsed() > READY {
-                return Err(io::Error::new(io::ErrorKind::TimedOut, "the sidecar was not ready in 20 s"));
+            if began.elapsed() > READY_TIMEOUT {
+                return Err(io::Error::new(
+                    io::ErrorKind::TimedOut,
+                    format!("the sidecar at {address} was not ready within {READY_TIMEOUT:?}"),
+                ));
             }
             std::thread::sleep(Duration::from_millis(10));
         }
         Ok(started)
     }
 
-    /// CPU time that it has used so far, in seconds, where the system tells.
+    /// Returns the CPU time that the process has used so far in seconds, if the system reports it.
     pub fn cpu_s(&self) -> Option<f64> {
         cpu_of(&format!("/proc/{}/stat", self.child.id()))
     }
@@ -77,13 +82,13 @@
     }
 }
 
-/// CPU time in a file of the form of `/proc/PID/stat`, in seconds.
+/// Reads the CPU time in seconds from a file in the format of `/proc/PID/stat`. Returns `None` if it cannot be read.
 pub fn cpu_of(path: &str) -> Option<f64> {
     let text = std::fs::read_to_string(path).ok()?;
-    // The name in brackets may hold blanks; what counts comes after it.
+    // The process name in parentheses may contain spaces; the fields after it are needed.
     let fields: Vec<&str> = text.rsplit_once(')')?.1.split_whitespace().collect();
     let ticks: f64 = fields.get(11)?.parse::<f64>().ok()? + fields.get(12)?.parse::<f64>().ok()?;
-    // Linux counts these in hundredths of a second for every program.
+    // Linux reports these in hundredths of a second to all programs.
     Some(ticks / 100.0)
 }
 
--- a/crates/testing/load-simulator/src/sockets/wire.rs
+++ b/crates/testing/load-simulator/src/sockets/wire.rs
@@ -1,23 +1,24 @@
-//! HTTP/1.1 as far as stand-ins and load need it: one message at a time on a connection that is kept.
+//! The subset of HTTP/1.1 that simulated nodes and the load generator need: one message at a time on a persistent
+//! connection.
 
 use mio::net::TcpStream;
 use mio::{Events, Poll};
 use std::io::{self, ErrorKind, Read, Write};
 use std::time::Duration;
 
-/// The longest message that is read.
-const MOST: usize = 1 << 20;
+/// Maximum size of a message that is read.
+const MAX_MESSAGE_BYTES: usize = 1 << 20;
 
-/// The longest wait for events, so that a stop is noticed.
-const LOOK: Duration = Duration::from_millis(50);
+/// Maximum wait for events, so that a stop flag is noticed.
+const MAX_WAIT: Duration = Duration::from_millis(50);
 
-/// Waits for events until something is due, but not for long; a signal ends the wait with no events.
+/// Waits for events for at most `due` and 50 ms. A signal ends the wait without events.
 ///
 /// # Errors
 ///
-/// Fails when the poller does.
+/// Returns an error if polling fails.
 pub fn wait(poll: &mut Poll, events: &mut Events, due: Option<Duration>) -> io::Result<()> {
-    match poll.poll(events, Some(due.map_or(LOOK, |d| d.min(LOOK)))) {
+    match poll.poll(events, Some(due.map_or(MAX_WAIT, |d| d.min(MAX_WAIT)))) {
         Err(e) if e.kind() == ErrorKind::Interrupted => {
             events.clear();
             Ok(())
@@ -26,73 +27,74 @@
     }
 }
 
-/// A connection with what has come in and what is to go out.
+/// A connection with its input and output buffers.
 pub struct Conn {
-    /// The socket.
+    /// The non-blocking socket.
     pub sock: TcpStream,
     input: Vec<u8>,
     output: Vec<u8>,
     written: usize,
 }
 
-/// A message's first line and headers, as far as they matter here, and its length.
+/// A request or response, with the headers that are used here.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
-    /// Method of a request.
+    /// Method of a request; empty for a response.
     pub method: String,
-    /// Target of a request.
+    /// Target of a request; empty for a response.
     pub target: String,
-    /// Status of an answer.
+    /// Status of a response; 0 for a request.
     pub status: u16,
-    /// `X-Call-Class`.
+    /// Value of `X-Call-Class`; empty if absent.
     pub class: String,
-    /// `work` of `X-Call-Info`, in seconds.
+    /// Field `work` of `X-Call-Info`, in seconds.
     pub work: Option<f64>,
-    /// `Retry-After`, in seconds.
+    /// Value of `Retry-After`, in seconds.
     pub retry_after: Option<f64>,
-    /// The other side closes after it.
+    /// Whether the peer closes the connection after this message.
     pub close: bool,
-    /// The body.
+    /// Body of the length that `Content-Length` gives.
     pub body: Vec<u8>,
 }
 
-/// What came in is no HTTP, or is not framed by a length.
+/// The input is not HTTP/1.1, is not framed by `Content-Length`, or is too long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Unreadable;
 
 impl Conn {
-    /// A connection that has nothing to read or write yet.
+    /// Creates a connection with empty buffers and disables Nagle's algorithm.
     pub fn new(sock: TcpStream) -> Conn {
         let _ = sock.set_nodelay(true);
         Conn { sock, input: Vec::new(), output: Vec::new(), written: 0 }
     }
 
-    /// Reads what is there; false once the other side has closed.
+    /// Reads all available bytes. Returns `false` if the peer has closed, the connection is broken, or the buffered
+    /// input is too long.
     pub fn fill(&mut self) -> bool {
         let mut chunk = [0; 16 * 1024];
         loop {
             match self.sock.read(&mut chunk) {
                 Ok(0) => return false,
                 Ok(n) => self.input.extend_from_slice(&chunk[..n]),
-                Err(e) if e.kind() == ErrorKind::WouldBlock => return self.input.len() <= MOST,
+                Err(e) if e.kind() == ErrorKind::WouldBlock => return self.input.len() <= MAX_MESSAGE_BYTES,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(_) => return false,
             }
         }
     }
 
-    /// Puts bytes in to be written and writes what goes; false when the connection is broken.
+    /// Queues bytes and writes what the socket accepts. Returns `false` if the connection is broken.
     pub fn put(&mut self, bytes: &[u8]) -> bool {
         self.output.extend_from_slice(bytes);
         self.flush()
     }
 
-    /// Writes what goes; false when the connection is broken.
+    /// Writes as many queued bytes as the socket accepts. Returns `false` if the connection is broken.
     pub fn flush(&mut self) -> bool {
         while self.written < self.output.len() {
             match self.sock.write(&self.output[self.written..]) {
                 Ok(n) => self.written += n,
-                // A connection that is not up yet takes nothing.
+                // A connection that is not established yet accepts nothing.
                 Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::NotConnected) => return true,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(_) => return false,
@@ -103,11 +105,12 @@
         true
     }
 
-    /// The next whole message; `None`: more bytes are needed.
+    /// Removes the next complete message from the input, a response if `answer` is set, else a request. Returns
+    /// `None` if more bytes are needed.
     ///
     /// # Errors
     ///
-    /// The bytes are no HTTP, or are not framed by a length.
+    /// Returns [`Unreadable`] if the input cannot be parsed or the body is too long.
     pub fn take(&mut self, answer: bool) -> Result<Option<Message>, Unreadable> {
         let mut slots = [httparse::EMPTY_HEADER; 48];
         let mut message = Message::default();
@@ -146,8 +149,8 @@
                 message.close = text().eq_ignore_ascii_case("close");
             }
         }
-        if body > MOST || self.input.len() < len + body {
-            return if body > MOST { Err(Unreadable) } else { Ok(None) };
+        if body > MAX_MESSAGE_BYTES || self.input.len() < len + body {
+            return if body > MAX_MESSAGE_BYTES { Err(Unreadable) } else { Ok(None) };
         }
         message.body = self.input[len..len + body].to_vec();
         self.input.drain(..len + body);
--- a/crates/testing/load-simulator/src/tables.rs
+++ b/crates/testing/load-simulator/src/tables.rs
@@ -1,4 +1,4 @@
-//! What people read: tables of outcomes, comparisons and explanations.
+//! Text tables of outcomes, comparisons and explanations.
 
 use crate::meter::{Outcome, Worth};
 use crate::results::Row;
@@ -31,7 +31,7 @@
     }
 }
 
-/// One run, in full.
+/// Formats the outcome of one run.
 pub fn outcome(o: &Outcome) -> String {
     let mut out = format!("{}  policy {}  seed {}\n\n", o.experiment, o.policy, o.seed);
     let l = &o.latency_ms;
@@ -51,7 +51,7 @@
         ms(l.p999),
         ms(l.max)
     );
-    // On sockets nobody stands beside the nodes: what was not watched is not told.
+    // Runs on sockets have no observer, so their request counts and rules are not shown.
     let emulated = o.events > 0;
     if emulated {
         let r = &o.requests;
@@ -102,7 +102,7 @@
     lost
 }
 
-/// Why a run lost its worth: by cause, class, tenant and time.
+/// Formats an explanation of where a run lost worth: by cause, class, tenant, time and node.
 pub fn explain(o: &Outcome) -> String {
     let mut out = format!("{}  policy {}  seed {}\n", o.experiment, o.policy, o.seed);
     let asked: f64 = o.classes.values().map(|c| c.0.asked).sum();
@@ -186,26 +186,27 @@
     out
 }
 
-/// How a policy did against the one that others are compared with, in one experiment.
+/// Result of a policy compared with the baseline policy in one experiment.
 #[derive(Clone, Debug, Serialize)]
 pub struct Compared {
-    /// The experiment.
+    /// Name of the experiment.
     pub experiment: String,
-    /// The policy.
+    /// Name of the policy.
     pub policy: String,
-    /// Its goal over the seeds.
+    /// Goal of the policy, averaged over the seeds.
     pub goal: Mean,
-    /// 99th percentile of latency in ms, mean over the seeds.
+    /// 99th percentile of latency in ms, averaged over the seeds.
     pub p99_ms: f64,
-    /// Runs in which a rule was broken.
+    /// Number of runs in which a rule was violated.
     pub broken_runs: usize,
-    /// The baseline's goal less its own, paired by seed.
+    /// The baseline's goal minus the policy's, paired by seed.
     pub difference: Mean,
-    /// What that says of the baseline.
+    /// Whether the baseline is better or worse than the policy.
     pub verdict: Verdict,
 }
 
-/// Compares all policies with a baseline, experiment by experiment, paired by seed.
+/// Compares all policies with a baseline for each experiment, paired by seed. Experiments without runs of the baseline
+/// are left out.
 pub fn compared(rows: &[Row], baseline: &str) -> Vec<Compared> {
     let mut by: BTreeMap<(&str, &str), BTreeMap<u64, &Outcome>> = BTreeMap::new();
     let mut order: Vec<&str> = Vec::new();
@@ -238,7 +239,7 @@
     all
 }
 
-/// The comparison as tables: the goals, and what they say of the baseline.
+/// Formats a comparison as two tables: the goals, and the verdicts on the baseline.
 pub fn comparison(all: &[Compared], baseline: &str) -> String {
     let mut policies: Vec<&str> = Vec::new();
     for c in all {
@@ -294,7 +295,7 @@
     out
 }
 
-/// A sweep as a table: a row for each setting and policy.
+/// Formats a sweep as a table with a row for each setting and policy.
 pub fn sweep(rows: &[Row]) -> String {
     let mut groups: Vec<(String, &str, Vec<&Outcome>)> = Vec::new();
     for row in rows {
@@ -324,7 +325,7 @@
     format!("{out}\n")
 }
 
-/// Points of theory beside what was emulated.
+/// Formats theoretical and simulated values side by side.
 pub fn theory(points: &[crate::theory::Point]) -> String {
     let mut out = table(&[
         "system",
@@ -353,7 +354,7 @@
     format!("{out}\n")
 }
 
-/// The emulated run beside the one on sockets.
+/// Formats the simulated run and the one on sockets side by side.
 pub fn calibration(both: &crate::sockets::bench::Calibration) -> String {
     let (a, b) = (&both.emulated, &both.sockets);
     let mut out = table(&["", "emulated", "sockets", "difference"]);
@@ -375,7 +376,7 @@
     format!("{}, one tier, seed {}\n\n{out}\n", a.experiment, a.seed)
 }
 
-/// Rounds of the sidecar, the bare relay and nothing between.
+/// Formats the rounds of a throughput measurement with the sidecar, a bare relay, and no relay.
 pub fn floor(all: &[crate::sockets::bench::Round], nodes: usize, callers: usize) -> String {
     use crate::sockets::bench::Between;
     let mut out = table(&["between", "requests/s", "others", "CPU us each", "p50 us", "p99 us"]);
@@ -394,7 +395,7 @@
         of.iter().sum::<f64>() / of.len().max(1) as f64
     };
     let share = |a: Between, b: Between| mean(a) / mean(b).max(1e-9);
-    let told = match all.iter().any(|r| r.between == Between::Member) {
+    let summary = match all.iter().any(|r| r.between == Between::Member) {
         true => {
             let share = share(Between::Member, Between::Sidecar);
             format!("with the fleet the sidecar carries {share:.3} of what it carries without")
@@ -403,5 +404,5 @@
             format!("the sidecar carries {:.2} of the bare relay", share(Between::Sidecar, Between::Floor))
         }
     };
-    format!("{nodes} nodes, {callers} callers\n\n{out}\n\n{told}\n")
+    format!("{nodes} nodes, {callers} callers\n\n{out}\n\n{summary}\n")
 }
--- a/crates/testing/load-simulator/tests/cli.rs
+++ b/crates/testing/load-simulator/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The laboratory's program as a process: what it prints, its exit codes, and files that it keeps.
+//! Tests of the simulator's program as a process: its output, exit codes and result files.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -33,9 +33,9 @@
     assert_ne!(first.stdout, other.stdout);
 }
 
-/// Guards against runs that hang or say nothing because the experiment cannot be satisfied.
+/// Guards against runs that hang or give no results because the experiment is invalid.
 #[test]
-fn faulty_experiments_are_named_with_their_place() {
+fn invalid_experiments_are_reported_with_their_position() {
     let cases = [
         ("rate = 20", "rat = 20", ":3:1: unknown field `rat`", "did you mean `rate`?"),
         ("rate = 20", "rate = 0", ":3:1: load.rate", "above 0"),
