--- a/crates/lease/consensus/src/membership.rs
+++ b/crates/lease/consensus/src/membership.rs
@@ -1,5 +1,5 @@
-//! The membership: who votes, as the voters themselves agreed on. One change at a time; a number is never given
-//! twice, so that a voter which forgot what it promised comes back as somebody else.
+//! The replicated list of voters. It changes by one voter at a time, and a voter number is never reused: a
+//! voter that lost its disk, and with it the votes it has cast, can only return under a new number.
 
 use crate::VoterId;
 use serde::{Deserialize, Serialize};
@@ -7,124 +7,129 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// Most voters.
-pub const MOST_VOTERS: usize = 7;
+/// Maximum number of voters.
+pub const MAX_VOTERS: usize = 7;
 
-/// What is known of a voter that was added. Those of the fleet's beginning stand in its file.
+/// Details of a voter that was added to a running fleet. Founding voters have none; their addresses are in
+/// the configuration file.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Place {
-    /// Where it listens, for all who don't find it in their own file.
+pub struct VoterInfo {
+    /// Address on which the voter listens, for processes whose configuration file does not list it.
     pub address: String,
-    /// Its disk's identity: under this number no other is ever heard.
-    pub disk: u64,
+    /// Identity of the voter's disk. No other disk is accepted under this voter number.
+    pub disk_id: u64,
 }
 
 /// A change of the membership.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Change {
-    /// A voter more.
+pub enum MembershipChange {
+    /// Adds a voter.
     Add {
-        /// Its number, higher than all before it.
+        /// Number of the new voter; must be higher than all numbers used before.
         voter: VoterId,
-        /// Where it listens, and its disk.
-        place: Place,
+        /// Address and disk of the new voter.
+        info: VoterInfo,
     },
-    /// A voter less.
+    /// Removes a voter.
     Remove {
-        /// Its number.
+        /// Number of the voter to remove.
         voter: VoterId,
     },
 }
 
-/// Why a change of the membership was refused.
+/// Why a membership change was refused.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum NoChange {
-    /// The number was given to another voter before.
-    Used {
-        /// The lowest that is free.
-        free: VoterId,
+pub enum MembershipError {
+    /// The number has already been used for another voter.
+    IdUsed {
+        /// The lowest number that is still available.
+        next_free: VoterId,
     },
-    /// There are as many voters as there can be.
-    Full,
-    /// Nobody has this number.
-    Unknown,
-    /// The last voter stays.
-    Last,
-    /// Not an address with a port.
-    BadAddress,
+    /// The fleet already has [`MAX_VOTERS`] voters.
+    TooManyVoters,
+    /// No voter has this number.
+    UnknownVoter,
+    /// The last voter cannot be removed.
+    LastVoter,
+    /// The address is not of the form `address:port`.
+    InvalidAddress,
 }
 
-impl fmt::Display for NoChange {
+impl fmt::Display for MembershipError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            NoChange::Used { free } => {
-                write!(f, "the number was given to another voter before; take {free} or higher")
+            MembershipError::IdUsed { next_free } => {
+                write!(f, "the number was given to another voter before; take {next_free} or higher")
             }
-            NoChange::Full => write!(f, "there are {MOST_VOTERS} voters already; remove one first"),
-            NoChange::Unknown => write!(f, "no voter has this number"),
-            NoChange::Last => write!(f, "it is the last voter"),
-            NoChange::BadAddress => write!(f, "the address should be address:port"),
+            MembershipError::TooManyVoters => {
+                write!(f, "there are {MAX_VOTERS} voters already; remove one first")
+            }
+            MembershipError::UnknownVoter => write!(f, "no voter has this number"),
+            MembershipError::LastVoter => write!(f, "it is the last voter"),
+            MembershipError::InvalidAddress => write!(f, "the address should be address:port"),
         }
     }
 }
 
-/// Who votes.
+/// The set of voters.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Membership {
-    voters: BTreeMap<VoterId, Option<Place>>,
+    voters: BTreeMap<VoterId, Option<VoterInfo>>,
     highest: VoterId,
 }
 
 impl Membership {
-    /// The membership that a fleet begins with. An empty one is that of a voter which waits to be added.
-    pub fn founded(voters: &[VoterId]) -> Membership {
+    /// Creates the membership of a new fleet. A voter that waits to be added starts with an empty one.
+    pub fn initial(voters: &[VoterId]) -> Membership {
         let highest = voters.iter().copied().max().unwrap_or(0);
         Membership { voters: voters.iter().map(|v| (*v, None)).collect(), highest }
     }
 
-    /// The voters' numbers.
-    pub fn voters(&self) -> Vec<VoterId> {
+    /// Returns the numbers of all voters.
+    pub fn voter_ids(&self) -> Vec<VoterId> {
         self.voters.keys().copied().collect()
     }
 
-    /// The voters, with the place of each that was added.
-    pub fn places(&self) -> &BTreeMap<VoterId, Option<Place>> {
+    /// Returns the voters, with details for each one that was added to the running fleet.
+    pub fn members(&self) -> &BTreeMap<VoterId, Option<VoterInfo>> {
         &self.voters
     }
 
-    /// Whether this is a voter.
-    pub fn has(&self, voter: VoterId) -> bool {
+    /// Whether the number belongs to a current voter.
+    pub fn contains(&self, voter: VoterId) -> bool {
         self.voters.contains_key(&voter)
     }
 
-    /// Whether this was a voter and is none any more.
-    pub fn removed(&self, voter: VoterId) -> bool {
-        voter <= self.highest && !self.has(voter)
+    /// Whether the number belonged to a voter that has since been removed.
+    pub fn was_removed(&self, voter: VoterId) -> bool {
+        voter <= self.highest && !self.contains(voter)
     }
 
-    /// Takes in a change. `false` where everything is as the change wants it: it was asked for twice.
+    /// Applies a change. Returns `false` if the membership already reflects it, as after a repeated request.
     ///
     /// # Errors
     ///
-    /// Says why not; nothing has changed then.
-    pub fn take(&mut self, change: &Change) -> Result<bool, NoChange> {
+    /// Returns the reason for a refusal. The membership is unchanged in that case.
+    pub fn apply(&mut self, change: &MembershipChange) -> Result<bool, MembershipError> {
         match change {
-            Change::Add { voter, place } => match self.voters.get(voter) {
-                Some(Some(known)) if known == place => Ok(false),
-                // Guards against a voter that lost its disk and comes back under the number that it voted with.
-                _ if *voter <= self.highest => Err(NoChange::Used { free: self.highest + 1 }),
-                _ if self.voters.len() >= MOST_VOTERS => Err(NoChange::Full),
-                _ if place.address.parse::<SocketAddr>().is_err() => Err(NoChange::BadAddress),
+            MembershipChange::Add { voter, info } => match self.voters.get(voter) {
+                Some(Some(known)) if known == info => Ok(false),
+                // A voter that lost its disk must not return under the number it voted with.
+                _ if *voter <= self.highest => Err(MembershipError::IdUsed { next_free: self.highest + 1 }),
+                _ if self.voters.len() >= MAX_VOTERS => Err(MembershipError::TooManyVoters),
+                _ if info.address.parse::<SocketAddr>().is_err() => Err(MembershipError::InvalidAddress),
                 _ => {
-                    self.voters.insert(*voter, Some(place.clone()));
+                    self.voters.insert(*voter, Some(info.clone()));
                     self.highest = *voter;
                     Ok(true)
                 }
             },
-            Change::Remove { voter } if self.removed(*voter) => Ok(false),
-            Change::Remove { voter } if !self.has(*voter) => Err(NoChange::Unknown),
-            Change::Remove { .. } if self.voters.len() == 1 => Err(NoChange::Last),
-            Change::Remove { voter } => {
+            MembershipChange::Remove { voter } if self.was_removed(*voter) => Ok(false),
+            MembershipChange::Remove { voter } if !self.contains(*voter) => {
+                Err(MembershipError::UnknownVoter)
+            }
+            MembershipChange::Remove { .. } if self.voters.len() == 1 => Err(MembershipError::LastVoter),
+            MembershipChange::Remove { voter } => {
                 self.voters.remove(voter);
                 Ok(true)
             }
--- a/crates/lease/runtime/src/durable_voter.rs
+++ b/crates/lease/runtime/src/durable_voter.rs
@@ -1,44 +1,44 @@
-//! A voter with its disk: what it writes is lasting before what it says leaves, and a disk that fails takes
-//! the voter out at once, until the disk takes writes again.
+//! A voter with its journal. Its records are durable before its frames are sent. A disk error stops the voter
+//! at once, until the disk accepts writes again.
 
-use passrelay_lease_consensus::mutant::{is, Mutant};
-use passrelay_lease_consensus::voter::{LinkId, To, Voter, VoterIdentity};
-use passrelay_lease_consensus::wire::{Frame, Status};
+use passrelay_lease_consensus::mutant::{is_active, Mutant};
+use passrelay_lease_consensus::voter::{LinkId, Recipient, Voter, VoterConfig};
+use passrelay_lease_consensus::wire::{Frame, VoterStatus};
 use passrelay_lease_consensus::VoterId;
 use passrelay_lease_journal::{Disk, Journal, JournalError};
 use std::io;
 use std::time::Duration;
 
-/// The journal's name in a voter's folder.
-const NAME: &str = "voter";
-/// A disk that failed is tried again after so long.
-const AGAIN: Duration = Duration::from_millis(500);
-/// A journal is rewritten once it is this much longer than after its last rewrite.
-const GROWN: u64 = 1 << 20;
+/// Name of the journal in the voter's directory.
+const JOURNAL_NAME: &str = "voter";
+/// Delay before a failed disk is opened again.
+const RETRY_INTERVAL: Duration = Duration::from_millis(500);
+/// The journal is rewritten once it has grown by more than this since the last rewrite, in bytes.
+const REWRITE_GROWTH_BYTES: u64 = 1 << 20;
 
-/// A voter that runs.
+/// A running voter with its open journal.
 struct Running<D> {
     voter: Voter,
     journal: Journal<D>,
-    rewritten: u64,
+    rewritten_length: u64,
 }
 
-/// A voter with its disk.
+/// A voter that stops when its disk fails and restarts from its journal.
 pub struct DurableVoter<D> {
-    identity: VoterIdentity,
-    /// Opens the disk, at the start and after it failed.
+    config: VoterConfig,
+    /// Opens the disk, at the start and after a failure.
     disk: Box<dyn FnMut() -> io::Result<D>>,
     running: Option<Running<D>>,
-    /// Why it isn't running, and when it is tried again.
-    left: Option<(String, Duration)>,
+    /// Why the voter is not running, and when to try to restart it.
+    failure: Option<(String, Duration)>,
 }
 
-/// What a turn brought about.
+/// The output of a turn or tick.
 #[derive(Debug, Default)]
 pub struct Outcome {
-    /// To be sent.
-    pub frames: Vec<(To, Frame)>,
-    /// The voter left or came back: all links are to be closed, and called anew.
+    /// Frames to send.
+    pub frames: Vec<(Recipient, Frame)>,
+    /// Whether the voter stopped or restarted, so that all connections have to be closed and opened anew.
     pub reset: bool,
 }
 
@@ -47,97 +47,98 @@
     ///
     /// # Errors
     ///
-    /// Says what is wrong with the disk or with what is on it.
+    /// Returns what is wrong with the disk or its content.
     pub fn open(
-        identity: VoterIdentity,
+        config: VoterConfig,
         mut disk: Box<dyn FnMut() -> io::Result<D>>,
         now: Duration,
     ) -> Result<DurableVoter<D>, String> {
-        let running = Some(start(&identity, &mut disk, now)?);
-        Ok(DurableVoter { identity, disk, running, left: None })
+        let running = Some(start(&config, &mut disk, now)?);
+        Ok(DurableVoter { config, disk, running, failure: None })
     }
 
-    /// The voter, while it runs.
+    /// Returns the voter while it is running.
     pub fn voter(&self) -> Option<&Voter> {
         self.running.as_ref().map(|s| &s.voter)
     }
 
-    /// Why the voter doesn't run.
-    pub fn left(&self) -> Option<&str> {
-        self.left.as_ref().map(|(reason, _)| reason.as_str())
+    /// Returns why the voter is not running.
+    pub fn failure(&self) -> Option<&str> {
+        self.failure.as_ref().map(|(reason, _)| reason.as_str())
     }
 
-    /// How the voter is.
-    pub fn status(&self) -> Status {
+    /// Returns the status of the voter, also while it is stopped.
+    pub fn status(&self) -> VoterStatus {
         match &self.running {
             Some(running) => running.voter.status(),
-            None => Status {
-                voter: self.identity.voter,
-                state: format!("no disk: {}", self.left().unwrap_or("")),
-                ..Status::default()
+            None => VoterStatus {
+                voter: self.config.voter,
+                state: format!("no disk: {}", self.failure().unwrap_or("")),
+                ..VoterStatus::default()
             },
         }
     }
 
-    /// A link that this voter called is up.
-    pub fn linked(&mut self, voter: VoterId) {
+    /// Handles a new connection that this voter opened.
+    pub fn outbound_up(&mut self, voter: VoterId) {
         if let Some(running) = &mut self.running {
-            running.voter.linked(voter);
+            running.voter.outbound_up(voter);
         }
     }
 
-    /// A link that this voter called is down.
-    pub fn unlinked(&mut self, voter: VoterId) {
+    /// Handles the loss of a connection that this voter opened.
+    pub fn outbound_down(&mut self, voter: VoterId) {
         if let Some(running) = &mut self.running {
-            running.voter.unlinked(voter);
+            running.voter.outbound_down(voter);
         }
     }
 
-    /// A voter that this one called answers.
-    pub fn called_back(&mut self, voter: VoterId, frame: Frame) {
+    /// Handles a frame from a voter on the connection that this voter opened.
+    pub fn receive_from_voter(&mut self, voter: VoterId, frame: Frame) {
         if let Some(running) = &mut self.running {
-            running.voter.called_back(voter, frame);
+            running.voter.receive_from_voter(voter, frame);
         }
     }
 
-    /// A link that somebody else called is down.
-    pub fn gone(&mut self, link: LinkId) {
+    /// Handles the loss of a connection that the peer opened.
+    pub fn inbound_closed(&mut self, link: LinkId) {
         if let Some(running) = &mut self.running {
-            running.voter.gone(link);
+            running.voter.inbound_closed(link);
         }
     }
 
-    /// A frame came on a link that somebody called. `false` where the link is to be closed.
+    /// Handles a frame on a connection that the peer opened. Returns `false` if the connection has to be
+    /// closed.
     pub fn receive(&mut self, link: LinkId, frame: Frame, now: Duration) -> bool {
         self.running.as_mut().is_some_and(|s| s.voter.receive(link, frame, now))
     }
 
-    /// Lets time pass; a voter whose disk failed tries to come back.
+    /// Advances the clock, or tries to restart a stopped voter.
     pub fn tick(&mut self, now: Duration) -> Outcome {
         if let Some(running) = &mut self.running {
             running.voter.tick(now);
-        } else if self.left.as_ref().is_none_or(|(_, again)| now >= *again) {
-            match start(&self.identity, &mut self.disk, now) {
+        } else if self.failure.as_ref().is_none_or(|(_, again)| now >= *again) {
+            match start(&self.config, &mut self.disk, now) {
                 Ok(running) => {
-                    (self.running, self.left) = (Some(running), None);
+                    (self.running, self.failure) = (Some(running), None);
                     return Outcome { reset: true, ..Outcome::default() };
                 }
-                Err(reason) => self.left = Some((reason, now + AGAIN)),
+                Err(reason) => self.failure = Some((reason, now + RETRY_INTERVAL)),
             }
         }
         Outcome::default()
     }
 
-    /// Ends a turn: writes what has to be lasting, then gives what may be sent.
-    pub fn turn(&mut self, now: Duration) -> Outcome {
+    /// Ends a turn: makes its record durable, then returns the frames to send.
+    pub fn finish_turn(&mut self, now: Duration) -> Outcome {
         let Some(running) = &mut self.running else { return Outcome::default() };
-        let turn = running.voter.turn();
-        match running.keep(turn.record) {
+        let turn = running.voter.finish_turn();
+        match running.persist(turn.record) {
             Ok(()) => Outcome { frames: turn.frames, reset: false },
             Err(e) => {
-                // Nothing of this turn leaves: it was never promised.
+                // No frame of this turn is sent, so nobody relies on the failed write.
                 self.running = None;
-                self.left = Some((e.to_string(), now + AGAIN));
+                self.failure = Some((e.to_string(), now + RETRY_INTERVAL));
                 Outcome { reset: true, ..Outcome::default() }
             }
         }
@@ -145,26 +146,26 @@
 }
 
 impl<D: Disk> Running<D> {
-    fn keep(&mut self, record: Option<Vec<u8>>) -> Result<(), JournalError> {
-        if let Some(record) = record.filter(|_| !is(Mutant::SentUnsynced)) {
+    fn persist(&mut self, record: Option<Vec<u8>>) -> Result<(), JournalError> {
+        if let Some(record) = record.filter(|_| !is_active(Mutant::SentUnsynced)) {
             self.journal.append(&[record])?;
         }
-        if self.journal.length() > self.rewritten + GROWN {
-            self.journal.rewrite(&[self.voter.whole()])?;
-            self.rewritten = self.journal.length();
+        if self.journal.length() > self.rewritten_length + REWRITE_GROWTH_BYTES {
+            self.journal.rewrite(&[self.voter.to_record()])?;
+            self.rewritten_length = self.journal.length();
         }
         Ok(())
     }
 }
 
 fn start<D: Disk>(
-    identity: &VoterIdentity,
+    config: &VoterConfig,
     disk: &mut Box<dyn FnMut() -> io::Result<D>>,
     now: Duration,
 ) -> Result<Running<D>, String> {
     let disk = disk().map_err(|e| e.to_string())?;
-    let (journal, records) = Journal::open(disk, NAME).map_err(|e| e.to_string())?;
-    let voter = Voter::open(identity.clone(), &records, now)?;
-    let rewritten = journal.length();
-    Ok(Running { voter, journal, rewritten })
+    let (journal, records) = Journal::open(disk, JOURNAL_NAME).map_err(|e| e.to_string())?;
+    let voter = Voter::open(config.clone(), &records, now)?;
+    let rewritten_length = journal.length();
+    Ok(Running { voter, journal, rewritten_length })
 }
--- a/crates/lease/runtime/src/plan.rs
+++ b/crates/lease/runtime/src/fleet_config.rs
@@ -1,6 +1,7 @@
-//! The fleet's file: who votes, and where. One file serves all processes of a fleet.
+//! The fleet's configuration file, which lists the voters and their addresses. All processes of a fleet can
+//! share one file.
 
-use passrelay_lease_consensus::lease_table::MOST_NAME;
+use passrelay_lease_consensus::lease_table::MAX_NAME_BYTES;
 use passrelay_lease_consensus::VoterId;
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -10,18 +11,18 @@
 use std::time::Duration;
 use toml::Spanned;
 
-/// What is wrong with a fleet's file, and where.
+/// An error in the fleet's configuration file.
 #[derive(Debug, PartialEq, Eq)]
-pub struct PlanError {
-    /// The file.
+pub struct FleetConfigError {
+    /// Path of the configuration file.
     pub file: PathBuf,
-    /// The line, where one can be told.
+    /// Line of the error, if it is known.
     pub line: Option<usize>,
-    /// What is wrong, with the key.
+    /// Description of the error, with the key it concerns.
     pub problem: String,
 }
 
-impl fmt::Display for PlanError {
+impl fmt::Display for FleetConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.file.display())?;
         if let Some(line) = self.line {
@@ -31,56 +32,56 @@
     }
 }
 
-impl std::error::Error for PlanError {}
+impl std::error::Error for FleetConfigError {}
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Written {
+struct FleetFile {
     fleet: Spanned<String>,
     data: Option<PathBuf>,
     lock_delay_ms: Option<Spanned<u64>>,
     #[serde(rename = "voter")]
-    voters: Spanned<Vec<WrittenVoter>>,
+    voters: Spanned<Vec<VoterEntry>>,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct WrittenVoter {
+struct VoterEntry {
     id: Spanned<u64>,
     address: Spanned<String>,
 }
 
-/// A fleet as its file says.
+/// The validated configuration of a fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Plan {
-    /// The fleet's name, which every frame carries.
+pub struct FleetConfig {
+    /// Name of the fleet, from which the fleet identifier in every frame is derived.
     pub fleet: String,
-    /// Where each voter listens.
+    /// Address of each voter.
     pub voters: BTreeMap<VoterId, SocketAddr>,
-    /// A voter keeps its journal in a folder below this one.
+    /// Directory below which each voter keeps its journal, in one of its own.
     pub data: PathBuf,
-    /// A lease whose holder vanished is given to nobody for so long.
+    /// How long a lease whose holder expired stays locked.
     pub lock_delay: Duration,
 }
 
-impl Plan {
-    /// Reads a fleet's file.
+impl FleetConfig {
+    /// Reads and validates the configuration file.
     ///
     /// # Errors
     ///
-    /// Names the line and the key that is wrong.
-    pub fn read(file: &Path) -> Result<Plan, PlanError> {
-        let wrong = |line, problem| PlanError { file: file.to_owned(), line, problem };
-        let text = std::fs::read_to_string(file).map_err(|e| wrong(None, e.to_string()))?;
-        Plan::parse(&text, file.parent()).map_err(|(line, problem)| wrong(line, problem))
+    /// Returns the line and the key of the error.
+    pub fn read(file: &Path) -> Result<FleetConfig, FleetConfigError> {
+        let error = |line, problem| FleetConfigError { file: file.to_owned(), line, problem };
+        let text = std::fs::read_to_string(file).map_err(|e| error(None, e.to_string()))?;
+        FleetConfig::parse(&text, file.parent()).map_err(|(line, problem)| error(line, problem))
     }
 
-    fn parse(text: &str, beside: Option<&Path>) -> Result<Plan, (Option<usize>, String)> {
+    fn parse(text: &str, folder: Option<&Path>) -> Result<FleetConfig, (Option<usize>, String)> {
         let line = |at: usize| Some(text[..at].matches('\n').count() + 1);
-        let written: Written = toml::from_str(text)
+        let written: FleetFile = toml::from_str(text)
             .map_err(|e| (e.span().and_then(|s| line(s.start)), e.message().to_owned()))?;
         let fleet = written.fleet.get_ref().clone();
-        if fleet.is_empty() || fleet.len() > MOST_NAME {
+        if fleet.is_empty() || fleet.len() > MAX_NAME_BYTES {
             let at = line(written.fleet.span().start);
             return Err((at, "fleet: should be a name of 1 to 128 bytes".to_owned()));
         }
@@ -97,10 +98,10 @@
             })?;
             if voters.values().any(|known| *known == parsed) {
                 let at = line(voter.address.span().start);
-                return Err((at, format!("voter.address: {address} stands there twice")));
+                return Err((at, format!("voter.address: {address} is listed twice")));
             }
             if voters.insert(id, parsed).is_some() {
-                return Err((at, format!("voter.id: {id} stands there twice")));
+                return Err((at, format!("voter.id: {id} is listed twice")));
             }
         }
         if ![1, 3, 5, 7].contains(&voters.len()) {
@@ -115,8 +116,8 @@
             }
         };
         let data = written.data.unwrap_or_else(|| PathBuf::from("fleet-data"));
-        let data = beside.map_or_else(|| data.clone(), |b| b.join(&data));
-        Ok(Plan { fleet, voters, data, lock_delay: Duration::from_millis(lock_delay_ms) })
+        let data = folder.map_or_else(|| data.clone(), |b| b.join(&data));
+        Ok(FleetConfig { fleet, voters, data, lock_delay: Duration::from_millis(lock_delay_ms) })
     }
 }
 
--- a/crates/testing/load-simulator/src/fault_injection/timed.rs
+++ b/crates/testing/load-simulator/src/fault_injection/timed.rs
@@ -9,12 +9,12 @@
 use super::clock::Clock;
 use super::history::{check, AcknowledgedEffect, Act, Belief, History, Violation};
 use crate::random::{Stream, Streams};
-use passrelay_lease_consensus::client::{Client, News};
+use passrelay_lease_consensus::client::{Client, ClientEvent};
 use passrelay_lease_consensus::lease_table::{Op, Reply};
-use passrelay_lease_consensus::membership::{Change, Place};
-use passrelay_lease_consensus::mutant::{is, turn_on, Mutant};
-use passrelay_lease_consensus::voter::{To, VoterIdentity};
-use passrelay_lease_consensus::wire::{decode, encode, Answer, Frame, Say};
+use passrelay_lease_consensus::membership::{MembershipChange, VoterInfo};
+use passrelay_lease_consensus::mutant::{is_active, set_active, Mutant};
+use passrelay_lease_consensus::voter::{Recipient, VoterConfig};
+use passrelay_lease_consensus::wire::{decode, encode, ClientRequest, ClientResponse, Frame};
 use passrelay_lease_consensus::VoterId;
 use passrelay_lease_journal::{Fault, MemoryDisk};
 use passrelay_lease_runtime::durable_voter::DurableVoter;
@@ -228,7 +228,7 @@
 
 /// Runs one simulation and checks its history.
 pub fn play(plan: Plan) -> Outcome {
-    turn_on(plan.mutant);
+    set_active(plan.mutant);
     let mut world = World::new(plan);
     // A panic, as of a voter that finds invalid state, is reported like any other violation.
     let result = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| world.run()));
@@ -381,8 +381,8 @@
                     voters: host.config.clone(),
                     joins: proc >= founders,
                     lock_delay,
-                    new_disk: fresh,
-                    life: fresh,
+                    new_disk_id: fresh,
+                    incarnation: fresh,
                 };
                 let disk = host.disk.clone();
                 let open = Box::new(move || Ok(disk.clone()));
--- a/crates/testing/load-simulator/src/fault_injection/timed/actors.rs
+++ b/crates/testing/load-simulator/src/fault_injection/timed/actors.rs
@@ -78,8 +78,8 @@
                 let Some(disk) = host.durable.as_ref().map(|s| s.status().disk).filter(|d| *d > 0) else {
                     return;
                 };
-                let place = Place { address: format!("127.0.0.1:{}", which + 1), disk };
-                Change::Add { voter: which as u64 + 1, place }
+                let info = VoterInfo { address: format!("127.0.0.1:{}", which + 1), disk_id: disk };
+                MembershipChange::Add { voter: which as u64 + 1, info }
             }
         };
         let conn = self.connect(proc, voter);
--- a/crates/testing/load-simulator/src/fault_injection/timed/connections.rs
+++ b/crates/testing/load-simulator/src/fault_injection/timed/connections.rs
@@ -85,7 +85,7 @@
                     (Some(frame), 1) => {
                         let keep = durable.receive(conn as u64, frame, now);
                         if !keep {
-                            durable.gone(conn as u64);
+                            durable.inbound_closed(conn as u64);
                             self.close(conn, end);
                         }
                     }
--- a/crates/testing/load-simulator/src/fault_injection/timed/members.rs
+++ b/crates/testing/load-simulator/src/fault_injection/timed/members.rs
@@ -49,7 +49,7 @@
                     _ => {}
                 }
             }
-            News::Told(Answer::Voters(voters)) => {
+            ClientEvent::Response(ClientResponse::Voters(voters)) => {
                 let current = self.voters[self.voter % self.voters.len()];
                 self.voters = voters.iter().map(|(voter, _)| *voter as usize - 1).collect();
                 self.voter = self.voters.iter().position(|v| *v == current).unwrap_or(0);
