--- a/crates/testing/load-simulator/src/fault_injection/crowd.rs
+++ b/crates/testing/load-simulator/src/fault_injection/crowd.rs
@@ -145,11 +145,11 @@
         if member.client.session().is_some() && began + Duration::from_secs(1) > now() {
             times.record((now() - began).as_micros() as u64).map_err(|e| e.to_string())?;
         }
-        let release = member.client.ask(Op::Release { lease: lease.clone() }, now());
+        let release = member.client.request(Op::Release { lease: lease.clone() }, now());
         let mut released = false;
         while !released && !stop.load(Ordering::Relaxed) {
-            let news = member.step(Duration::from_millis(10)).map_err(|e| e.to_string())?;
-            released = news.iter().any(|n| matches!(n, News::Answered(seq, _) if *seq == release));
+            let news = member.poll(Duration::from_millis(10)).map_err(|e| e.to_string())?;
+            released = news.iter().any(|n| matches!(n, ClientEvent::Answered(seq, _) if *seq == release));
         }
     }
     member.client.close();
@@ -205,7 +205,7 @@
     };
     let mut member = FleetClient::new(fleet, "after", Duration::from_secs(2)).map_err(|e| e.to_string())?;
     while member.client.session().is_none() && !stop.load(Ordering::Relaxed) {
-        member.step(Duration::ZERO).map_err(|e| e.to_string())?;
+        member.poll(Duration::ZERO).map_err(|e| e.to_string())?;
         crowd.step_all()?;
     }
     let child = &mut voters.children[leader - 1];
@@ -213,12 +213,12 @@
     let killed = now();
     member.client.request(acquire("after".to_owned()), killed);
     while member.client.guard("after", now()).is_none() && !stop.load(Ordering::Relaxed) {
-        member.step(Duration::ZERO).map_err(|e| e.to_string())?;
+        member.poll(Duration::ZERO).map_err(|e| e.to_string())?;
         crowd.step_all()?;
     }
     let elapsed = (now() - killed).as_secs_f64();
     member.client.close();
-    member.step(Duration::ZERO).map_err(|e| e.to_string())?;
+    member.poll(Duration::ZERO).map_err(|e| e.to_string())?;
     voters.children[leader - 1] = voters.start_voter(leader)?;
     Ok(Some(elapsed))
 }
--- a/crates/testing/load-simulator/src/fault_injection/timed.rs
+++ b/crates/testing/load-simulator/src/fault_injection/timed.rs
@@ -171,14 +171,14 @@
 /// The operator that adds and removes voters one at a time, repeating each request until it is done.
 #[derive(Default)]
 struct Operator {
-    pending_changes: VecDeque<MembershipChange>,
+    pending_changes: VecDeque<PlannedChange>,
     conn: Option<ConnId>,
     request_at: f64,
     ticket: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
-enum MembershipChange {
+enum PlannedChange {
     Add(ProcId),
     Remove(ProcId),
 }
@@ -232,7 +232,7 @@
     let mut world = World::new(plan);
     // A panic, as of a voter that finds invalid state, is reported like any other violation.
     let result = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| world.run()));
-    turn_on(None);
+    set_active(None);
     if let Err(panic) = result {
         let message = panic.downcast_ref::<String>().cloned().unwrap_or_default();
         let violations = vec![Violation { rule: "a process panicked", evidence: vec![message] }];
@@ -359,7 +359,7 @@
 
     /// Returns a process's local time.
     fn local_time(&self, proc: ProcId) -> Duration {
-        let wall = if is(Mutant::WallClock) { self.procs[proc].wall_ahead } else { 0.0 };
+        let wall = if is_active(Mutant::WallClock) { self.procs[proc].wall_ahead } else { 0.0 };
         self.procs[proc].clock.reading(self.now) + Duration::from_secs_f64(wall)
     }
 
@@ -376,10 +376,10 @@
         p.inbox.clear();
         match &mut p.role {
             Role::Voter(host) => {
-                let identity = VoterIdentity {
+                let identity = VoterConfig {
                     voter: proc as u64 + 1,
                     voters: host.config.clone(),
-                    joins: proc >= founders,
+                    joining: proc >= founders,
                     lock_delay,
                     new_disk_id: fresh,
                     incarnation: fresh,
@@ -446,12 +446,13 @@
             }
         }
         let voters = self.procs.iter().filter_map(|p| match &p.role {
-            Role::Voter(host) => host.durable.as_ref()?.voter().filter(|v| v.votes()),
+            Role::Voter(host) => host.durable.as_ref()?.voter().filter(|v| v.is_voting()),
             Role::Client(_) | Role::Operator(_) => None,
         });
         if let Some(voter) = voters.max_by_key(|v| v.status().applied) {
             let leases = voter.table().leases().iter();
-            self.history.last_effects = leases.map(|(name, lease)| (name.clone(), lease.effect)).collect();
+            self.history.last_effects =
+                leases.map(|(name, lease)| (name.clone(), lease.last_effect)).collect();
         }
     }
 }
--- a/crates/testing/load-simulator/src/fault_injection/timed/actors.rs
+++ b/crates/testing/load-simulator/src/fault_injection/timed/actors.rs
@@ -40,7 +40,7 @@
             host.outgoing[other] = Some(conn);
             host.connect_at[other] = self.now + wait;
             if let Some(durable) = &mut host.durable {
-                durable.linked(other as u64 + 1);
+                durable.outbound_up(other as u64 + 1);
             }
         }
         self.run_voter(proc);
@@ -50,8 +50,9 @@
     pub(super) fn known_voters(&self, proc: ProcId) -> Vec<ProcId> {
         let Role::Voter(host) = &self.procs[proc].role else { return Vec::new() };
         let known = host.durable.as_ref().and_then(DurableVoter::voter).map(|v| {
-            let visitors = v.visitors().keys().copied().filter(|_| !v.membership().places().is_empty());
-            v.membership().voters().into_iter().chain(visitors).collect::<Vec<_>>()
+            let visitors =
+                v.unlisted_voters().keys().copied().filter(|_| !v.membership().members().is_empty());
+            v.membership().voter_ids().into_iter().chain(visitors).collect::<Vec<_>>()
         });
         let voters = known.filter(|k| !k.is_empty()).unwrap_or_else(|| host.config.clone());
         voters.iter().map(|v| *v as usize - 1).collect()
@@ -71,11 +72,11 @@
             self.close(conn, 0);
         }
         let change = match order {
-            MembershipChange::Remove(which) => Change::Remove { voter: which as u64 + 1 },
-            MembershipChange::Add(which) => {
+            PlannedChange::Remove(which) => MembershipChange::Remove { voter: which as u64 + 1 },
+            PlannedChange::Add(which) => {
                 let Role::Voter(host) = &self.procs[which].role else { return };
                 // The disk identifier counts once it is durable.
-                let Some(disk) = host.durable.as_ref().map(|s| s.status().disk).filter(|d| *d > 0) else {
+                let Some(disk) = host.durable.as_ref().map(|s| s.status().disk_id).filter(|d| *d > 0) else {
                     return;
                 };
                 let info = VoterInfo { address: format!("127.0.0.1:{}", which + 1), disk_id: disk };
@@ -86,7 +87,14 @@
         if let Role::Operator(operator) = &mut self.procs[proc].role {
             operator.conn = Some(conn);
         }
-        self.send(conn, 0, Segment::Bytes(encode(FLEET, &Frame::Client(Say::Change { ticket, change }))));
+        self.send(
+            conn,
+            0,
+            Segment::Bytes(encode(
+                FLEET,
+                &Frame::Request(ClientRequest::ChangeMembership { request_id: ticket, change }),
+            )),
+        );
     }
 
     /// Closes all connections of a voter.
@@ -107,15 +115,15 @@
         let now = self.local_time(proc);
         let Role::Voter(host) = &mut self.procs[proc].role else { return };
         let Some(durable) = &mut host.durable else { return };
-        let outcome = durable.turn(now);
+        let outcome = durable.finish_turn(now);
         let outgoing = host.outgoing.clone();
         if outcome.reset {
             return self.close_connections(proc);
         }
         for (to, frame) in outcome.frames {
             let (conn, end) = match to {
-                To::Voter(voter) => (outgoing[voter as usize - 1], 0),
-                To::Link(link) => (Some(link as usize), 1),
+                Recipient::Voter(voter) => (outgoing[voter as usize - 1], 0),
+                Recipient::Link(link) => (Some(link as usize), 1),
             };
             if let Some(conn) = conn.filter(|c| self.conns[*c].open[end]) {
                 self.send(conn, end, Segment::Bytes(encode(FLEET, &frame)));
@@ -126,15 +134,15 @@
     pub(super) fn tick_client(&mut self, proc: ProcId) {
         let now = self.local_time(proc);
         let Role::Client(client_host) = &mut self.procs[proc].role else { return };
-        if client_host.client.wants_another(now) {
+        if client_host.client.should_switch_voter(now) {
             if let Some(conn) = client_host.conn.take() {
-                client_host.client.down();
+                client_host.client.disconnected();
                 self.close(conn, 0);
             }
         }
         let Role::Client(client_host) = &mut self.procs[proc].role else { return };
         if client_host.conn.is_none() && self.now >= client_host.connect_at {
-            if !is(Mutant::NeverLeaves) {
+            if !is_active(Mutant::NeverLeaves) {
                 client_host.voter = (client_host.voter + 1) % client_host.voters.len();
             }
             let voter = client_host.voters[client_host.voter % client_host.voters.len()];
@@ -143,7 +151,7 @@
             let Role::Client(client_host) = &mut self.procs[proc].role else { return };
             client_host.conn = Some(conn);
             client_host.connect_at = self.now + wait;
-            client_host.client.up(now);
+            client_host.client.connected(now);
         }
         let Role::Client(client_host) = &mut self.procs[proc].role else { return };
         client_host.client.tick(now);
@@ -155,20 +163,20 @@
         let (local, now) = (self.local_time(proc), self.now);
         let p = &mut self.procs[proc];
         let Role::Client(client_host) = &mut p.role else { return };
-        for news in client_host.client.news() {
+        for news in client_host.client.take_events() {
             if let Some(effect) = client_host.handle_news(news, local, now, &p.name) {
                 self.history.acknowledged.push(effect);
             }
         }
         let act = client_host.act(local, now, &p.name, self.healing, &self.plan, &mut self.random);
-        let (requests, conn) = (client_host.client.says(), client_host.conn);
+        let (requests, conn) = (client_host.client.take_requests(), client_host.conn);
         if let Some(act) = act {
             self.schedule(act.arrived, Event::ActArrival(act));
         }
         self.update_beliefs(proc);
         if let Some(conn) = conn.filter(|c| self.conns[*c].open[0]) {
             for request in requests {
-                self.send(conn, 0, Segment::Bytes(encode(FLEET, &Frame::Client(request))));
+                self.send(conn, 0, Segment::Bytes(encode(FLEET, &Frame::Request(request))));
             }
         }
     }
@@ -196,8 +204,8 @@
             .collect();
         for guard in &guards {
             let key = (guard.lease().to_owned(), guard.token());
-            let (_, until) = client_host.beliefs.entry(key).or_insert((now, guard.until()));
-            *until = guard.until();
+            let (_, until) = client_host.beliefs.entry(key).or_insert((now, guard.valid_until()));
+            *until = guard.valid_until();
         }
         for (key, _) in &ended {
             client_host.beliefs.remove(key);
@@ -215,7 +223,7 @@
         until: Duration,
     ) {
         let p = &self.procs[proc];
-        let wall = if is(Mutant::WallClock) { p.wall_ahead } else { 0.0 };
+        let wall = if is_active(Mutant::WallClock) { p.wall_ahead } else { 0.0 };
         let to = p.clock.true_time(until.saturating_sub(Duration::from_secs_f64(wall)));
         let process = format!("{}.{}", p.name, p.life);
         self.history.beliefs.push(Belief { process, lease, token, from, to: to.min(self.now).max(from) });
--- a/crates/testing/load-simulator/src/fault_injection/timed/connections.rs
+++ b/crates/testing/load-simulator/src/fault_injection/timed/connections.rs
@@ -80,7 +80,7 @@
                 let Some(durable) = &mut host.durable else { return };
                 match (frame, end) {
                     (Some(frame), 0) if host.outgoing[other] == Some(conn) => {
-                        durable.called_back(other as u64 + 1, frame);
+                        durable.receive_from_voter(other as u64 + 1, frame);
                     }
                     (Some(frame), 1) => {
                         let keep = durable.receive(conn as u64, frame, now);
@@ -91,9 +91,9 @@
                     }
                     (None, 0) if host.outgoing[other] == Some(conn) => {
                         host.outgoing[other] = None;
-                        durable.unlinked(other as u64 + 1);
+                        durable.outbound_down(other as u64 + 1);
                     }
-                    (None, 1) if matches!(segment, Segment::Close) => durable.gone(conn as u64),
+                    (None, 1) if matches!(segment, Segment::Close) => durable.inbound_closed(conn as u64),
                     _ => {}
                 }
                 self.run_voter(proc);
@@ -103,17 +103,19 @@
                     return;
                 }
                 match frame {
-                    Some(Frame::Answer(answer)) => client_host.client.receive(answer, now),
+                    Some(Frame::Response(answer)) => client_host.client.receive(answer, now),
                     Some(_) => {}
                     None => {
                         client_host.conn = None;
-                        client_host.client.down();
+                        client_host.client.disconnected();
                     }
                 }
                 self.run_client(proc);
             }
             Role::Operator(operator) => match frame {
-                Some(Frame::Answer(Answer::Changed { ticket, outcome })) if ticket == operator.ticket => {
+                Some(Frame::Response(ClientResponse::MembershipChanged { request_id: ticket, outcome }))
+                    if ticket == operator.ticket =>
+                {
                     let change = operator.pending_changes.pop_front();
                     operator.ticket += 1;
                     self.log_fault(format!("membership change {change:?} done: {outcome:?}"));
--- a/crates/testing/load-simulator/src/fault_injection/timed/faults.rs
+++ b/crates/testing/load-simulator/src/fault_injection/timed/faults.rs
@@ -119,7 +119,7 @@
                 let first = voters.iter().position(|v| *v == voter).unwrap_or(0);
                 for v in (0..count).map(|n| voters[(first + n) % voters.len()]) {
                     if let Role::Voter(host) = &self.procs[v].role {
-                        host.disk.fail(fault);
+                        host.disk.set_fault(fault);
                     }
                     self.schedule_undo(0.2, 3.0, Undo::RepairDisk(v));
                 }
@@ -173,7 +173,7 @@
         let keep = self.random.random_range(0..200);
         if let Role::Voter(host) = &self.procs[voter].role {
             if power_lost {
-                host.disk.power_lost(keep);
+                host.disk.lose_power(keep);
             }
         }
     }
@@ -213,11 +213,11 @@
         }
     }
 
-    pub(super) fn request_change(&mut self, order: MembershipChange) {
+    pub(super) fn request_change(&mut self, order: PlannedChange) {
         self.log_fault(format!("membership change requested: {order:?}"));
         match order {
-            MembershipChange::Add(which) => self.membership.push(which),
-            MembershipChange::Remove(which) => self.membership.retain(|p| *p != which),
+            PlannedChange::Add(which) => self.membership.push(which),
+            PlannedChange::Remove(which) => self.membership.retain(|p| *p != which),
         }
         self.operator().pending_changes.push_back(order);
     }
@@ -232,7 +232,7 @@
             host.config = [file, vec![spare as u64 + 1]].concat();
         }
         self.start(spare);
-        self.request_change(MembershipChange::Add(spare));
+        self.request_change(PlannedChange::Add(spare));
         true
     }
 
@@ -248,7 +248,7 @@
         let enough = self.voters_with_valid_disk().saturating_sub(1) > (self.membership.len() - 1) / 2
             && self.membership.len() > 2;
         if how != 0 && self.membership.contains(&voter) && enough {
-            self.request_change(MembershipChange::Remove(voter));
+            self.request_change(PlannedChange::Remove(voter));
         }
     }
 
@@ -267,7 +267,7 @@
         }
         if !empty {
             let Some(old) = host.older_copy.take() else {
-                host.older_copy = Some(host.disk.copy());
+                host.older_copy = Some(host.disk.deep_copy());
                 return;
             };
             host.disk = old;
@@ -283,7 +283,7 @@
         self.kill(voter);
         self.schedule_undo(0.05, 1.0, Undo::Restart(voter));
         if replaced && self.membership.len() > 1 {
-            self.request_change(MembershipChange::Remove(voter));
+            self.request_change(PlannedChange::Remove(voter));
             self.add_spare();
         }
     }
@@ -308,7 +308,7 @@
             Undo::Silence(..) => {}
             Undo::RepairDisk(proc) => {
                 if let Role::Voter(host) = &self.procs[proc].role {
-                    host.disk.fail(Fault::None);
+                    host.disk.set_fault(Fault::None);
                 }
             }
         }
--- a/crates/testing/load-simulator/src/fault_injection/timed/members.rs
+++ b/crates/testing/load-simulator/src/fault_injection/timed/members.rs
@@ -22,13 +22,13 @@
     /// Handles one piece of news. Returns an effect that the fleet has acknowledged, for the history.
     pub(super) fn handle_news(
         &mut self,
-        news: News,
+        news: ClientEvent,
         local: Duration,
         now: f64,
         name: &str,
     ) -> Option<AcknowledgedEffect> {
         match news {
-            News::Answered(seq, reply) => {
+            ClientEvent::Answered(seq, reply) => {
                 if let Some((lease, token, requested)) = self.pending_effects.remove(&seq) {
                     let process = name.to_owned();
                     return (reply == Reply::Done).then_some(AcknowledgedEffect {
@@ -55,18 +55,18 @@
                 self.voter = self.voters.iter().position(|v| *v == current).unwrap_or(0);
             }
             // A lease that this client did not request was transferred by another process; it is released.
-            News::Holds(grant) => {
+            ClientEvent::LeaseAcquired(grant) => {
                 let requested = match &self.activity {
                     Activity::Waiting { lease, .. } | Activity::Acting { lease, .. } => *lease == grant.lease,
                     Activity::Idle { .. } | Activity::Leaving { .. } => false,
                 };
                 if !requested {
-                    self.client.ask(Op::Release { lease: grant.lease }, local);
+                    self.client.request(Op::Release { lease: grant.lease }, local);
                 }
             }
-            News::Ended | News::LeftOut(_) | News::Lost(_) => {
+            ClientEvent::SessionEnded | ClientEvent::GrantMissed(_) | ClientEvent::LeaseLost(_) => {
                 if let Activity::Waiting { lease, ttl_ms, wait, .. } = self.activity.clone() {
-                    self.client.ask(Op::Acquire { lease, ttl_ms, wait }, local);
+                    self.client.request(Op::Acquire { lease, ttl_ms, wait }, local);
                 }
             }
             _ => {}
@@ -85,7 +85,7 @@
         random: &mut Stream,
     ) -> Option<Act> {
         if let Some((_, op, lease, token)) = self.deferred_effect.take_if(|(at, ..)| now >= *at) {
-            let seq = self.client.ask(op, local);
+            let seq = self.client.request(op, local);
             self.pending_effects.insert(seq, (lease, token, now));
         }
         match self.activity.clone() {
@@ -93,7 +93,7 @@
                 let lease = format!("lease-{}", random.random_range(0..plan.clients.div_ceil(2)));
                 let ttl_ms = TTLS_MS[random.random_range(0..3)];
                 let wait = healing || random.random_bool(0.7);
-                self.client.ask(Op::Acquire { lease: lease.clone(), ttl_ms, wait }, local);
+                self.client.request(Op::Acquire { lease: lease.clone(), ttl_ms, wait }, local);
                 self.activity = Activity::Waiting { lease, since: now, ttl_ms, wait };
             }
             Activity::Waiting { lease, since, .. } => {
@@ -102,7 +102,8 @@
                     let hold = if healing { 0.2 } else { random.random_range(0.05..2.5) };
                     self.activity = Activity::Acting { lease, next: now, end: now + hold, busy: now };
                 } else if now > since + MAX_WAIT && !healing {
-                    self.activity = Activity::Leaving { seq: self.client.ask(Op::Release { lease }, local) };
+                    self.activity =
+                        Activity::Leaving { seq: self.client.request(Op::Release { lease }, local) };
                 }
             }
             Activity::Acting { lease, next, end, busy } => {
@@ -112,15 +113,16 @@
                     if now < busy {
                         if random.random_bool(0.1) {
                             self.activity =
-                                Activity::Leaving { seq: self.client.ask(Op::Abandon { lease }, local) };
+                                Activity::Leaving { seq: self.client.request(Op::Abandon { lease }, local) };
                         }
                         return None;
                     }
                     // Most clients keep an expired lease and continue if a renewal confirms it.
-                    if !healing && self.client.listed(&lease) && random.random_bool(0.98) {
+                    if !healing && self.client.in_last_renewal(&lease) && random.random_bool(0.98) {
                         return None;
                     }
-                    self.activity = Activity::Leaving { seq: self.client.ask(Op::Release { lease }, local) };
+                    self.activity =
+                        Activity::Leaving { seq: self.client.request(Op::Release { lease }, local) };
                     return None;
                 };
                 if now >= end {
@@ -131,7 +133,7 @@
                             0 | 1 if !healing => Op::Transfer { lease, to },
                             _ => Op::Release { lease },
                         };
-                        self.activity = Activity::Leaving { seq: self.client.ask(op, local) };
+                        self.activity = Activity::Leaving { seq: self.client.request(op, local) };
                     }
                 } else if now >= next {
                     let next = now + random.random_range(0.01..0.2);
@@ -141,7 +143,7 @@
                             Some((now + random.random_range(0.5..4.0), op, lease.clone(), token));
                     }
                     if random.random_bool(0.2) && self.pending_effects.is_empty() {
-                        let seq = self.client.ask(guard.effect(name), local);
+                        let seq = self.client.request(guard.effect(name), local);
                         self.pending_effects.insert(seq, (lease.clone(), guard.token(), now));
                         self.activity = Activity::Acting { lease, next, end, busy };
                         return None;
