--- a/crates/passrelay/src/cli.rs
+++ b/crates/passrelay/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: a word for what to do, `run` if there is none.
+//! The command line. Without a subcommand the program runs as a sidecar.
 
 use crate::{config, fleet, lease, rollout};
 use clap::{Parser, Subcommand};
@@ -11,10 +11,10 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// A load-balancing sidecar, and what its fleets agree on.
+/// A load-balancing sidecar, and the coordination services of its fleets.
 ///
-/// Without any word it serves as a sidecar: RELAY_CONFIG names the file with the settings; RELAY_NAME, RELAY_LISTEN,
-/// RELAY_DISCOVERY and RELAY_OPERATOR go before what it says.
+/// Without a subcommand it serves as a sidecar: RELAY_CONFIG names the settings file; RELAY_NAME,
+/// RELAY_LISTEN, RELAY_DISCOVERY and RELAY_OPERATOR override its values.
 #[derive(Parser)]
 #[command(name = "passrelay", version, max_term_width = 110)]
 struct Cli {
@@ -24,17 +24,17 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Serves as a sidecar (also without any word).
+    /// Serves as a sidecar (the default).
     Run,
-    /// Serves as one process of the router fleet: PASSRELAY_CONFIG names the file with its settings.
+    /// Serves as a process of the router fleet: PASSRELAY_CONFIG names the settings file.
     Node,
-    /// The configuration of a router fleet.
+    /// Reads and changes the configuration of a router fleet.
     #[command(subcommand)]
     Config(config::Command),
-    /// Versions of a router fleet's services.
+    /// Rolls out versions of a router fleet's services.
     #[command(subcommand)]
     Rollout(rollout::Command),
-    /// Prints what a sidecar knows of its router fleet, as JSON.
+    /// Prints the status of a sidecar's router fleet, as JSON.
     Status {
         /// Control address of the sidecar.
         #[arg(long, value_name = "ADDRESS")]
@@ -42,27 +42,27 @@
     },
     /// Prints the version.
     Version,
-    /// Votes on the fleet's leases until SIGTERM. Exit code 1 where the disk or the address can't be used.
+    /// Votes on the fleet's leases until SIGTERM. Exit code 1 if the disk or the address can't be used.
     Voter {
-        /// The fleet's file.
+        /// The fleet's configuration file.
         #[arg(long, value_name = "FILE")]
         fleet: PathBuf,
-        /// Which of the file's voters this is.
+        /// Number of this voter in the file.
         #[arg(long)]
         id: u64,
-        /// On a new disk: waits to be added to a fleet that goes on already (fleet add), instead of beginning one.
+        /// With a new disk: wait to be added to a running fleet (fleet add) instead of founding one.
         #[arg(long)]
         join: bool,
     },
-    /// Leases: what one process of the fleet may do at a time.
+    /// Holds and shows leases, which let one process of the fleet act at a time.
     #[command(subcommand)]
     Lease(lease::Command),
-    /// The fleet's voters.
+    /// Shows and changes the fleet's voters.
     #[command(subcommand)]
     Fleet(fleet::Command),
 }
 
-/// Does what the arguments say.
+/// Parses the arguments and runs the subcommand.
 pub fn main(arguments: impl Iterator<Item = String>) -> ExitCode {
     let words: Vec<String> = arguments.collect();
     let command = match words.as_slice() {
@@ -91,7 +91,7 @@
     };
     done.unwrap_or_else(|e| {
         eprintln!("passrelay: {e}");
-        // A file or an address that is wrong is the caller's to mend.
+        // Exit code 2 tells the caller to correct the configuration file.
         ExitCode::from(if e.is::<passrelay_lease_runtime::fleet_config::FleetConfigError>() { 2 } else { 1 })
     })
 }
@@ -111,7 +111,7 @@
 
 fn run() -> Result<(), Box<dyn Error>> {
     let config = Config::from_env()?;
-    // Without a fleet no thread, socket or file more than without this line.
+    // Without a fleet, no thread, socket or file is added to the sidecar.
     let background_client = match &config.fleet {
         Some(file) => Some(BackgroundClient::start(&FleetConfig::read(file)?, &config.name)?),
         None => None,
--- a/crates/passrelay/src/config.rs
+++ b/crates/passrelay/src/config.rs
@@ -1,4 +1,4 @@
-//! `passrelay config` and `passrelay status`: what operators do with a fleet.
+//! `passrelay config` and `passrelay status`: operator commands for a router fleet.
 
 use crate::output::Output;
 use clap::Subcommand;
@@ -11,44 +11,45 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Exit code where documents differ.
+/// Exit code if the documents differ.
 const DIFFERS: u8 = 1;
-/// Exit code where a document is faulty or an order is refused.
+/// Exit code if a document is invalid or a request is refused.
 const REFUSED: u8 = 3;
-/// Exit code where no clear answer came: the order may have been taken, the same one can be sent again.
+/// Exit code if the outcome is unknown: the request may have been applied, and can safely be repeated.
 const UNCLEAR: u8 = 4;
 
-/// Words after `config`.
+/// Subcommands of `config`.
 #[derive(Subcommand)]
 pub enum Command {
-    /// Checks a whole configuration and tells every fault with its place. Exit code 3 where there is one.
+    /// Validates a complete configuration and prints every error with its location. Exit code 3 if there are
+    /// any.
     Check {
-        /// The document, JSON.
+        /// Path of the document, JSON.
         file: PathBuf,
     },
-    /// Prints the newest configuration.
+    /// Prints the current configuration.
     Get {
         /// Control address of any sidecar.
         #[arg(long, value_name = "ADDRESS")]
         at: SocketAddr,
     },
-    /// Prints which items of the newest configuration a document would add (+), remove (-) or change (~). Exit code 1
-    /// where there are any.
+    /// Prints which items a document would add (+), remove (-) or change (~) in the current configuration.
+    /// Exit code 1 if there are any.
     Diff {
-        /// The document, JSON.
+        /// Path of the document, JSON.
         file: PathBuf,
         /// Control address of any sidecar.
         #[arg(long, value_name = "ADDRESS")]
         at: SocketAddr,
-        /// As json: the change that patch takes.
+        /// With json: the change in the format that patch accepts.
         #[arg(long, value_enum, default_value = "text")]
         output: Output,
     },
-    /// Replaces the whole configuration. Exit code 3 where it is refused, 4 without a clear answer.
+    /// Replaces the complete configuration. Exit code 3 if it is refused, 4 if the outcome is unknown.
     Put {
-        /// The document, JSON.
+        /// Path of the document, JSON.
         file: PathBuf,
-        /// The generation that it builds on; 0 for the first.
+        /// The generation that the document is based on; 0 for the first.
         #[arg(long)]
         base: u64,
         /// Control address of any sidecar.
@@ -57,9 +58,9 @@
     },
     /// Changes items by name. Exit codes as for put.
     Patch {
-        /// The change, JSON.
+        /// Path of the change, JSON.
         file: PathBuf,
-        /// The generation that it builds on.
+        /// The generation that the change is based on.
         #[arg(long)]
         base: u64,
         /// Control address of any sidecar.
@@ -68,7 +69,7 @@
     },
 }
 
-/// Does what the words say.
+/// Runs a subcommand of `config`.
 pub fn run(command: Command) -> Result<ExitCode, Box<dyn Error>> {
     match command {
         Command::Check { file } => check(&file),
@@ -83,12 +84,12 @@
     }
 }
 
-/// Prints what a sidecar knows of its fleet.
+/// Prints the status of a sidecar and its fleet.
 pub fn status(at: SocketAddr) -> Result<ExitCode, Box<dyn Error>> {
     ask(at, Method::GET, "/status", None, String::new())
 }
 
-/// A document that was read and checked, or its faults.
+/// Reads and validates a document. The inner error lists what is invalid in it.
 fn read_document(file: &Path) -> Result<Result<Value, ValidationErrors>, Box<dyn Error>> {
     let bytes = std::fs::read(file).map_err(|e| format!("{}: {e}", file.display()))?;
     let checked =
@@ -139,7 +140,8 @@
     Ok(ExitCode::from(if difference.items.is_empty() { 0 } else { DIFFERS }))
 }
 
-/// Makes a call, prints its answer and tells by the exit code how it ended.
+/// Sends a request to a sidecar's control address, prints the response and derives the exit code from its
+/// status.
 pub fn ask(
     at: SocketAddr,
     method: Method,
--- a/crates/passrelay/src/fleet.rs
+++ b/crates/passrelay/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Voters, and what they tell of themselves.
+//! `passrelay voter` and `passrelay fleet`: running, showing and changing the voters of a fleet.
 
 use crate::output::Output;
 use crate::query::{ask, NO_MAJORITY, QUERY_TIMEOUT};
@@ -18,60 +18,61 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A voter that says nothing for so long is reported as silent.
+/// A voter without a response for this long is reported as silent.
 const STATUS_TIMEOUT: Duration = Duration::from_secs(2);
-/// What can be asked of a fleet.
+/// Subcommands of `fleet`.
 #[derive(Subcommand)]
 pub enum Command {
-    /// Shows each voter. Exit code 0 where a majority votes under one leader, 1 where not.
+    /// Shows each voter. Exit code 0 if a majority votes under one leader, 1 otherwise.
     Status {
-        /// The fleet's file.
+        /// The fleet's configuration file.
         #[arg(long, value_name = "FILE")]
         fleet: PathBuf,
-        /// How to print it.
+        /// Output format.
         #[arg(long, value_enum, default_value = "text")]
         output: Output,
     },
-    /// Adds a voter that was started with `voter --join` and waits. A number is never given twice: one that lost its
-    /// disk is removed and comes back under a new one. Exit code 0 once it votes, 1 where it is refused or doesn't
-    /// answer, 125 where no majority does.
+    /// Adds a voter that was started with `voter --join` and joining. Numbers are never reused: a voter that
+    /// lost its disk is removed and returns under a new number. Exit code 0 once it votes, 1 if it is refused
+    /// or doesn't respond, 125 if no majority responds.
     Add {
-        /// The fleet's file.
+        /// The fleet's configuration file.
         #[arg(long, value_name = "FILE")]
         fleet: PathBuf,
-        /// Its number, higher than any that a voter ever had.
+        /// Number of the voter, higher than all numbers used before.
         #[arg(long)]
         id: u64,
-        /// Where it listens; as the file says if it is not given.
+        /// Address of the voter; by default the one in the file.
         #[arg(long)]
         address: Option<SocketAddr>,
-        /// How to print it.
+        /// Output format.
         #[arg(long, value_enum, default_value = "text")]
         output: Output,
     },
-    /// Removes a voter for good. Exit code 0 once it is removed, 1 where it is refused, 125 where no majority answers.
+    /// Removes a voter permanently. Exit code 0 once it is removed, 1 if it is refused, 125 if no majority
+    /// responds.
     Remove {
-        /// The fleet's file.
+        /// The fleet's configuration file.
         #[arg(long, value_name = "FILE")]
         fleet: PathBuf,
-        /// Its number.
+        /// Number of the voter.
         #[arg(long)]
         id: u64,
-        /// Also where those that remain are no majority of voters that vote now.
+        /// Remove it even if those of the remaining voters that vote now are no majority.
         #[arg(long)]
         force: bool,
-        /// How to print it.
+        /// Output format.
         #[arg(long, value_enum, default_value = "text")]
         output: Output,
     },
 }
 
-/// Votes until SIGTERM.
+/// Runs a voter until SIGTERM.
 pub fn vote(file: &Path, id: u64, joining: bool) -> Result<ExitCode, Box<dyn Error>> {
     let fleet_config = FleetConfig::read(file)?;
     let end = termination_flag()?;
-    // Guards against the system's way of saying that a file has grown to its limit, which is to end the process:
-    // taken in, it leaves the write an error like any other of a full disk.
+    // SIGXFSZ, sent when a file reaches its size limit, ends the process by default. With a handler the write
+    // fails instead, like on a full disk.
     signal_hook::flag::register(signal_hook::consts::SIGXFSZ, Arc::default())?;
     let mut voting = VoterLoop::open(&fleet_config, id, joining)?;
     let mut log = |event: &str, values: &str| {
@@ -82,7 +83,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Does what was asked of the fleet.
+/// Runs a subcommand of `fleet`.
 pub fn run(command: Command) -> Result<ExitCode, Box<dyn Error>> {
     match command {
         Command::Status { fleet, output } => status(&FleetConfig::read(&fleet)?, output),
@@ -93,43 +94,44 @@
     }
 }
 
-/// What one voter says of itself; `None` where it is silent.
+/// Requests the status of one voter. Returns `None` if it doesn't respond.
 fn status_of(
     fleet_config: &FleetConfig,
     voter: u64,
     address: SocketAddr,
 ) -> Result<Option<VoterStatus>, Box<dyn Error>> {
-    let alone = FleetConfig { voters: BTreeMap::from([(voter, address)]), ..fleet_config.clone() };
-    match ask(&alone, ClientRequest::Status { request_id: 1 }, STATUS_TIMEOUT)? {
+    let single_voter = FleetConfig { voters: BTreeMap::from([(voter, address)]), ..fleet_config.clone() };
+    match ask(&single_voter, ClientRequest::Status { request_id: 1 }, STATUS_TIMEOUT)? {
         Some(ClientResponse::Status { status, .. }) => Ok(Some(status)),
         _ => Ok(None),
     }
 }
 
-/// A voter with its address and what it says of itself.
+/// A voter's number, address and status, or `None` if it didn't respond.
 type Row = (u64, SocketAddr, Option<VoterStatus>);
 
-/// What all voters log of themselves: those that the fleet agreed on as far as one tells, else those of the file.
+/// Returns the status of all voters in the membership, or of those in the file if no voter knows the
+/// membership.
 fn statuses(fleet_config: &FleetConfig) -> Result<Vec<Row>, Box<dyn Error>> {
     let mut rows: Vec<Row> = Vec::new();
     for (voter, address) in &fleet_config.voters {
         rows.push((*voter, *address, status_of(fleet_config, *voter, *address)?));
     }
-    let told = rows.iter().filter_map(|(.., s)| s.as_ref()).filter(|s| s.state == "voting");
-    let Some(voters) = told.max_by_key(|s| s.applied).map(|s| s.voters.clone()) else { return Ok(rows) };
+    let voting = rows.iter().filter_map(|(.., s)| s.as_ref()).filter(|s| s.state == "voting");
+    let Some(voters) = voting.max_by_key(|s| s.applied).map(|s| s.voters.clone()) else { return Ok(rows) };
     for (voter, address) in &voters {
-        let told = address.as_ref().and_then(|a| a.parse().ok());
-        if let Some(address) = told.filter(|_| !fleet_config.voters.contains_key(voter)) {
+        let learned = address.as_ref().and_then(|a| a.parse().ok());
+        if let Some(address) = learned.filter(|_| !fleet_config.voters.contains_key(voter)) {
             rows.push((*voter, address, status_of(fleet_config, *voter, address)?));
         }
     }
-    // One of the file that was removed is not missed.
+    // A removed voter that is still in the file is not reported as missing.
     rows.retain(|(voter, _, status)| status.is_some() || voters.iter().any(|(v, _)| v == voter));
     Ok(rows)
 }
 
-/// Whether a majority of these votes under one leader.
-fn majority(rows: &[Row]) -> bool {
+/// Whether a majority of these voters votes under one leader.
+fn has_majority(rows: &[Row]) -> bool {
     let votes = |leader: u64| {
         let under = |s: &VoterStatus| s.state == "voting" && s.leader == Some(leader);
         rows.iter().filter(|(.., s)| s.as_ref().is_some_and(under)).count()
@@ -138,7 +140,7 @@
     rows.iter().any(|(voter, ..)| votes(*voter) > voters / 2)
 }
 
-/// Asks for a change of the membership until it is answered: one that was dropped on its way is asked for again.
+/// Requests a membership change until it is answered, since the fleet may drop a request without a response.
 fn change(
     fleet_config: &FleetConfig,
     change: &MembershipChange,
@@ -155,7 +157,7 @@
     Ok(None)
 }
 
-/// Tells how a change went.
+/// Prints the outcome of a membership change and returns the exit code.
 fn report_outcome(
     what: &str,
     id: u64,
@@ -190,17 +192,17 @@
 ) -> Result<ExitCode, Box<dyn Error>> {
     let address = address
         .or_else(|| fleet_config.voters.get(&id).copied())
-        .ok_or_else(|| format!("voter {id} is not in the fleet's file: --address says where it listens"))?;
-    let waits = status_of(fleet_config, id, address)?.ok_or_else(|| {
-        format!("no voter answers at {address}: start it first, with voter --id {id} --join")
+        .ok_or_else(|| format!("voter {id} is not in the fleet's file: give its address with --address"))?;
+    let joining = status_of(fleet_config, id, address)?.ok_or_else(|| {
+        format!("no voter responds at {address}: start it first, with voter --id {id} --join")
     })?;
-    if waits.voter != id {
-        return Err(format!("at {address} listens voter {}, not voter {id}", waits.voter).into());
+    if joining.voter != id {
+        return Err(format!("voter {} listens at {address}, not voter {id}", joining.voter).into());
     }
-    if waits.disk_id == 0 {
-        return Err(format!("voter {id} has no disk that takes writes: {}", waits.state).into());
+    if joining.disk_id == 0 {
+        return Err(format!("voter {id} has no disk that takes writes: {}", joining.state).into());
     }
-    let info = VoterInfo { address: address.to_string(), disk_id: waits.disk_id };
+    let info = VoterInfo { address: address.to_string(), disk_id: joining.disk_id };
     let mut others = fleet_config.clone();
     others.voters.remove(&id);
     let outcome = change(&others, &MembershipChange::Add { voter: id, info })?;
@@ -225,7 +227,7 @@
     let rows = statuses(fleet_config)?;
     let remain: Vec<Row> = rows.into_iter().filter(|(voter, ..)| *voter != id).collect();
     let vote = remain.iter().filter(|(.., s)| s.as_ref().is_some_and(|s| s.state == "voting")).count();
-    // Guards against a fleet that can agree on nothing any more, not even on taking the voter back.
+    // A fleet without a majority can agree on nothing, not even on adding the voter again.
     if !force && vote <= remain.len() / 2 {
         return Err(format!(
             "without voter {id} only {vote} of {} voters vote now, which is no majority: bring others back first",
@@ -240,7 +242,7 @@
 
 fn status(fleet_config: &FleetConfig, output: Output) -> Result<ExitCode, Box<dyn Error>> {
     let rows = statuses(fleet_config)?;
-    let has_majority = majority(&rows);
+    let has_majority = has_majority(&rows);
     match output {
         Output::Json => {
             let row = |(voter, address, status): &Row| {
--- a/crates/passrelay/src/lease.rs
+++ b/crates/passrelay/src/lease.rs
@@ -1,4 +1,4 @@
-//! Leases from the command line.
+//! `passrelay lease`: commands for holding and inspecting leases.
 
 use crate::output::Output;
 use crate::query::{ask, NO_MAJORITY, QUERY_TIMEOUT};
@@ -20,85 +20,88 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// The lease was lost while the command ran; the command was ended before.
+/// Exit code if the lease was lost while the command ran; the command was ended before that.
 const LOST: u8 = 123;
-/// The lease was not to be had.
+/// Exit code if the lease was not granted.
 const NOT_GRANTED: u8 = 124;
-/// The shortest step.
+/// Maximum time to wait for an event.
 const POLL_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// What can be done with leases.
+/// Subcommands of `lease`.
 #[derive(Subcommand)]
 pub enum Command {
-    /// Runs a command while this process holds a lease, and ends it before the lease could pass to another.
+    /// Runs a command while this process holds a lease, and ends it before the lease could pass to another
+    /// process.
     ///
-    /// The command finds the lease's name in PASSRELAY_LEASE and the token in PASSRELAY_LEASE_TOKEN: whatever it acts
-    /// on should keep the highest token it has seen and refuse older ones. Without a renewal it gets SIGTERM in good
-    /// time, then SIGKILL, with all processes that it started in its group. Exit code: the command's own, 128 and the
-    /// signal's number where a signal ended it; 123 lease lost; 124 not granted; 125 no majority of voters.
+    /// The command finds the name of the lease in PASSRELAY_LEASE and the token in PASSRELAY_LEASE_TOKEN. The
+    /// targets that it acts on should remember the highest token they have seen and reject older ones. If the
+    /// lease is not renewed, the command and all processes in its group get SIGTERM early and later SIGKILL.
+    /// Exit code: that of the command, or 128 plus the number of the signal that ended it; 123 lease lost;
+    /// 124 not granted; 125 no majority of voters.
     Run {
-        /// The lease.
+        /// Name of the lease.
         name: String,
-        /// The fleet's file.
+        /// The fleet's configuration file.
         #[arg(long, value_name = "FILE")]
         fleet: PathBuf,
-        /// Time to live: without a renewal for so long the lease passes on. In s or ms, as in 10s or 800ms.
+        /// Time to live: the lease passes on after this long without a renewal. In s or ms, as in 10s or
+        /// 800ms.
         #[arg(long, default_value = "10s", value_parser = parse_duration)]
         ttl: Duration,
-        /// Waits in line for so long; 0s asks once.
+        /// Maximum time to wait in the queue; 0s tries once.
         #[arg(long, default_value = "1h", value_parser = parse_duration)]
         wait: Duration,
-        /// This process's name in the fleet; drawn if it is not given. No two processes can have one name.
+        /// Unique name of this process in the fleet; random by default.
         #[arg(long)]
         process: Option<String>,
         /// The command and its arguments.
         #[arg(last = true, required = true)]
         command: Vec<String>,
     },
-    /// Lists all leases. Exit code 125 where no majority answers.
+    /// Lists all leases. Exit code 125 if no majority responds.
     List {
-        /// The fleet's file.
+        /// The fleet's configuration file.
         #[arg(long, value_name = "FILE")]
         fleet: PathBuf,
-        /// How to print it.
+        /// Output format.
         #[arg(long, value_enum, default_value = "text")]
         output: Output,
     },
-    /// Shows one lease. Exit code 1 where it is free and nothing is known of it.
+    /// Shows one lease. Exit code 1 if it is free and the fleet keeps nothing about it.
     Show {
-        /// The lease.
+        /// Name of the lease.
         name: String,
-        /// The fleet's file.
+        /// The fleet's configuration file.
         #[arg(long, value_name = "FILE")]
         fleet: PathBuf,
-        /// How to print it.
+        /// Output format.
         #[arg(long, value_enum, default_value = "text")]
         output: Output,
     },
-    /// Prints a line for each lease that changes, until SIGTERM or SIGINT; first all there are.
+    /// Prints all leases, then a line for each change, until SIGTERM or SIGINT.
     Watch {
-        /// This lease alone.
+        /// Only this lease.
         name: Option<String>,
-        /// The fleet's file.
+        /// The fleet's configuration file.
         #[arg(long, value_name = "FILE")]
         fleet: PathBuf,
-        /// How to print it.
+        /// Output format.
         #[arg(long, value_enum, default_value = "text")]
         output: Output,
     },
-    /// Takes a lease from whoever holds it. It passes on when its holder can no longer believe in it, at the latest
-    /// after its time to live and the lock delay. Exit code 1 where nobody holds it.
+    /// Takes a lease from its holder. It passes on once the holder can no longer consider it valid, at the
+    /// latest after its time to live and the lock delay. Exit code 1 if nobody holds it.
     Release {
-        /// The lease.
+        /// Name of the lease.
         name: String,
-        /// The fleet's file.
+        /// The fleet's configuration file.
         #[arg(long, value_name = "FILE")]
         fleet: PathBuf,
     },
-    /// Becomes the command, which is ended with the process that started this.
+    /// Replaces itself with the command, which is killed when the parent process ends.
     #[command(hide = true)]
     Become {
-        /// The process that must be alive.
+        /// Process id of the expected parent.
         #[arg(long)]
         child_of: u32,
         /// The command and its arguments.
@@ -107,22 +110,22 @@
     },
 }
 
-/// Reads a span of time.
+/// Parses a duration such as `10s` or `800ms`.
 fn parse_duration(text: &str) -> Result<Duration, String> {
-    let wrong = || format!("'{text}' should be a number with ms, s, m or h, as in 10s");
-    let at = text.find(|c: char| !c.is_ascii_digit() && c != '.').ok_or_else(wrong)?;
-    let number: f64 = text[..at].parse().map_err(|_| wrong())?;
+    let invalid = || format!("'{text}' should be a number with ms, s, m or h, as in 10s");
+    let at = text.find(|c: char| !c.is_ascii_digit() && c != '.').ok_or_else(invalid)?;
+    let number: f64 = text[..at].parse().map_err(|_| invalid())?;
     let unit = match &text[at..] {
         "ms" => 0.001,
         "s" => 1.0,
         "m" => 60.0,
         "h" => 3600.0,
-        _ => return Err(wrong()),
+        _ => return Err(invalid()),
     };
-    Duration::try_from_secs_f64(number * unit).map_err(|_| wrong())
+    Duration::try_from_secs_f64(number * unit).map_err(|_| invalid())
 }
 
-/// Does what was asked.
+/// Runs a subcommand of `lease`.
 pub fn run(command: Command) -> Result<ExitCode, Box<dyn Error>> {
     match command {
         Command::Run { name, fleet, ttl, wait, process, command } => {
@@ -139,11 +142,11 @@
         Command::Release { name, fleet } => release(&FleetConfig::read(&fleet)?, &name),
         Command::Become { child_of, command } => {
             rustix::process::set_parent_process_death_signal(Some(Signal::KILL))?;
-            // Guards against a parent that died before the line above.
+            // The parent may have died before the death signal was set.
             if rustix::process::getppid().map(Pid::as_raw_nonzero).map(|p| p.get() as u32) != Some(child_of) {
-                return Err("the process that holds the lease is gone".into());
+                return Err(format!("process {child_of}, which holds the lease, has ended").into());
             }
-            let (program, arguments) = command.split_first().ok_or("no command")?;
+            let (program, arguments) = command.split_first().ok_or("lease become: the command is missing")?;
             let error = std::process::Command::new(program).args(arguments).exec();
             eprintln!("passrelay: {program}: {error}");
             Ok(ExitCode::from(127))
@@ -158,7 +161,7 @@
     })
 }
 
-/// A lease as a line of the table.
+/// Formats a lease as a line of the table.
 fn line(lease: &LeaseInfo) -> String {
     let holder = lease.holder.as_deref().unwrap_or("-");
     format!("{:<32} {:<8} {:>10} {:>8}  {holder}", lease.lease, lease.state, lease.token, lease.waiting)
@@ -194,7 +197,7 @@
 fn watch(fleet_config: &FleetConfig, only: Option<&str>, output: Output) -> Result<ExitCode, Box<dyn Error>> {
     let terminate = termination_flag()?;
     let mut fleet_client = FleetClient::new(fleet_config, "watch", Duration::from_secs(5))?;
-    // Both again at each new voter: what changed meanwhile is in the list.
+    // Both are sent again to each new voter; the list contains what changed in between.
     fleet_client.add_query(ClientRequest::Watch);
     fleet_client.add_query(ClientRequest::List { request_id: 1 });
     let mut known: BTreeMap<String, LeaseInfo> = BTreeMap::new();
@@ -209,9 +212,9 @@
             match event {
                 ClientEvent::Response(ClientResponse::LeaseChanged { lease }) => rows.push(lease),
                 ClientEvent::Response(ClientResponse::List { leases, .. }) => {
-                    let gone = |name: &&String| !leases.iter().any(|l| l.lease == **name);
+                    let missing = |name: &&String| !leases.iter().any(|l| l.lease == **name);
                     let free = |name: &String| LeaseInfo::of(&LeaseTable::default(), name);
-                    rows.extend(known.keys().filter(gone).map(free));
+                    rows.extend(known.keys().filter(missing).map(free));
                     rows.extend(leases);
                 }
                 _ => {}
@@ -258,16 +261,16 @@
     Ok(ExitCode::from(NO_MAJORITY))
 }
 
-/// A command under a lease.
+/// A command that runs under a lease, in a process group of its own.
 struct LeasedCommand {
     child: Child,
     group: Option<Pid>,
-    terminated: bool,
+    term_sent: bool,
 }
 
 impl LeasedCommand {
     fn start(guard: &Guard, command: &[String]) -> Result<LeasedCommand, Box<dyn Error>> {
-        // Through this program again, which asks the system to end the command with us.
+        // Starts the command through this program, which asks the system to kill it when this process dies.
         let child = std::process::Command::new(std::env::current_exe()?)
             .args(["lease", "become", "--child-of", &std::process::id().to_string(), "--"])
             .args(command)
@@ -276,24 +279,24 @@
             .process_group(0)
             .spawn()?;
         let group = Pid::from_raw(child.id() as i32);
-        Ok(LeasedCommand { child, group, terminated: false })
+        Ok(LeasedCommand { child, group, term_sent: false })
     }
 
     fn signal(&self, signal: Signal) {
         if let Some(group) = self.group {
-            // A group that has ended has nothing left to be terminate.
+            // The process group may have ended already.
             let _ = kill_process_group(group, signal);
         }
     }
 
-    /// Ends it in time: SIGTERM when over half of the belief's time passed without a renewal, SIGKILL so long
-    /// before its end that the command is gone by then.
+    /// Ends the command in time. SIGTERM is sent when less than 2/5 of the safe term is left, SIGKILL when
+    /// less than 1/8 is left, so that the command has ended before the term does.
     fn enforce_deadline(&mut self, left: Duration, ttl: Duration) {
-        let whole = safe_term(ttl);
-        if left < whole / 8 {
+        let term = safe_term(ttl);
+        if left < term / 8 {
             self.signal(Signal::KILL);
-        } else if left < whole * 2 / 5 && !self.terminated {
-            self.terminated = true;
+        } else if left < term * 2 / 5 && !self.term_sent {
+            self.term_sent = true;
             self.signal(Signal::TERM);
         }
     }
@@ -353,34 +356,34 @@
     let status = loop {
         fleet_client.poll(POLL_TIMEOUT)?;
         let time = now();
-        // Under another token it would be another's turn that went by in between: not ours any more.
+        // A different token means that another process may have held the lease in between.
         let guard = fleet_client.client.guard(name, time).filter(|g| g.token() == token);
         match &guard {
             Some(guard) => command_process.enforce_deadline(guard.valid_until().saturating_sub(time), ttl),
             None => command_process.signal(Signal::KILL),
         }
-        lost |= command_process.terminated || guard.is_none();
+        lost |= command_process.term_sent || guard.is_none();
         if terminate.swap(false, Ordering::Relaxed) {
             command_process.signal(Signal::TERM);
         }
         if let Some(status) = command_process.child.try_wait()? {
-            // What it left behind in its group must not outlive the lease either.
+            // Other processes in the command's group must not outlive the lease either.
             command_process.signal(Signal::KILL);
             break status;
         }
     };
-    // Guards against a killed command's last effects on their way when the next holder begins.
+    // Requests of a killed command may still be in flight when the next holder starts.
     let killed = status.signal().is_some();
     leave(&mut fleet_client, name, killed)?;
     if lost {
-        eprintln!("passrelay: {name}: lost while the command ran, which was ended");
+        eprintln!("passrelay: {name}: the lease was lost while the command ran; the command was ended");
         return Ok(ExitCode::from(LOST));
     }
     Ok(ExitCode::from(exit_code(status)))
 }
 
-/// Lets the lease go and ends the session, for a second at most: without that both end by themselves. After work
-/// that was cut short the lock delay comes first.
+/// Releases the lease and closes the session. It waits for at most a second, since both expire anyway. After
+/// interrupted work the lock delay applies.
 fn leave(fleet_client: &mut FleetClient, name: &str, cut_short: bool) -> Result<(), Box<dyn Error>> {
     let lease = name.to_owned();
     let request = if cut_short { Op::Abandon { lease } } else { Op::Release { lease } };
--- a/crates/passrelay/src/main.rs
+++ b/crates/passrelay/src/main.rs
@@ -1,4 +1,5 @@
-//! One sidecar. Its settings come from the environment and the file that it names.
+//! The `passrelay` program: a load-balancing sidecar, a router process, and the commands that operate their
+//! fleets.
 
 mod cli;
 mod config;
--- a/crates/passrelay/src/output.rs
+++ b/crates/passrelay/src/output.rs
@@ -1,12 +1,12 @@
-//! How results are printed.
+//! Output formats of the commands.
 
 use clap::ValueEnum;
 
-/// How results are printed.
+/// Output format of a command.
 #[derive(Clone, Copy, PartialEq, ValueEnum)]
 pub enum Output {
-    /// For people.
+    /// Human-readable text.
     Text,
-    /// For programs.
+    /// JSON.
     Json,
 }
--- a/crates/passrelay/src/query.rs
+++ b/crates/passrelay/src/query.rs
@@ -1,4 +1,4 @@
-//! One question to the voters of leases, and its answer.
+//! Single requests to the lease voters.
 
 use passrelay_lease_consensus::client::ClientEvent;
 use passrelay_lease_consensus::wire::{ClientRequest, ClientResponse};
@@ -8,12 +8,12 @@
 use std::error::Error;
 use std::time::Duration;
 
-/// How long a question waits for a majority.
+/// How long to wait for a majority of voters.
 pub const QUERY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Nobody answered.
+/// Exit code if no majority of voters responded.
 pub const NO_MAJORITY: u8 = 125;
 
-/// Asks one question of the fleet; `None` where no answer came in time.
+/// Sends one request to the fleet. Returns `None` if no response arrives within `timeout`.
 pub fn ask(
     fleet_config: &FleetConfig,
     request: ClientRequest,
--- a/crates/passrelay/src/rollout.rs
+++ b/crates/passrelay/src/rollout.rs
@@ -1,4 +1,4 @@
-//! `passrelay rollout`: operators move a service to another version.
+//! `passrelay rollout`: moves a service to another version.
 
 use crate::config::ask;
 use clap::Subcommand;
@@ -8,26 +8,27 @@
 use std::net::SocketAddr;
 use std::process::ExitCode;
 
-/// Words after `rollout`.
+/// Subcommands of `rollout`.
 #[derive(Subcommand)]
 pub enum Command {
-    /// Orders a roll-out. Exit code 3 where it is refused, 4 without a clear answer: the same order can be sent again.
+    /// Starts a rollout. Exit code 3 if it is refused, 4 if the outcome is unknown; the same request can
+    /// safely be repeated.
     Start {
-        /// The service, as the configuration names it.
+        /// Name of the service in the configuration.
         service: String,
-        /// The version that its endpoints report as their generation.
+        /// The version that the new endpoints report as their generation.
         version: String,
-        /// Time within which it has to be completed or rolled back, in seconds.
+        /// Time within which the rollout has to be completed or rolled back, in seconds.
         #[arg(long, value_name = "SECONDS")]
         deadline: f64,
         /// Control address of any sidecar.
         #[arg(long, value_name = "ADDRESS")]
         at: SocketAddr,
     },
-    /// Prints state, version, phase and reason of a service's roll-out, as JSON. Exit code 3 where there was none, 4 without a clear
-    /// answer.
+    /// Prints state, version, phase and reason of a service's rollout, as JSON. Exit code 3 if there was
+    /// none, 4 if the outcome is unknown.
     Status {
-        /// The service.
+        /// Name of the service.
         service: String,
         /// Control address of any sidecar.
         #[arg(long, value_name = "ADDRESS")]
@@ -35,7 +36,7 @@
     },
 }
 
-/// Does what the words say.
+/// Runs a subcommand of `rollout`.
 pub fn run(command: Command) -> Result<ExitCode, Box<dyn Error>> {
     match command {
         Command::Start { service, version, deadline, at } => {
