--- a/crates/lease/consensus/tests/client.rs
+++ b/crates/lease/consensus/tests/client.rs
@@ -1,11 +1,12 @@
-//! A client's session with the fleet.
+//! Tests of the client side of a session.
 
 use passrelay_lease_consensus::client::Client;
 use passrelay_lease_consensus::lease_table::Reply;
 use passrelay_lease_consensus::wire::{ClientRequest, ClientResponse};
 use std::time::Duration;
 
-// Guards against a session that nobody is behind: it would keep its name and its place for its time to live.
+// A session opened after `close` would keep its name and its place in queues for a whole time to live, with
+// no process using it.
 #[test]
 fn a_client_that_was_closed_opens_nothing_again() {
     let mut client = Client::new("a", 1, Duration::from_secs(10));
--- a/crates/lease/consensus/tests/lease_table.rs
+++ b/crates/lease/consensus/tests/lease_table.rs
@@ -1,4 +1,4 @@
-//! Sessions and leases as all voters hold them.
+//! Tests of the replicated table of sessions and leases.
 
 use passrelay_lease_consensus::lease_table::{Entry, Grant, Holder, LeaseTable, Op, Reply};
 use passrelay_lease_consensus::SessionId;
@@ -19,8 +19,8 @@
     Op::Acquire { lease: "l".to_owned(), ttl_ms: 1000, wait: true }
 }
 
-// Guards against the end of a session, or of its lease, by a proposal that crossed a renewal on its way: the
-// holder believes what that renewal told it. Random histories meet this too seldom to show it.
+// An expiration proposed before a renewal must not end the session or lease after it, since the holder relies
+// on that renewal. Random histories hit this case too rarely to reveal it.
 #[test]
 fn a_proposal_that_a_renewal_overtook_ends_nothing() {
     let mut table = LeaseTable::default();
@@ -38,7 +38,8 @@
     assert_eq!(table.held_by(b)[0].token, 2);
 }
 
-// Guards against a killed command's last effects that meet the next holder's: only a clean release is at once.
+// The last requests of a killed command could reach a target together with those of the next holder. Only a
+// clean release passes the lease on at once.
 #[test]
 fn an_abandoned_lease_is_locked_and_a_released_one_goes_on_at_once() {
     let mut table = LeaseTable::default();
--- a/crates/lease/consensus/tests/membership.rs
+++ b/crates/lease/consensus/tests/membership.rs
@@ -1,4 +1,4 @@
-//! The voters of a fleet, and how they change.
+//! Tests of membership changes.
 
 use passrelay_lease_consensus::membership::{Membership, MembershipChange, MembershipError, VoterInfo};
 use passrelay_lease_consensus::VoterId;
@@ -7,7 +7,7 @@
     MembershipChange::Add { voter, info: VoterInfo { address: "127.0.0.1:1".to_owned(), disk_id: disk } }
 }
 
-// Guards against a number that two disks vote under, and a fleet without voters.
+// No two disks may vote under one number, and a fleet must keep at least one voter.
 #[test]
 fn a_number_is_given_once_and_a_change_asked_for_twice_is_made_once() {
     let mut membership = Membership::initial(&[1, 2, 3]);
--- a/crates/lease/consensus/tests/model.rs
+++ b/crates/lease/consensus/tests/model.rs
@@ -1,9 +1,10 @@
-//! The lease protocol, every interleaving within stated bounds: the real table, expiry and client; the agreed
-//! order, the links and time are the model's.
+//! Model checking of the lease protocol: all interleavings within the stated bounds. The table, the expiry
+//! tracker and the client are the real ones; the log, the connections and time belong to the model.
 //!
-//! Three voters take in the agreed order each at its own pace, and each may find a session silent. Two processes
-//! want one lease. Messages wait for as long as they like, in order; clocks run as fast and as slow as the bound
-//! allows. One voter may crash and begin to count anew, one process may be stopped between its check and its act.
+//! Three voters apply the log, each at its own pace, and each may detect an expired session. Two processes
+//! compete for one lease. Messages are delayed arbitrarily but stay in order; clocks run as fast or slow as
+//! the drift bound allows. One voter may crash and restart its timers, and one process may be stopped between
+//! its check and its act.
 
 use passrelay_lease_consensus::client::{Client, DRIFT_PERCENT};
 use passrelay_lease_consensus::expiry::ExpiryTracker;
@@ -14,10 +15,10 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// True time passes in steps of so many ms.
+/// True time advances in steps of this many milliseconds.
 const STEP_MS: u64 = 300;
 const TTL_MS: u64 = 600;
-/// Messages that wait on one link; what comes beyond them is lost.
+/// Maximum number of messages in flight per connection and direction; further ones are lost.
 const WAITING: usize = 2;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -25,7 +26,7 @@
     table: LeaseTable,
     expiry: ExpiryTracker,
     applied: usize,
-    /// Runs fast, as far as the bound allows; else slow.
+    /// Whether the clock runs fast, by the full drift bound, instead of slow.
     fast: bool,
 }
 
@@ -35,7 +36,7 @@
     requests: VecDeque<ClientRequest>,
     answers: VecDeque<ClientResponse>,
     fast: bool,
-    /// The token that it found to be good, and has not acted with yet.
+    /// A token that the process has checked and not acted with yet.
     hand: Option<Token>,
     stopped: bool,
     acted: usize,
@@ -48,7 +49,7 @@
     log: Vec<Entry>,
     voters: Vec<Voter>,
     processes: Vec<Process>,
-    /// The highest token that the target took, and whether it took an older one later.
+    /// The highest token that the target accepted, and whether it accepted an older one later.
     highest: Token,
     older_taken: bool,
     crashes: usize,
@@ -59,13 +60,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Action {
     Time,
-    /// A voter gets what a process said, and puts it into the agreed order.
+    /// A voter receives a request and appends it to the log.
     Hear(usize),
-    /// A voter takes in all that is agreed on and new to it.
+    /// A voter applies all log entries that are new to it.
     Apply(usize),
-    /// A voter puts forward what it finds due.
+    /// A voter proposes the expirations that are due.
     Due(usize),
-    /// A process gets an answer.
+    /// A process receives a response.
     Answer(usize),
     Check(usize),
     Act(usize),
@@ -74,22 +75,22 @@
     Crash(usize),
 }
 
-/// Whose clocks run fast, a bit each: the voters', the first process's, the second one's.
+/// Which clocks run fast, one bit each: the voters', the first process's, the second process's.
 const CLOCKS: [u8; 4] = [0b001, 0b110, 0b101, 0b011];
 
-/// The bounds, and what is left out to see that it is missed.
+/// Bounds of the model, and protections to leave out to verify that the checker detects their absence.
 #[derive(Clone, Debug)]
 struct Leases {
     steps: u64,
     entries: usize,
-    /// How many of [`CLOCKS`] are played.
+    /// Number of [`CLOCKS`] to check.
     clocks: usize,
     crashes: usize,
-    /// Processes act.
+    /// Whether processes act.
     acts: bool,
-    /// The target keeps the highest token and refuses older ones.
+    /// Whether the target remembers the highest token and rejects older ones.
     fence: bool,
-    /// Clocks run so many percent further apart than anybody knows.
+    /// Percentage by which clocks deviate beyond the assumed drift bound.
     extra_drift: u32,
 }
 
@@ -108,7 +109,7 @@
         self.processes[process].client.guard("l", self.now(process)).is_some()
     }
 
-    /// What a process says goes on its link.
+    /// Puts a client's requests on its connection.
     fn speak(&mut self, process: usize) {
         let p = &mut self.processes[process];
         p.client.take_events();
@@ -125,7 +126,7 @@
         });
     }
 
-    /// A voter takes in the next entry, and answers the process that is with it.
+    /// Applies the next entry on a voter, which responds to the process connected to it.
     fn apply(&mut self, voter: usize) {
         let now = clock(self.time, self.voters[voter].fast, self.extra_drift);
         let v = &mut self.voters[voter];
@@ -151,7 +152,7 @@
         p.answers.truncate(WAITING);
     }
 
-    /// Everything that waits is heard and answered, at once.
+    /// Delivers and answers all pending messages at once.
     fn settle(&mut self) {
         loop {
             for process in 0..self.processes.len() {
@@ -180,7 +181,7 @@
     type State = State;
     type Action = Action;
 
-    /// The first process holds the lease and the second one stands in line, whichever clocks run fast.
+    /// The first process holds the lease and the second one waits in the queue, for each set of clocks.
     fn init_states(&self) -> Vec<State> {
         let begin = |clocks: u8| {
             let voter = |_| Voter {
@@ -218,7 +219,7 @@
                 state.speak(at);
                 state.settle();
             }
-            // What is past is of no further use.
+            // Earlier entries have been applied everywhere.
             state.log.clear();
             state.voters.iter_mut().for_each(|v| v.applied = 0);
             state
@@ -227,7 +228,7 @@
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
-        // Nobody stays between its check and its act while time passes, unless it is stopped there.
+        // Time passes between a check and its act only while the process is stopped.
         if state.time < self.steps && state.processes.iter().all(|p| p.hand.is_none() || p.stopped) {
             actions.push(Action::Time);
         }
@@ -342,7 +343,7 @@
                 !(s.believes(0) && s.believes(1))
             }),
             Property::always("no older effect after a newer one", |_, s: &State| !s.older_taken),
-            // Guards against a model in which nothing comes to pass.
+            // The model must not pass because nothing happens in it.
             Property::sometimes("the second process gets the lease", |_, s: &State| s.believes(1)),
             Property::sometimes("both have acted", |m: &Leases, s: &State| {
                 !m.acts || s.processes.iter().all(|p| p.acted > 0)
@@ -351,7 +352,7 @@
     }
 }
 
-/// Plays every interleaving; gives how many states there are, and which properties are not as they should be.
+/// Checks every interleaving. Returns the number of states and the violated properties.
 fn checked(model: &Leases, enough: HasDiscoveries) -> (usize, Vec<&'static str>) {
     let checker = model.clone().checker().threads(4).finish_when(enough).spawn_dfs().join();
     let found = checker.discoveries();
@@ -387,7 +388,7 @@
     holds(&Leases { clocks: 1, acts: true, ..TIMING });
 }
 
-// Guards against a model that can't see what the fence is for: a process stopped between its check and its act.
+// The model must detect a process that is stopped between its check and its act when the fence is missing.
 #[test]
 fn without_the_fence_an_older_effect_is_taken() {
     let (_, wrong) =
@@ -395,7 +396,7 @@
     assert!(wrong.contains(&"no older effect after a newer one"), "{wrong:?}");
 }
 
-// Guards against a model that can't see what the bound on clocks is for.
+// The model must detect clocks beyond the drift bound.
 #[test]
 fn with_clocks_further_apart_two_processes_believe_at_once() {
     let (_, wrong) = checked(&Leases { extra_drift: 25, ..TIMING }, HasDiscoveries::AnyFailures);
--- a/crates/lease/consensus/tests/sample_data.rs
+++ b/crates/lease/consensus/tests/sample_data.rs
@@ -1,8 +1,8 @@
-//! Sample data written by version 0.2.0 before the renaming: every frame of the lease protocol, every entry that voters
-//! agree on and every write of a voter's journal, in `data/frames.hex`, one `name hex` a line.
+//! Compatibility with data written by version 0.2.0: every frame of the lease protocol, every log entry and
+//! every write of a voter's journal, in `data/frames.hex` with one `name hex` per line.
 //!
-//! Each is read and written again and has to come out byte for byte. On the wire a variant is its position, not its name;
-//! that all are there is checked against the number of variants that each type says it has.
+//! Each sample is decoded and encoded again, and must yield the same bytes. A variant is encoded by its
+//! position, not its name; completeness is checked against the number of variants of each type.
 
 use passrelay_lease_consensus::lease_table::{Entry, Op, Refusal, Reply};
 use passrelay_lease_consensus::membership::{MembershipChange, MembershipError};
@@ -16,14 +16,14 @@
 use std::collections::BTreeSet;
 
 const SAMPLES: &str = include_str!("data/frames.hex");
-/// Lines of the file.
+/// Number of lines in the file.
 const LINES: usize = 64;
-/// The fleet whose frames these are.
+/// Name of the fleet in the sample frames.
 const FLEET: &str = "sample";
-/// The number that its name stands for.
+/// Fleet identifier derived from the name.
 const FLEET_NUMBER: u64 = 0xf10b_76c3_0000_0006;
 
-/// The samples of a kind, or all for an empty one.
+/// Returns the samples of a kind, or all of them if `kind` is empty.
 fn samples(kind: &str) -> Vec<(&'static str, Vec<u8>)> {
     let line = |line: &'static str| {
         let (name, hex) = line.split_once(' ').expect("a name and bytes");
@@ -33,7 +33,8 @@
     SAMPLES.lines().map(line).filter(|(name, _): &(&str, _)| name.starts_with(kind)).collect()
 }
 
-/// The number of variants of an enum: it names all in place of an unknown one.
+/// Returns the number of variants of an enum, taken from the error message about an unknown variant, which
+/// lists all of them.
 fn variants<'a, T: Deserialize<'a>>() -> u8 {
     let unknown = StrDeserializer::<Error>::new("?");
     let problem = T::deserialize(unknown).err().expect("no variant has this name").to_string();
@@ -70,7 +71,7 @@
     assert_eq!(answers, (0..variants::<ClientResponse>()).collect());
 }
 
-/// Reads and writes the samples of a kind; each variant has to be there.
+/// Decodes and encodes the samples of a kind; every variant must be among them.
 fn same<T: Serialize + DeserializeOwned>(kind: &str) {
     let mut sampled = BTreeSet::new();
     for (name, bytes) in samples(&format!("{kind}/")) {
--- a/crates/lease/journal/src/journal/tests.rs
+++ b/crates/lease/journal/src/journal/tests.rs
@@ -5,7 +5,7 @@
     vec![b"one".to_vec(), b"two, longer".to_vec(), b"three".to_vec()]
 }
 
-// Guards against an acknowledged record lost, or a half one served, wherever the power goes.
+// A power loss at any byte must neither lose an acknowledged record nor return part of a record.
 #[test]
 fn a_cut_at_every_byte_leaves_all_that_was_acknowledged() {
     let mut bytes = Vec::new();
@@ -30,7 +30,7 @@
     }
 }
 
-// Guards against a rewrite that loses the old records before the new ones are lasting.
+// A rewrite must not lose the old records before the new ones are durable.
 #[test]
 fn a_rewrite_is_all_or_nothing_and_a_full_disk_spoils_nothing() {
     let disk = MemoryDisk::default();
@@ -50,7 +50,7 @@
     assert_eq!(Journal::open(disk, "j").unwrap().1, [b"small".to_vec()]);
 }
 
-// Guards against a bit that turned in the middle being taken for the end of the journal.
+// A flipped bit in the middle must not be taken for the end of the journal.
 #[test]
 fn damage_in_the_middle_is_named_and_changes_nothing() {
     let disk = MemoryDisk::default();
--- a/crates/lease/runtime/src/fleet_config/tests.rs
+++ b/crates/lease/runtime/src/fleet_config/tests.rs
@@ -5,7 +5,7 @@
     format!("fleet = \"f\"\n{}", lines.iter().map(voter).collect::<String>())
 }
 
-// Guards against a fleet that begins with voters that can't agree or aren't who they seem.
+// A fleet must not start with a number of voters that can't form clear majorities, or with ambiguous voters.
 #[test]
 fn a_file_with_2_or_4_voters_or_one_twice_is_refused_with_its_line() {
     let (a, b, c) = ((1, "127.0.0.1:1"), (2, "127.0.0.1:2"), (3, "127.0.0.1:3"));
--- a/crates/lease/runtime/tests/net.rs
+++ b/crates/lease/runtime/tests/net.rs
@@ -1,4 +1,4 @@
-//! Links over loopback sockets: their ends, and who hears of them.
+//! Tests of connections over loopback sockets: how they end, and that their end is reported.
 
 use passrelay_lease_consensus::wire::{ClientRequest, Frame};
 use passrelay_lease_runtime::links::{LinkEvent, LinkNumber, Links};
@@ -6,14 +6,14 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Generous: a test that waits so long has failed.
+/// Far longer than needed; a test that waits this long has failed.
 const PATIENCE: Duration = Duration::from_secs(20);
 
 fn caller() -> Links {
     Links::open("test", None).unwrap()
 }
 
-/// Waits until this happens on the link.
+/// Waits for an event on the connection.
 fn until(net: &mut Links, link: LinkNumber, what: &str, is: impl Fn(&LinkEvent) -> bool) {
     let began = Instant::now();
     while began.elapsed() < PATIENCE {
@@ -25,7 +25,7 @@
     panic!("waited in vain until {what}");
 }
 
-/// A link that is up, and the other side's end of it.
+/// Opens a connection and returns it with the peer's socket.
 fn link(net: &mut Links, listener: &TcpListener) -> (LinkNumber, TcpStream) {
     let at: SocketAddr = listener.local_addr().unwrap();
     let link = net.connect(at).unwrap();
@@ -38,7 +38,7 @@
     Frame::Request(ClientRequest::OpenSession { name: "x".repeat(bytes), nonce: 1, ttl_ms: 1 })
 }
 
-// Guards against a voter that is never called again: its death was first seen in sending, and nobody was told.
+// A peer's loss first noticed while sending was not reported, so the voter was never contacted again.
 #[test]
 fn a_link_lost_in_sending_is_told_to_whoever_holds_it() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -53,7 +53,7 @@
     until(&mut net, number, "the lost link is gone", |h| matches!(h, LinkEvent::Closed));
 }
 
-// Guards against the same for a voter that is stopped and reads nothing for long.
+// The same for a peer that is stopped and does not read for a long time.
 #[test]
 fn a_link_that_falls_behind_by_more_than_its_bound_is_told_as_gone() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -66,8 +66,9 @@
     until(&mut net, number, "the lost link is gone", |h| matches!(h, LinkEvent::Closed));
 }
 
-// Guards against what is said of a link that is gone and taken for the next one's: a voter's call that came up was
-// counted for another voter, whose old number it had, and the one that was called was never linked.
+// When numbers were reused, an event of a closed connection was taken for the next one's: a voter's
+// established connection was attributed to another voter with the old number, and the voter that had been
+// contacted was never linked.
 #[test]
 fn no_number_is_given_twice() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
--- a/crates/lease/runtime/tests/sample_data.rs
+++ b/crates/lease/runtime/tests/sample_data.rs
@@ -1,8 +1,8 @@
-//! Sample data written by version 0.2.0 before the renaming: a voter's journal as it had grown in a fleet of three, and
-//! the same one as a rewrite leaves it.
+//! Compatibility with a voter's journal written by version 0.2.0 in a fleet of three voters, as appended to
+//! and as rewritten.
 //!
-//! Two sessions were opened; one holds a lease that the other waits for, an effect was noted under it, and the other's
-//! lease is being taken from it. In the end a fourth voter was added.
+//! Two sessions were opened. One holds a lease that the other waits for, and recorded an effect under it; the
+//! other has been evicted from a lease. Finally a fourth voter was added.
 
 use passrelay_lease_consensus::voter::VoterConfig;
 use passrelay_lease_consensus::wire::LeaseInfo;
@@ -13,7 +13,7 @@
 const GROWN: (&str, &[u8]) = ("voter.1", include_bytes!("data/grown.voter.1"));
 const REWRITTEN: (&str, &[u8]) = ("voter.2", include_bytes!("data/rewritten.voter.2"));
 
-/// A disk that holds this file.
+/// Returns a disk that contains this file.
 fn disk((name, bytes): (&str, &[u8])) -> MemoryDisk {
     let mut disk = MemoryDisk::default();
     disk.append(name, bytes).unwrap();
@@ -22,7 +22,7 @@
     disk
 }
 
-/// The voter whose journal this is, in another life of its process.
+/// Opens the voter of this journal in a new incarnation.
 fn voter(file: (&str, &[u8])) -> DurableVoter<MemoryDisk> {
     let disk = disk(file);
     let identity = VoterConfig {
