--- a/crates/testing/cluster-simulation/tests/service_versions.rs
+++ b/crates/testing/cluster-simulation/tests/service_versions.rs
@@ -1,7 +1,7 @@
-//! The version in service through the losses of a cluster: endpoints of another one must not come in by a new primary, a lost disk or
-//! a start of all machines.
+//! The version in service survives the losses of a cluster: endpoints of another version must not be put in service by a
+//! failover, a lost disk or a restart of all machines.
 
-use passrelay_cluster_simulation::cluster::{Cluster, ClusterSettings, HEARTBEAT};
+use passrelay_cluster_simulation::cluster::{Cluster, ClusterSettings, HEARTBEAT_INTERVAL};
 use passrelay_control_plane::configuration_change::{ChangeKind, ConfigurationChange};
 use passrelay_control_plane::OperatorRequest;
 use passrelay_dissemination::{EndpointRecord, EndpointState, Heartbeat};
@@ -12,51 +12,53 @@
 
 const SERVICE: &str = "s";
 const SEEDS: u64 = 40;
-/// A change is in force everywhere after this time, on a calm cluster.
-const APPLY: Duration = Duration::from_millis(2_500);
-/// A cluster is whole again after this time.
-const RECOVERY: Duration = Duration::from_secs(15);
+/// Time after which a change is in force on all machines of a cluster without faults.
+const APPLY_TIME: Duration = Duration::from_millis(2_500);
+/// Time after which a cluster has recovered from its losses.
+const RECOVERY_TIME: Duration = Duration::from_secs(15);
 
-/// Endpoints of one version, which report to machines drawn at random.
+/// Endpoints of one version, which send heartbeats to random machines.
 struct Endpoints {
     version: &'static str,
     count: u16,
 }
 
-/// A cluster, its endpoints and the configuration's generation.
-struct Story {
+/// A cluster, its endpoints and the generation of its configuration.
+struct TestCluster {
     cluster: Cluster,
     endpoints: Vec<Endpoints>,
-    beats: u64,
+    heartbeat_sequence: u64,
     generation: u64,
 }
 
-impl Story {
-    /// A cluster whose service has a configuration and endpoints of `v1`.
-    fn begin(voters: usize, machines: usize, seed: u64) -> Self {
+impl TestCluster {
+    /// Starts a cluster with a configuration and with endpoints of `v1`.
+    fn start(voters: usize, machines: usize, seed: u64) -> Self {
         let settings =
             ClusterSettings { records_versions: true, ..ClusterSettings::new(voters, machines, seed) };
         let endpoints = vec![Endpoints { version: "v1", count: 3 }];
-        let mut story = Story { cluster: Cluster::new(settings), endpoints, beats: 0, generation: 0 };
-        story.run(Duration::from_secs(4));
-        story.change(None);
-        story.run(APPLY);
-        story
+        let mut test =
+            TestCluster { cluster: Cluster::new(settings), endpoints, heartbeat_sequence: 0, generation: 0 };
+        test.run(Duration::from_secs(4));
+        test.change(None);
+        test.run(APPLY_TIME);
+        test
     }
 
-    /// Runs the cluster for a time, while the endpoints report.
+    /// Runs the cluster for a time while the endpoints send heartbeats.
     fn run(&mut self, time: Duration) {
         let until = self.cluster.now() + time;
         while self.cluster.now() < until {
-            self.beat();
-            let next = self.cluster.now() + HEARTBEAT / 2;
+            self.send_heartbeats();
+            let next = self.cluster.now() + HEARTBEAT_INTERVAL / 2;
             self.cluster.run_until(next.min(until));
         }
     }
 
-    fn beat(&mut self) {
-        self.beats += 1;
-        let running: Vec<usize> = (0..self.cluster.len()).filter(|m| self.cluster.responds(*m)).collect();
+    fn send_heartbeats(&mut self) {
+        self.heartbeat_sequence += 1;
+        let running: Vec<usize> =
+            (0..self.cluster.len()).filter(|m| self.cluster.is_responsive(*m)).collect();
         for (group, endpoints) in self.endpoints.iter().enumerate() {
             for index in 0..endpoints.count {
                 let mut order = running.clone();
@@ -65,11 +67,13 @@
                 let record = EndpointRecord {
                     id: format!("{}-{index}", endpoints.version),
                     service: SERVICE.to_owned(),
-                    address: format!("10.9.{group}.1:{}", 1_000 + index).parse().expect("an address"),
+                    address: format!("10.9.{group}.1:{}", 1_000 + index)
+                        .parse()
+                        .expect("invalid endpoint address"),
                     zone: "z".to_owned(),
                     capacity: 4,
                     state: EndpointState::Ready,
-                    sequence: self.beats,
+                    sequence: self.heartbeat_sequence,
                     version: endpoints.version.to_owned(),
                 };
                 self.cluster.heartbeat(*machine, &Heartbeat { record });
@@ -77,7 +81,7 @@
         }
     }
 
-    /// Changes the configuration until that is in force at the primary; `version` is set for the service, if any.
+    /// Sends a configuration with `version` for the service, if given, until it is in force at the primary.
     fn change(&mut self, version: Option<&str>) {
         let (base, generation) = (self.generation, self.generation + 1);
         let document: Value = json!({ "generation": generation, "routes": [],
@@ -99,7 +103,7 @@
         panic!("generation {generation} was never in force");
     }
 
-    /// The version that each running machine takes for the one in service.
+    /// Returns the version in service according to each running machine.
     fn versions(&self) -> Vec<Option<String>> {
         let processes = (0..self.cluster.len()).filter_map(|machine| self.cluster.process(machine));
         let version = |process: &passrelay_control_plane::Coordinator| {
@@ -121,7 +125,7 @@
             self.cluster.crash(*machine);
         }
         for machine in wiped {
-            self.cluster.wipe(*machine);
+            self.cluster.wipe_disk(*machine);
         }
         for machine in machines {
             self.cluster.start_after(*machine, Duration::from_millis(600));
@@ -129,48 +133,49 @@
     }
 }
 
-// Guards against a primary that takes the endpoints of the moment for the version in service: the new one, all machines after a
-// loss of power in which tolerated disks were lost, at a moment when the endpoints of the second version are in the majority.
+// Guards against a primary that derives the version in service from the endpoints registered at the moment. This may happen
+// after a failover, or after a crash of all machines that loses as many disks as tolerated, while the endpoints of the second
+// version are in the majority.
 #[rstest]
 #[case::three_voters(3, 6)]
 #[case::six_voters(6, 9)]
 fn a_second_version_stays_out_of_service_through_losses(#[case] voters: usize, #[case] machines: usize) {
     for seed in 0..SEEDS {
-        let mut story = Story::begin(voters, machines, seed);
-        story.assert_in_service("v1", &format!("seed {seed}, after the start"));
-        story.endpoints.push(Endpoints { version: "v2", count: 5 });
-        story.run(Duration::from_secs(2));
-        let primary = story.cluster.primary().expect("a primary");
-        story.crash_and_start(&[primary], &[]);
-        story.run(RECOVERY);
-        story.change(None);
-        story.run(APPLY);
-        story.assert_in_service("v1", &format!("seed {seed}, after the loss of the primary"));
+        let mut test = TestCluster::start(voters, machines, seed);
+        test.assert_in_service("v1", &format!("seed {seed}, after the start"));
+        test.endpoints.push(Endpoints { version: "v2", count: 5 });
+        test.run(Duration::from_secs(2));
+        let primary = test.cluster.primary().expect("no primary is established");
+        test.crash_and_start(&[primary], &[]);
+        test.run(RECOVERY_TIME);
+        test.change(None);
+        test.run(APPLY_TIME);
+        test.assert_in_service("v1", &format!("seed {seed}, after the loss of the primary"));
         let all: Vec<usize> = (0..machines).collect();
         let mut wiped: Vec<usize> = (0..voters).collect();
-        wiped.shuffle(&mut story.cluster.rng);
+        wiped.shuffle(&mut test.cluster.rng);
         wiped.truncate(if voters >= 5 { 2 } else { 1 });
-        story.crash_and_start(&all, &wiped);
-        // The endpoints of the first version are late.
-        let first = story.endpoints.remove(0);
-        story.run(Duration::from_secs(3));
-        story.endpoints.push(first);
-        story.run(RECOVERY);
-        story.assert_in_service("v1", &format!("seed {seed}, after the loss of all"));
+        test.crash_and_start(&all, &wiped);
+        // The endpoints of the first version send heartbeats only 3 s after the crash.
+        let first = test.endpoints.remove(0);
+        test.run(Duration::from_secs(3));
+        test.endpoints.push(first);
+        test.run(RECOVERY_TIME);
+        test.assert_in_service("v1", &format!("seed {seed}, after the loss of all"));
     }
 }
 
 #[test]
-fn the_configuration_moves_a_service_to_another_version_which_stays_when_it_no_longer_names_one() {
+fn a_version_set_by_the_configuration_stays_when_the_next_one_names_none() {
     for seed in 0..SEEDS {
-        let mut story = Story::begin(3, 5, seed);
-        story.endpoints.push(Endpoints { version: "v2", count: 2 });
-        story.run(Duration::from_secs(2));
-        story.change(Some("v2"));
-        story.run(APPLY);
-        story.assert_in_service("v2", &format!("seed {seed}, after the change"));
-        story.change(None);
-        story.run(APPLY);
-        story.assert_in_service("v2", &format!("seed {seed}, after the next change"));
+        let mut test = TestCluster::start(3, 5, seed);
+        test.endpoints.push(Endpoints { version: "v2", count: 2 });
+        test.run(Duration::from_secs(2));
+        test.change(Some("v2"));
+        test.run(APPLY_TIME);
+        test.assert_in_service("v2", &format!("seed {seed}, after the change"));
+        test.change(None);
+        test.run(APPLY_TIME);
+        test.assert_in_service("v2", &format!("seed {seed}, after the next change"));
     }
 }
