--- a/crates/lease/consensus/src/client.rs
+++ b/crates/lease/consensus/src/client.rs
@@ -79,7 +79,8 @@
     LeaseLost(Grant),
     /// The session neither holds the lease nor waits for it any more: a grant came and ended unnoticed.
     GrantMissed(String),
-    /// The voters ended the session. The client opens a new one; queued requests of the old one are lost.
+    /// The voters ended the session. The client opens a new one. The places in lease queues are lost, while
+    /// operations not yet answered are sent again under the new session.
     SessionEnded,
     /// A response to a `List`, `Status`, `Watch` or `ChangeMembership` request, or the current voters.
     Response(ClientResponse),
