--- a/crates/testing/load-simulator/src/fault_injection/relay.rs
+++ b/crates/testing/load-simulator/src/fault_injection/relay.rs
@@ -18,7 +18,7 @@
 pub struct LinkFaults {
     /// Whether bytes are held back, toward the target (index 0) and back from it (index 1).
     pub blocked: [AtomicBool; 2],
-    /// Delay of each chunk of [`CHUNK_BYTES`], in milliseconds.
+    /// Delay of each chunk of `CHUNK_BYTES`, in milliseconds.
     pub delay_ms: AtomicU64,
     /// Incremented to drop all connections: a connection closes once this differs from the value at its start.
     pub drop_count: AtomicU64,
@@ -30,7 +30,7 @@
 pub struct Relay {
     /// The loopback address on which the relay accepts connections.
     pub address: SocketAddr,
-    /// The faults of this link; writes take effect within [`POLL_INTERVAL`].
+    /// The faults of this link; writes take effect within `POLL_INTERVAL`.
     pub faults: Arc<LinkFaults>,
 }
 
